--- a/benchmarks/batch.py
+++ b/benchmarks/batch.py
@@ -6,23 +6,29 @@
 import time
 from typing import Any
 
-import onyxhead.interface as say
 from benchmarks.figures import quantiles
 from onyxhead.controller.house import House, Joining
 from onyxhead.controller.roster import Entry, Follower, Roster
+from onyxhead.policy.inputs import (
+    AdmissionMode,
+    ChannelLimits,
+    Deployment,
+    LoadReport,
+    RetrySafety,
+    SafetyLimits,
+    TrafficGroup,
+)
 from onyxhead.tables.view import View
 
 ZONES = ("x", "y", "z")
 
 
 def house(proxies: int, backends: int) -> tuple[House, Follower, Roster]:
-    groups = tuple(
-        say.TrafficGroup(n, 1.0, 5000, 15000, say.Repeats.RETRIABLE, "all", 0, None, False) for n in ("a", "b")
-    )
-    channel = say.Channel(100.0 * proxies * 3, 6, 400.0 * proxies, 100, 500, 0, 100_000)
-    guards = say.Guards(30_000, 20_000, False, 0.2, 150_000, 3, 15_000, False, 0)
-    start = say.Deployment(
-        0, 3, 1, proxies, groups, channel, guards, say.Throttle.SHARE, 1, 1.2, 0, 10_000, False, False
+    groups = tuple(TrafficGroup(n, 1.0, 5000, 15000, RetrySafety.IDEMPOTENT, "all", 0, None, False) for n in ("a", "b"))
+    channel = ChannelLimits(100.0 * proxies * 3, 6, 400.0 * proxies, 100, 500, 0, 100_000)
+    guards = SafetyLimits(30_000, 20_000, False, 0.2, 150_000, 3, 15_000, False, 0)
+    start = Deployment(
+        0, 3, 1, proxies, groups, channel, guards, AdmissionMode.FRACTION, 1, 1.2, 0, 10_000, False, False
     )
     now = 10**9
     made = House(start, ("a", "b"), ZONES, 1, 1, 20_000, now)
@@ -52,9 +58,9 @@
             made.list_heard(now, news)
         if step % 20 == 10:
             for name in made.listed:
-                made.brain.learn_tries(now, name, 0, 20, chance.randint(0, 2), 1000, 10_000, say.Load(0.5))
+                made.brain.on_attempt_statistics(now, name, 0, 20, chance.randint(0, 2), 1000, 10_000, LoadReport(0.5))
             for proxy in range(proxies):
-                made.brain.learn_intake(now, proxy, 0, 10, 10_000)
+                made.brain.on_request_rate(now, proxy, 0, 10, 10_000)
         work = made.act(now)
         times.append(time.perf_counter() - began)
         for sent in work.leaving:
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -149,7 +149,7 @@
             turn = house.brain.turn
             await until(lambda: all(house.applied.get(n, (turn,))[0] >= turn for n in told))
             withdrawals.append(time.perf_counter() - began)
-            sent, paced = len(told), (house.channel.limits.head + 2) * len(told) / fleet.pace
+            sent, paced = len(told), (house.channel.limits.message_overhead + 2) * len(told) / fleet.pace
             await until(lambda: all(f"b{drained}" not in lines for lines in house.books.tables.values()))
             # Not the newest turn: that may have gone to one that joins alone.
             turn, began = max(house.brain.backends[f"b{drained}"].versions.values()), time.perf_counter()
--- a/onyxhead/controller/alliance.py
+++ b/onyxhead/controller/alliance.py
@@ -107,7 +107,7 @@
 
     def _renew(self, now: int) -> None:
         """What members kept withdrawn and no list names any more is kept withdrawn here too."""
-        grace = self.daemon.house.start.guards.drain_grace
+        grace = self.daemon.house.start.safety.drain_grace
         self.daemon.house.withdrawn_before(now, sorted(self.coalition.withdrawn_elsewhere(now, 10 * grace)))
 
     async def _send(self, packet: Packet) -> None:
--- a/onyxhead/controller/channel.py
+++ b/onyxhead/controller/channel.py
@@ -12,7 +12,7 @@
 from collections import deque
 from typing import Generic, NamedTuple, TypeVar
 
-from onyxhead.interface import Channel as Limits
+from onyxhead.policy.inputs import ChannelLimits
 
 Order = TypeVar("Order")
 SECOND = 10_000
@@ -35,7 +35,7 @@
 class Channel(Generic[Order]):
     """Times in tenths of a millisecond, lines as rule 5 counts them (heads included)."""
 
-    def __init__(self, limits: Limits, patience: int) -> None:
+    def __init__(self, limits: ChannelLimits, patience: int) -> None:
         self.limits, self.patience = limits, patience
         self.queue: deque[Sent[Order]] = deque()
         self.streams: dict[int, deque[Sent[Order]]] = {}
@@ -61,12 +61,12 @@
     def offer(self, now: int, proxy: int, order: Order, lines: float) -> None:
         """Queues one message. Raises Overfull, or KeyError for a proxy that has not joined."""
         written = self.written[proxy]
-        while written and written[0] <= now - self.limits.messages_span:
+        while written and written[0] <= now - self.limits.message_window:
             written.popleft()
         waiting = self.waiting + lines
-        if waiting > self.limits.most_waiting:
-            raise Overfull(f"{waiting:.0f} lines would wait, {self.limits.most_waiting:.0f} may")
-        if self.limits.messages_cap and len(written) >= self.limits.messages_cap:
+        if waiting > self.limits.max_queued_lines:
+            raise Overfull(f"{waiting:.0f} lines would wait, {self.limits.max_queued_lines:.0f} may")
+        if self.limits.max_messages and len(written) >= self.limits.max_messages:
             raise Overfull(f"{len(written)} messages were written to the proxy, no more may be")
         written.append(now)
         self.waiting = waiting
@@ -102,4 +102,4 @@
         return min(times, default=None)
 
     def _done(self) -> float:
-        return self.free_at + self.queue[0].lines * self.slower * SECOND / self.limits.lines_per_s
+        return self.free_at + self.queue[0].lines * self.slower * SECOND / self.limits.lines_per_second
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -6,9 +6,9 @@
 from decimal import Decimal
 from typing import Any
 
-import onyxhead.interface as say
 from onyxhead.controller.configuration.tree import Tree
 from onyxhead.controller.roster import Entry, Roster
+from onyxhead.policy.inputs import Deployment, RetrySafety, TrafficGroup
 from onyxhead.records.write import Raw
 from onyxhead.settings.load import Controller
 
@@ -19,10 +19,13 @@
     groups = [_group(group, settings.zones) for group in sorted(start.groups, key=lambda group: group.name)]
     tree: Tree = {
         "group": groups,
-        "channel": {"pace": figure(start.channel.lines_per_s), "most-waiting": int(start.channel.most_waiting)},
+        "channel": {
+            "pace": figure(start.channel.lines_per_second),
+            "most-waiting": int(start.channel.max_queued_lines),
+        },
         "guards": {
-            "drain-grace": start.guards.drain_grace, "unserved-limit": start.guards.unserved_limit,
-            "cold-time": start.guards.cold_time, "overload-factor": figure(start.guards.overload_factor),
+            "drain-grace": start.safety.drain_grace, "unserved-limit": start.safety.unserved_limit,
+            "cold-time": start.safety.warmup_time, "overload-factor": figure(start.safety.overload_factor),
         },
     }  # fmt: skip
     backends = []
@@ -33,13 +36,13 @@
     return tree | ({"backend": backends} if backends else {})
 
 
-def _group(group: say.TrafficGroup, zones: tuple[str, ...]) -> Tree:
+def _group(group: TrafficGroup, zones: tuple[str, ...]) -> Tree:
     made: Tree = {
         "name": group.name, "utility": figure(group.utility), "latency-budget": group.latency_budget,
-        "expiry": group.expiry, "repeats": group.repeats.value, "dedup-reach": group.dedup_reach,
-        "dedup-window": group.dedup_window, "home-zone-only": group.home_zone_only,
+        "expiry": group.timeout, "repeats": group.retry_safety.value, "dedup-reach": group.deduplication_scope,
+        "dedup-window": group.deduplication_window, "home-zone-only": group.home_zone_only,
     }  # fmt: skip
-    return made | ({"zone": sorted(zones[zone] for zone in group.zones)} if group.zones else {})
+    return made | ({"zone": sorted(zones[zone] for zone in group.allowed_zones)} if group.allowed_zones else {})
 
 
 def figure(value: float) -> str:
@@ -48,7 +51,7 @@
     return text if "." in text else f"{text}.0"
 
 
-def deployment(tree: Tree, settings: Controller) -> say.Deployment:
+def deployment(tree: Tree, settings: Controller) -> Deployment:
     """What the module starts with under a tree; all else stays as the settings have it. Raises ValueError."""
     start, channel, guards = settings.start, tree.get("channel", {}), tree.get("guards", {})
     groups = []
@@ -58,12 +61,12 @@
             raise ValueError(f"zone {sorted(unknown)[0]!r} of {given['name']} is not one of this controller's")
         zones = frozenset(map(settings.zones.index, given["zone"])) if given.get("zone") else None
         groups.append(
-            say.TrafficGroup(
+            TrafficGroup(
                 given["name"],
                 float(given.get("utility", 1)),
                 given["latency-budget"],
                 given["expiry"],
-                say.Repeats(given["repeats"]),
+                RetrySafety(given["repeats"]),
                 given.get("dedup-reach", "all"),
                 given.get("dedup-window", 0),
                 zones,
@@ -73,11 +76,11 @@
     return start._replace(
         groups=tuple(groups),
         channel=start.channel._replace(
-            lines_per_s=float(channel.get("pace", 1000)), most_waiting=float(channel.get("most-waiting", 2000))
+            lines_per_second=float(channel.get("pace", 1000)), max_queued_lines=float(channel.get("most-waiting", 2000))
         ),
-        guards=start.guards._replace(
+        safety=start.safety._replace(
             drain_grace=guards.get("drain-grace", 20_000), unserved_limit=guards.get("unserved-limit", 30_000),
-            cold_time=guards.get("cold-time", 150_000), overload_factor=float(guards.get("overload-factor", 3)),
+            warmup_time=guards.get("cold-time", 150_000), overload_factor=float(guards.get("overload-factor", 3)),
         ),
     )  # fmt: skip
 
--- a/onyxhead/controller/daemon.py
+++ b/onyxhead/controller/daemon.py
@@ -16,7 +16,6 @@
 
 import structlog
 
-import onyxhead.interface as say
 from onyxhead.controller import discovery, roster, sums, ways
 from onyxhead.controller.alliance import Alliance
 from onyxhead.controller.clock import Clock
@@ -33,6 +32,8 @@
 from onyxhead.http.server import Server
 from onyxhead.keys.rotate import Keys, Peer, peer_of
 from onyxhead.operate.standing import Backend, Command, Odd, Standing, held_out, selected
+from onyxhead.policy.decisions import AdmissionLevel, Decision, TableAssignment, TableChange, Withdrawal
+from onyxhead.policy.inputs import Deployment
 from onyxhead.series.courses import Courses
 from onyxhead.series.courses import Unknown as Missing
 from onyxhead.settings.load import Controller
@@ -106,7 +107,7 @@
         self.reception = Reception(self, settings.intake) if settings.intake is not None else None
         self._remember()
 
-    def _house(self, start: say.Deployment, epoch: int, numbers: dict[str, int], history: History) -> House:
+    def _house(self, start: Deployment, epoch: int, numbers: dict[str, int], history: History) -> House:
         settings, names = self.settings, tuple(group.name for group in start.groups)
         seed = settings.seed + epoch
         now = self.clock.now()
@@ -134,7 +135,7 @@
             return
         self.house.list_heard(now, news)
         self.list_heard_at = known.heard
-        grace = self.settings.start.guards.drain_grace / TENTHS
+        grace = self.settings.start.safety.drain_grace / TENTHS
         recent = [b for b, at in known.withdrawn.items() if time.time() - at < max(60.0, 10 * grace)]
         self.house.withdrawn_before(now, sorted(recent))
         log.info(
@@ -224,8 +225,8 @@
             if self.desk is not None:
                 self.desk.tell("orders-sent", {"turn": step.turn, "cause": step.causes})
             for decision in step.decisions:
-                if isinstance(decision, say.Shutout):
-                    self.store.withdrew(decision.backend, decision.shut)
+                if isinstance(decision, Withdrawal):
+                    self.store.withdrew(decision.backend, decision.withdrawn)
         self._keep_versions()
         for cut in work.cuts:
             log.warning("stream given up", proxy=cut.name, why=cut.why)
@@ -260,7 +261,7 @@
         else:
             assert given.server is not None
             heard = discovery.ask_server(given.server, given.every, self.settings.name)
-        last, asked = "", self.settings.start.must_subscribe
+        last, asked = "", self.settings.start.subscription_required
         if asked:
             await self.subscribed.wait()
         async for body in heard:
@@ -310,7 +311,7 @@
 
     def facts(self) -> Facts:
         """What is known now of the fleet, as discovery lists it: operators' own drains are the caller's to count."""
-        now, cold = self.clock.now(), self.house.start.guards.cold_time
+        now, cold = self.clock.now(), self.house.start.safety.warmup_time
         backends = tuple(
             effects.Backend(
                 entry.id, entry.zone, entry.state == "ready",
@@ -319,7 +320,7 @@
             for entry in (self.raw.entries if self.raw else ())
         )  # fmt: skip
         channel = self.house.channel
-        return Facts(backends, len(self.house.joined), channel.waiting, channel.limits.head)
+        return Facts(backends, len(self.house.joined), channel.waiting, channel.limits.message_overhead)
 
     def _operate(self, request: Request) -> Response:
         try:
@@ -361,7 +362,7 @@
             backends[name] = {"ready": bool(entry and entry.ready), "out": out}
         return {"backends": backends, "behind": behind}
 
-    def rebuild(self, start: say.Deployment) -> None:
+    def rebuild(self, start: Deployment) -> None:
         """A new start of the module under other settings. Proxies keep their tables and join again, as after a crash:
         their full tables are then paced like any others."""
         epoch = self.store.next_epoch()
@@ -408,7 +409,7 @@
                     line.task.cancel()
                     self._gone(number, line.token, "its keys were replaced")
                     await asyncio.sleep(self.join_time())
-                    while self.house.channel.waiting > self.house.channel.limits.most_waiting / 4:
+                    while self.house.channel.waiting > self.house.channel.limits.max_queued_lines / 4:
                         await asyncio.sleep(0.01)
 
     def end_stream(self, proxy: str, why: str) -> None:
@@ -421,7 +422,7 @@
     def join_time(self) -> float:
         """Seconds that the channel takes for one proxy's full tables."""
         limits, tables = self.house.channel.limits, self.house.books.tables.values()
-        return (limits.head + 2 + sum(len(lines) + 1 for lines in tables)) / limits.lines_per_s
+        return (limits.message_overhead + 2 + sum(len(lines) + 1 for lines in tables)) / limits.lines_per_second
 
     # Proxies
 
@@ -598,7 +599,7 @@
             return problem(507, str(error))
         token = f"{self.settings.name}.{secrets.token_hex(8)}"
         self.start(self._proxy(who, address, token, fence, beat), vital=False)
-        every = self.settings.start.report_every / TENTHS
+        every = self.settings.start.report_interval / TENTHS
         told = {"stream": token, "token": fence, "controller": self.settings.name, "report_every": every}
         return answer(200, told)
 
@@ -655,15 +656,15 @@
     return peer is not None and (request.method == "GET" or peer.role in ("operator", "controller"))
 
 
-def _told(decision: say.Decision) -> list[Any] | None:
+def _told(decision: Decision) -> list[Any] | None:
     """A decision for logs and the journal; what only concerns the host is left out."""
     match decision:
-        case say.Shutout(backend, shut):
+        case Withdrawal(backend, shut):
             return ["withdraw" if shut else "readmit", backend]
-        case say.TableChange(table, lines):
+        case TableChange(table, lines):
             return ["lines", table, {backend: round(weight, 6) for backend, weight in lines}]
-        case say.Admission(table, groups, level, tries):
+        case AdmissionLevel(table, groups, level, tries):
             return ["level", table, list(groups), round(level, 4), tries]
-        case say.Assignment(proxy, table, groups):
+        case TableAssignment(proxy, table, groups):
             return ["assign", proxy, table, list(groups)]
     return None
--- a/onyxhead/controller/house.py
+++ b/onyxhead/controller/house.py
@@ -11,14 +11,22 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-import onyxhead.interface as say
-from onyxhead.brain import Brain
 from onyxhead.controller.channel import Channel, Overfull, Sent
 from onyxhead.controller.door import Door
 from onyxhead.controller.roster import Followed
 from onyxhead.controller.sums import Gate, Gathered, Report
 from onyxhead.fleet.budget import Budget, Life, Loan, Strain
 from onyxhead.intake.picture import Picture
+from onyxhead.policy.balancer import BalancingPolicy
+from onyxhead.policy.decisions import (
+    AcknowledgementRequest,
+    Decision,
+    HealthCheckRequest,
+    LogMessage,
+    SubscribeToEndpoints,
+    WakeUp,
+)
+from onyxhead.policy.inputs import Deployment, Endpoint, HealthCheckResult, LoadReport, WatchEvent
 from onyxhead.tables.canary import Canary, Verdict, chosen
 from onyxhead.tables.history import Back, History, Key, Pin, Refused, Truth, Unknown, Version, plan
 from onyxhead.tables.orders import Books, Hold, Message
@@ -53,7 +61,7 @@
     """One pull of the module that sent something: its turn, what it decided, and what had been heard before."""
 
     turn: int
-    decisions: list[say.Decision]
+    decisions: list[Decision]
     causes: list[str]
 
 
@@ -80,7 +88,7 @@
 
     def __init__(
         self,
-        start: say.Deployment,
+        start: Deployment,
         groups: tuple[str, ...],
         zones: tuple[str, ...],
         seed: int,
@@ -91,15 +99,15 @@
         history: History | None = None,
     ) -> None:
         self.start, self.groups, self.zones, self.epoch = start, groups, zones, epoch
-        self.brain = Brain(start, seed, now)
-        self.books = Books(groups, start.throttle, start.channel.head)
+        self.brain = BalancingPolicy(start, seed, now)
+        self.books = Books(groups, start.admission_mode, start.channel.message_overhead)
         self.channel: Channel[Message] = Channel(start.channel, patience)
         self.door, self.gate, self.gathered = Door(), Gate(), Gathered()
         self.numbers = dict(numbers or {})
         self.joined: dict[int, Joined] = {}
         self.applied: dict[int, tuple[int, str]] = {}
         self.by_address: dict[str, str] = {}
-        self.listed: dict[str, say.Listed] = {}
+        self.listed: dict[str, Endpoint] = {}
         self.causes: list[str] = []
         self.work = Work()
         self.wake_at = self.tell_at = now
@@ -126,7 +134,7 @@
             # Lines name the address they were sent with: another one is another process, to be let in anew.
             if known is not None and known.address != place.address and backend in self.listed:
                 gone = self.listed[backend]._replace(ready=False, draining=False)
-                self.brain.learn_list(now, say.News.CHANGES, [gone])
+                self.brain.on_endpoint_update(now, WatchEvent.DELTA, [gone])
                 self._cause(f"backend {backend} moved from {known.address} to {place.address}")
                 self._decide(now)
             self.books.places[backend] = place
@@ -134,19 +142,19 @@
         self.listed |= {entry.backend: entry for entry in news.listed}
         serving = [entry for entry in self.listed.values() if entry.ready or entry.draining]
         self.picture.listed({entry.backend: str(entry.kind) for entry in serving})
-        self.brain.learn_list(now, news.kind, news.listed)
-        self._cause(f"list: {len(news.listed)} {'entries' if news.kind is say.News.WHOLE else 'changes'}")
+        self.brain.on_endpoint_update(now, news.kind, news.listed)
+        self._cause(f"list: {len(news.listed)} {'entries' if news.kind is WatchEvent.SNAPSHOT else 'changes'}")
 
     def list_refused(self, now: int) -> None:
-        self.brain.learn_list(now, say.News.REFUSED, [])
+        self.brain.on_endpoint_update(now, WatchEvent.REJECTED, [])
         self._cause("discovery refused")
 
     def withdrawn_before(self, now: int, backends: Iterable[str]) -> None:
         """Backends that an earlier life had withdrawn and the list no longer names: proxies may still hold them."""
-        gone = [say.Listed(b, 0, 0, False, False, 1.0, 0) for b in backends if b not in self.listed]
+        gone = [Endpoint(b, 0, 0, False, False, 1.0, 0) for b in backends if b not in self.listed]
         if gone:
             self.listed |= {entry.backend: entry for entry in gone}
-            self.brain.learn_list(now, say.News.CHANGES, gone)
+            self.brain.on_endpoint_update(now, WatchEvent.DELTA, gone)
 
     def number(self, name: str) -> int:
         """The proxy's number. Raises OverflowError when there are none left."""
@@ -167,7 +175,7 @@
         self.joined[number] = Joined(who.name, zone, now)
         self.channel.join(number)
         self.books.join(number, who.held)
-        self.brain.proxy_joined(now, number, zone, who.usual, who.standing)
+        self.brain.on_proxy_joined(now, number, zone, who.usual, who.standing)
         self.counts["joins"] += 1
         self._cause(f"{who.name} joined")
         return number
@@ -179,7 +187,7 @@
         self.channel.leave(proxy)
         self.books.leave(proxy)
         self.applied.pop(proxy, None)
-        self.brain.proxy_left(now, proxy)
+        self.brain.on_proxy_left(now, proxy)
         self.counts["breaks"] += 1
         self.picture.left(known.name)
         self._cause(f"{known.name} left{': ' + why if why else ''}")
@@ -194,7 +202,7 @@
         if not message.turn:
             return
         self.applied[proxy] = (message.turn, tag)
-        self.brain.turn_applied(now, proxy, message.turn, now - ordered)
+        self.brain.on_acknowledgement(now, proxy, message.turn, now - ordered)
         self._cause(f"{self.joined[proxy].name} applied {message.turn}")
 
     def fault(self, now: int, proxy: int, why: str) -> None:
@@ -217,22 +225,22 @@
         zone = self.joined[proxy].zone
         self.gathered.add(zone, proxy, report, self.by_address, self.group_numbers)
         # What was counted before the trial's lines were in force says nothing about them.
-        if self.canary is not None and now - self.canary.since > 2 * self.start.report_every:
+        if self.canary is not None and now - self.canary.since > 2 * self.start.report_interval:
             met = report.met.values()
             self.canary.count(name, sum(each.tries for each in met), sum(each.bad for each in met))
         return True
 
-    def probed(self, now: int, backend: str, sight: say.Sight, load: say.Load) -> None:
-        self.brain.learn_probe(now, backend, sight, load)
+    def probed(self, now: int, backend: str, sight: HealthCheckResult, load: LoadReport) -> None:
+        self.brain.on_health_check(now, backend, sight, load)
 
     def shared(self, now: int, budget: Budget) -> list[Loan]:
         """Rule 4's budget among controllers: tells it what is cold here, lends, and tells the module its shares. Raises
         what `budget.keep` does; the module's shares are then as they were."""
-        found = self.brain.cold(now)
+        found = self.brain.warming_backends(now)
         budget.strained({Life(name, started): Strain(usual, asked) for name, started, usual, asked in found})
         made = budget.lend()
         for name, started, _, _ in found:
-            self.brain.learn_share(now, name, budget.share(Life(name, started)))
+            self.brain.on_budget_share(now, name, budget.share(Life(name, started)))
         return made
 
     # What is decided
@@ -240,22 +248,22 @@
     def act(self, now: int) -> Work:
         """One step: sums that are due are told, the module decides, messages whose time has come leave."""
         if now >= self.tell_at:
-            self.tell_at = now + self.start.report_every
+            self.tell_at = now + self.start.report_interval
             met, flows = self.gathered.tell()
             for zone, backend, own, load in met:
                 mean = round(own.time / (own.tries - own.bad)) if own.tries > own.bad else 0
-                span = own.span or self.start.report_every
+                span = own.span or self.start.report_interval
                 self.picture.met(now, backend, own.tries, own.bad, mean / 10, span, span // 2)
                 # A word that agrees with what proxies met, and is young, tells more than the last answer's header.
                 if (busy := self.picture.busy(now, backend)) is not None:
-                    load = load._replace(busy=busy)
+                    load = load._replace(utilization=busy)
                 if (latency := self.picture.latency(now, backend)) is not None:
                     load = load._replace(latency=latency)
-                self.brain.learn_tries(now, backend, zone, own.tries, own.bad, mean, span, load)
+                self.brain.on_attempt_statistics(now, backend, zone, own.tries, own.bad, mean, span, load)
             for proxy, group, came, span in flows:
                 if span > 0 and proxy in self.joined:
                     self.picture.came(now, self.joined[proxy].name, self.groups[group], came * 10_000 / span)
-                self.brain.learn_intake(now, proxy, group, came, span)
+                self.brain.on_request_rate(now, proxy, group, came, span)
         self._decide(now)
         if self.pin is not None and now >= self.pin.until:
             self.release(now, "its time is over")
@@ -275,15 +283,15 @@
         decisions, turn, work = list(self.brain.decisions(now)), 0, self.work
         for decision in decisions:
             match decision:
-                case say.TurnMark(marked, _):
+                case AcknowledgementRequest(marked, _):
                     turn = marked
-                case say.Probe(backend) if backend in self.books.places:
+                case HealthCheckRequest(backend) if backend in self.books.places:
                     work.probes.append((backend, self.books.places[backend].address))
-                case say.Wakeup(after):
+                case WakeUp(after):
                     self.wake_at = now + after
-                case say.Subscribe():
+                case SubscribeToEndpoints():
                     work.subscribe = True
-                case say.Remark(text):
+                case LogMessage(text):
                     work.remarks.append(text)
         # Also with no one to tell: lines decided while no proxy is joined are what the first to join must get.
         reached = set()
@@ -292,7 +300,7 @@
             self._send(now, message)
         # While tables are held some get no message; the module must not wait for answers that can't come.
         for proxy in [proxy for proxy in self.brain.spent if turn and proxy not in reached]:
-            self.brain.turn_applied(now, proxy, turn, 0)
+            self.brain.on_acknowledgement(now, proxy, turn, 0)
         self._remember(now, ", ".join(self.causes) or "time")
         if turn:
             work.steps.append(Step(turn, decisions, self.causes))
@@ -312,19 +320,19 @@
 
     def truth(self, now: int) -> Truth:
         """Backends that are ready, and since when each is warm."""
-        cold = self.start.guards.cold_time
+        cold = self.start.safety.warmup_time
         found: dict[str, int | None] = {}
         for name, entry in self.listed.items():
             if entry.ready:
-                warm = entry.started + cold if entry.started else 0
-                found[name] = (entry.started if warm <= now else None) if entry.started else 0
+                warm = entry.started_at + cold if entry.started_at else 0
+                found[name] = (entry.started_at if warm <= now else None) if entry.started_at else 0
         return Truth(found)
 
     def preview(self, now: int, name: str) -> tuple[Back, float]:
         """What going back would do, and the seconds that the channel takes. Raises Refused, Unknown."""
         back = plan(self.history.find(name), self.books.wanted, self.books.sent(), self.truth(now))
         users = max((len(users) for users in self.books.users.values()), default=0)
-        return back, users * (back.changes + self.books.head + 1) / self.start.channel.lines_per_s
+        return back, users * (back.changes + self.books.head + 1) / self.start.channel.lines_per_second
 
     def roll_back(self, now: int, name: str, seconds: float) -> tuple[Back, float]:
         """Holds the tables as in a version for so long; returns what `preview` does. Withdrawals and levels go on.
@@ -396,7 +404,7 @@
         self._judge_trial(now)
         if self.pin is None and self.canary is None and not self.unsettled:
             return
-        room = SETTLE_SHARE * self.channel.limits.most_waiting - self.channel.waiting
+        room = SETTLE_SHARE * self.channel.limits.max_queued_lines - self.channel.waiting
         for message in self.books.settle(room):
             self._send(now, message)
         left = self.books.unsettled()
@@ -434,7 +442,7 @@
             "now": now,
             "channel": {
                 "waiting": round(self.channel.waiting, 1),
-                "most": self.channel.limits.most_waiting,
+                "most": self.channel.limits.max_queued_lines,
                 "peak": round(self.channel.peak, 1),
             },
             "version": self.history.last.number,
--- a/onyxhead/controller/probe.py
+++ b/onyxhead/controller/probe.py
@@ -8,7 +8,7 @@
 
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Fault, Request
-from onyxhead.interface import Load, Sight
+from onyxhead.policy.inputs import HealthCheckResult, LoadReport
 from onyxhead.tables.view import address_parts
 
 LOAD_REPORT = "endpoint-load-metrics"
@@ -18,17 +18,17 @@
 MOST_LATENCY_MS = 600_000.0
 
 
-async def look(address: str, path: str, timeout: float) -> tuple[Sight, Load]:
+async def look(address: str, path: str, timeout: float) -> tuple[HealthCheckResult, LoadReport]:
     """What a health request met, and what the backend told of its load."""
     try:
         response = await ask_once(address_parts(address), Request("GET", path), timeout)
     except TimeoutError:
-        return Sight.SILENT, Load()
+        return HealthCheckResult.TIMED_OUT, LoadReport()
     except (OSError, Fault):
-        return Sight.OUT_OF_REACH, Load()
-    sight = Sight.SERVED if 200 <= response.status < 300 else Sight.NO_ROOM
+        return HealthCheckResult.UNREACHABLE, LoadReport()
+    sight = HealthCheckResult.HEALTHY if 200 <= response.status < 300 else HealthCheckResult.REJECTED
     report = load_report(response.headers)
-    return sight, Load(busy_share(report), latency(report))
+    return sight, LoadReport(busy_share(report), latency(report))
 
 
 def load_report(headers: Mapping[str, str]) -> dict[str, float]:
--- a/onyxhead/controller/roster.py
+++ b/onyxhead/controller/roster.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-import onyxhead.interface as say
+from onyxhead.policy.inputs import Endpoint, WatchEvent
 from onyxhead.tables.orders import Place
 from onyxhead.tables.view import Malformed, address_parts
 
@@ -90,8 +90,8 @@
 class Followed(NamedTuple):
     """What a list changes: entries for the module, places for the books, and what an operator should read."""
 
-    kind: say.News
-    listed: list[say.Listed]
+    kind: WatchEvent
+    listed: list[Endpoint]
     places: dict[str, Place]
     notes: list[str]
 
@@ -108,7 +108,7 @@
         """The last list from disk, at a start."""
         self.last = roster
         listed, notes = self._listed(roster.entries)
-        return Followed(say.News.REMEMBERED, listed, _places(roster.entries), notes)
+        return Followed(WatchEvent.CACHED, listed, _places(roster.entries), notes)
 
     def follow(self, roster: Roster) -> Followed | None:
         """A list just read; None if it says nothing new. Raises Unlisted for one older than what is known."""
@@ -126,12 +126,14 @@
         fresh = set() if first else {e.id for e in changed if _new(before.get(e.id), e)}
         listed, notes = self._listed(roster.entries if first else changed)
         # With no start told, one that was not there before has most likely just started, and bears little.
-        listed = [e._replace(started=self.now()) if e.backend in fresh else e for e in listed]
+        listed = [e._replace(started_at=self.now()) if e.backend in fresh else e for e in listed]
         left, more = self._listed(sorted(gone))
         listed += [entry._replace(ready=False, draining=False) for entry in left]
-        return Followed(say.News.WHOLE if first else say.News.CHANGES, listed, _places(roster.entries), notes + more)
+        return Followed(
+            WatchEvent.SNAPSHOT if first else WatchEvent.DELTA, listed, _places(roster.entries), notes + more
+        )
 
-    def _listed(self, entries: tuple[Entry, ...] | list[Entry]) -> tuple[list[say.Listed], list[str]]:
+    def _listed(self, entries: tuple[Entry, ...] | list[Entry]) -> tuple[list[Endpoint], list[str]]:
         listed, notes = [], []
         for entry in entries:
             if entry.zone not in self.zones:
@@ -140,7 +142,7 @@
             kind = self.kinds.setdefault(entry.kind, len(self.kinds))
             started = self.of_wall(entry.started) if entry.started else 0
             zone, ready = self.zones.index(entry.zone), entry.state == "ready"
-            listed.append(say.Listed(entry.id, zone, kind, ready, not ready, entry.weight, started))
+            listed.append(Endpoint(entry.id, zone, kind, ready, not ready, entry.weight, started))
         return listed, notes
 
 
--- a/onyxhead/controller/sums.py
+++ b/onyxhead/controller/sums.py
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from typing import Any, NamedTuple
 
-import onyxhead.interface as say
+from onyxhead.policy.inputs import LoadReport
 
 MOST_SEEN = 64
 MOST_TRIES = 10_000_000
@@ -155,9 +155,9 @@
                 known, before = self.flows.get((proxy, groups[name]), (0, 0))
                 self.flows[proxy, groups[name]] = (known + came, before + span)
 
-    def tell(self) -> tuple[list[tuple[int, str, Met, say.Load]], list[tuple[int, int, int, int]]]:
+    def tell(self) -> tuple[list[tuple[int, str, Met, LoadReport]], list[tuple[int, int, int, int]]]:
         """Tries by zone and backend, and flows by proxy and group, in a fixed order; then it is empty."""
-        met = [(zone, b, own, say.Load(own.busy)) for (zone, b), own in sorted(self.met.items())]
+        met = [(zone, b, own, LoadReport(own.busy)) for (zone, b), own in sorted(self.met.items())]
         flows = [(proxy, group, came, span) for (proxy, group), (came, span) in sorted(self.flows.items())]
         self.met, self.flows = {}, {}
         return met, flows
--- a/onyxhead/fronts/streams/messages.py
+++ b/onyxhead/fronts/streams/messages.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from onyxhead.fronts.streams.resp import Words
-from onyxhead.interface import Load
+from onyxhead.policy.inputs import LoadReport
 from onyxhead.settings.instance import TENTHS_IN_MS, load
 
 MOST_COUNT = 10_000_000
@@ -139,7 +139,7 @@
         raise InvalidMessage(f"server {backend[:32]!r} was never listed")
     zone, tries = _named(fields, b"zone", known.zones), _count(fields, b"tries", MOST_COUNT)
     bad, mean = _count(fields, b"failed", tries), _tenths(fields, b"mean_ms")
-    told = load_told(fields[b"load"]) if b"load" in fields else Load()
+    told = load_told(fields[b"load"]) if b"load" in fields else LoadReport()
     return Said.TRIES, (backend, zone, tries, bad, mean, _tenths(fields, b"span_ms"), told)
 
 
@@ -159,7 +159,7 @@
 }
 
 
-def load_told(text: bytes, between: bytes = b":") -> Load:
+def load_told(text: bytes, between: bytes = b":") -> LoadReport:
     """A load report of `name:value` pairs (on probes `name=value`). Raises InvalidMessage."""
     told: dict[str, float] = {}
     for pair in text.split(b",") if text else ():
--- a/onyxhead/node/host.py
+++ b/onyxhead/node/host.py
@@ -10,9 +10,21 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-import onyxhead.interface as say
-from onyxhead.brain import Brain
 from onyxhead.fronts.streams.orders import Level, Orders, Rows
+from onyxhead.policy.balancer import BalancingPolicy
+from onyxhead.policy.decisions import (
+    AcknowledgementRequest,
+    AdmissionLevel,
+    Decision,
+    HealthCheckRequest,
+    LogMessage,
+    SubscribeToEndpoints,
+    TableAssignment,
+    TableChange,
+    WakeUp,
+    Withdrawal,
+)
+from onyxhead.policy.inputs import Deployment, Endpoint, HealthCheckResult, LoadReport, WatchEvent
 
 MOST_UNANSWERED = 256
 """Turns of one stream that may still be answered; older answers are no longer told apart from made-up ones."""
@@ -59,42 +71,42 @@
 
 
 class Host:
-    def __init__(self, start: say.Deployment, seed: int, now: int) -> None:
-        self.brain = Brain(start, seed, now)
+    def __init__(self, start: Deployment, seed: int, now: int) -> None:
+        self.brain = BalancingPolicy(start, seed, now)
         self.tables: dict[int, dict[str, float]] = {}
         self.levels: dict[int, dict[tuple[int, ...], Level]] = {}
         self.shut: dict[str, None] = {}
         self.joined: dict[int, Joined] = {}
         # Every backend listed since the start, as it was last; a proxy keeps shut-outs across streams, so one that is
         # ready again may still be shut out at a proxy that missed its return.
-        self.listed: dict[str, say.Listed] = {}
+        self.listed: dict[str, Endpoint] = {}
         self.returned: set[str] = set()
         self.passed = 0  # when the latest turn that anyone has answered was ordered
         self.counts: Counter[str] = Counter()
 
     # What is heard
 
-    def list_heard(self, now: int, news: say.News, entries: list[say.Listed]) -> None:
+    def list_heard(self, now: int, news: WatchEvent, entries: list[Endpoint]) -> None:
         named = {entry.backend for entry in entries}
         for entry in entries:
             before = self.listed.pop(entry.backend, None)
             # Only what was seen to go and come: after a deploy nearly all have started lately, and a line for each at
             # every joining took a quarter of the channel just when tables had to go out.
-            if entry.ready and before is not None and (not before.ready or before.started != entry.started):
+            if entry.ready and before is not None and (not before.ready or before.started_at != entry.started_at):
                 self.returned.add(entry.backend)
             self.listed[entry.backend] = entry
-        if news is say.News.WHOLE:
+        if news is WatchEvent.SNAPSHOT:
             for name in [name for name, entry in self.listed.items() if name not in named and entry.ready]:
                 self.listed[name] = self.listed[name]._replace(ready=False, draining=False)
         self.returned = {name for name in self.returned if self.listed[name].ready}
-        self.brain.learn_list(now, news, entries)
+        self.brain.on_endpoint_update(now, news, entries)
         if len(self.listed) > MOST_NAMES:
             for name in [name for name, entry in self.listed.items() if not entry.ready][: len(self.listed) // 2]:
                 del self.listed[name]
                 self.shut.pop(name, None)
 
     def list_refused(self, now: int) -> None:
-        self.brain.learn_list(now, say.News.REFUSED, [])
+        self.brain.on_endpoint_update(now, WatchEvent.REJECTED, [])
 
     def joins(self, now: int, proxy: int, zone: int, usual: float, standing: bool, stream: Hashable) -> None:
         """A stream of this proxy stands; an earlier one is over, whether its end was seen or not."""
@@ -102,7 +114,7 @@
             self.counts["replaced"] += 1
             self._leave(now, proxy)
         self.joined[proxy] = Joined(stream, zone, usual, now)
-        self.brain.proxy_joined(now, proxy, zone, usual, standing)
+        self.brain.on_proxy_joined(now, proxy, zone, usual, standing)
         self.counts["joins"] += 1
 
     def _on(self, proxy: int, stream: Hashable) -> Joined | None:
@@ -120,7 +132,7 @@
 
     def _leave(self, now: int, proxy: int) -> None:
         if not self.joined.pop(proxy).silent:
-            self.brain.proxy_left(now, proxy)
+            self.brain.on_proxy_left(now, proxy)
 
     def alive(self, now: int, proxy: int, stream: Hashable) -> None:
         """Something was heard on this stream."""
@@ -131,7 +143,7 @@
             # It was taken as gone, and what it holds is no longer known: the module begins with it anew.
             known.silent, known.bound = False, {}
             known.turns.clear()
-            self.brain.proxy_joined(now, proxy, known.zone, known.usual, False)
+            self.brain.on_proxy_joined(now, proxy, known.zone, known.usual, False)
             self.counts["spoke again"] += 1
 
     def applied(self, now: int, proxy: int, stream: Hashable, turn: int, took: int) -> bool:
@@ -145,19 +157,19 @@
             if asked == turn:
                 break
         self.passed = max(self.passed, ordered)
-        self.brain.turn_applied(now, proxy, turn, took)
+        self.brain.on_acknowledgement(now, proxy, turn, took)
         return True
 
     def tries(
-        self, now: int, backend: str, zone: int, tries: int, bad: int, mean: int, span: int, load: say.Load
+        self, now: int, backend: str, zone: int, tries: int, bad: int, mean: int, span: int, load: LoadReport
     ) -> None:
-        self.brain.learn_tries(now, backend, zone, tries, bad, mean, span, load)
+        self.brain.on_attempt_statistics(now, backend, zone, tries, bad, mean, span, load)
 
     def flows(self, now: int, proxy: int, group: int, came: int, bad: int, span: int) -> None:
-        self.brain.learn_intake(now, proxy, group, came, span)
+        self.brain.on_request_rate(now, proxy, group, came, span)
 
-    def probed(self, now: int, backend: str, sight: say.Sight, load: say.Load) -> None:
-        self.brain.learn_probe(now, backend, sight, load)
+    def probed(self, now: int, backend: str, sight: HealthCheckResult, load: LoadReport) -> None:
+        self.brain.on_health_check(now, backend, sight, load)
 
     def detect_silent(self, now: int) -> list[int]:
         """Proxies whose streams have just fallen silent: they owe an answer that the channel, which is in order, has
@@ -173,7 +185,7 @@
         ]
         for proxy in found:
             self.joined[proxy].silent, self.joined[proxy].bound = True, {}
-            self.brain.proxy_left(now, proxy)
+            self.brain.on_proxy_left(now, proxy)
             self.counts["silent"] += 1
         return found
 
@@ -207,36 +219,36 @@
         return effects
 
     def _carry(
-        self, decision: say.Decision, effects: Effects, updates: dict[int, PendingUpdate], returning: list[str]
+        self, decision: Decision, effects: Effects, updates: dict[int, PendingUpdate], returning: list[str]
     ) -> int:
         """Books one decision; returns the turn if it is a turn mark."""
         match decision:
-            case say.Shutout(backend, shut):
+            case Withdrawal(backend, shut):
                 self._shut_out(backend, shut, updates)
                 if not shut:
                     returning.append(backend)
-            case say.TableChange(table, lines):
+            case TableChange(table, lines):
                 self._change(table, lines, updates)
-            case say.Admission(table, groups, level, tries):
+            case AdmissionLevel(table, groups, level, tries):
                 own = Level(groups, level, tries)
                 self.levels.setdefault(table, {})[groups] = own
                 for proxy in self._users(table):
                     updates.setdefault(proxy, PendingUpdate()).levels.append(own)
-            case say.Assignment(proxy, table, groups) if proxy in self.joined:
+            case TableAssignment(proxy, table, groups) if proxy in self.joined:
                 self._bind(proxy, table, groups, updates.setdefault(proxy, PendingUpdate()))
-            case say.TurnMark(turn, _):
+            case AcknowledgementRequest(turn, _):
                 # Whoever the module counts a message for gets one, also where it only asks for an answer.
                 for proxy in self.brain.spent:
                     if proxy in self.joined:
                         updates.setdefault(proxy, PendingUpdate())
                 return turn
-            case say.Probe(backend):
+            case HealthCheckRequest(backend):
                 effects.probes.append(backend)
-            case say.Wakeup(after):
+            case WakeUp(after):
                 effects.wake = after
-            case say.Subscribe():
+            case SubscribeToEndpoints():
                 effects.subscribe = True
-            case say.Remark(text):
+            case LogMessage(text):
                 effects.remarks.append(text)
         return 0
 
--- a/onyxhead/node/listing.py
+++ b/onyxhead/node/listing.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-import onyxhead.interface as say
+from onyxhead.policy.inputs import Endpoint
 
 STATES = {"SERVING": (True, False), "DRAINING": (False, True), "DELETED": (False, False)}
 MOST_WEIGHT = 1e6
@@ -22,7 +22,7 @@
 class Listing(NamedTuple):
     revision: int
     whole: bool
-    entries: list[say.Listed]
+    entries: list[Endpoint]
     places: dict[str, tuple[str, int]]
 
 
@@ -64,7 +64,7 @@
     return Listing(revision, whole, entries, places)
 
 
-def _entry(member: dict[str, Any], names: Names) -> tuple[say.Listed, tuple[str, int]]:
+def _entry(member: dict[str, Any], names: Names) -> tuple[Endpoint, tuple[str, int]]:
     name, since, weight = member["id"], member.get("up_since_ms", 0), member.get("size", 1.0)
     if not isinstance(name, str) or not name or ODD & set(name):
         raise ValueError(f"id {name!r}")
@@ -78,4 +78,4 @@
     kind = names.kinds.setdefault(str(member.get("flavor", "")), len(names.kinds))
     started = names.of_wall(since / 1000) if since else 0
     zone = names.zones[member["locality"]]
-    return say.Listed(name, zone, kind, ready, draining, float(weight), started), (host, int(port))
+    return Endpoint(name, zone, kind, ready, draining, float(weight), started), (host, int(port))
--- a/onyxhead/node/probes.py
+++ b/onyxhead/node/probes.py
@@ -8,7 +8,7 @@
 from onyxhead.fronts.streams.messages import InvalidMessage, load_told
 from onyxhead.http.client import Connection
 from onyxhead.http.messages import Fault, Request
-from onyxhead.interface import Load, Sight
+from onyxhead.policy.inputs import HealthCheckResult, LoadReport
 
 AT_ONCE = 16
 TIMEOUT = 0.5
@@ -17,28 +17,28 @@
 MOST_REPORT = 4096
 
 
-async def look(address: tuple[str, int], path: str, timeout: float = TIMEOUT) -> tuple[Sight, Load]:
+async def look(address: tuple[str, int], path: str, timeout: float = TIMEOUT) -> tuple[HealthCheckResult, LoadReport]:
     """What a look met, and what the backend told of its load."""
     try:
         async with asyncio.timeout(timeout):
             async with await Connection.open(*address) as connection:
                 response = await connection.ask(Request("GET", path), MOST_REPORT)
     except TimeoutError:
-        return Sight.SILENT, Load()
+        return HealthCheckResult.TIMED_OUT, LoadReport()
     except (OSError, Fault):
-        return Sight.OUT_OF_REACH, Load()
+        return HealthCheckResult.UNREACHABLE, LoadReport()
     if response.status != 200:
-        return Sight.NO_ROOM, Load()
+        return HealthCheckResult.REJECTED, LoadReport()
     try:
-        return Sight.SERVED, load_told(response.body.strip(), b"=") if path == "/load" else Load()
+        return HealthCheckResult.HEALTHY, load_told(response.body.strip(), b"=") if path == "/load" else LoadReport()
     except InvalidMessage:
-        return Sight.SERVED, Load()
+        return HealthCheckResult.HEALTHY, LoadReport()
 
 
 class Probes:
     """Runs the looks that the module orders, each backend once at a time, so many in all."""
 
-    def __init__(self, path: str, seen: Callable[[str, Hashable, Sight, Load], None]) -> None:
+    def __init__(self, path: str, seen: Callable[[str, Hashable, HealthCheckResult, LoadReport], None]) -> None:
         self.path, self.seen = path, seen
         self.room = asyncio.Semaphore(AT_ONCE)
         self.running: dict[str, asyncio.Task[None]] = {}
--- a/onyxhead/node/serve.py
+++ b/onyxhead/node/serve.py
@@ -11,7 +11,6 @@
 from pathlib import Path
 from typing import Any
 
-import onyxhead.interface as say
 from onyxhead.controller.clock import Clock
 from onyxhead.fronts.streams.messages import InvalidMessage, Known, Said, read
 from onyxhead.fronts.streams.orders import ALIVE, Encoder, rejected
@@ -23,6 +22,7 @@
 from onyxhead.node.listing import InvalidListing, Listing, Names, listing
 from onyxhead.node.notes import Notes
 from onyxhead.node.probes import AT_ONCE, Probes
+from onyxhead.policy.inputs import HealthCheckResult, LoadReport, WatchEvent
 
 TENTHS = 10_000
 ASIDE = AT_ONCE + 16
@@ -45,7 +45,7 @@
         zones = {name: place for place, name in enumerate(given.zones)}
         self.names = Names(zones, {name: place for place, name in enumerate(given.kinds)}, self.clock.of_wall)
         groups = {name: place for place, name in enumerate(given.groups)}
-        self.known = Known(groups, zones, given.deployment.proxies, self.host.listed)
+        self.known = Known(groups, zones, given.deployment.proxy_count, self.host.listed)
         self.encoder = Encoder(given.groups)
         self.listener = Listener(given.sockets - ASIDE, self.heard, self.ended, rejected)
         self.proxies: dict[int, Connection] = {}
@@ -69,7 +69,7 @@
             self.loop.add_signal_handler(each, self.over.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         self.notes.say("serving", name=self.given.name, host=host, port=port, sockets=self.given.sockets)
-        if not self.given.deployment.must_subscribe:
+        if not self.given.deployment.subscription_required:
             self._follow()
         self.schedule_round()
         self.loop.set_exception_handler(self._unhandled)
@@ -97,7 +97,7 @@
             self.notes.say("the known list is not used", why=str(error))
             return
         self.places = found.places
-        self.host.list_heard(self.clock.now(), say.News.REMEMBERED, found.entries)
+        self.host.list_heard(self.clock.now(), WatchEvent.CACHED, found.entries)
         self.notes.say("remembered", backends=len(found.entries), revision=found.revision)
 
     def _follow(self) -> None:
@@ -207,7 +207,7 @@
             for entry in found.entries:
                 if not entry.ready and not entry.draining:
                     self.places.pop(entry.backend, None)
-        news = say.News.WHOLE if found.whole else say.News.CHANGES
+        news = WatchEvent.SNAPSHOT if found.whole else WatchEvent.DELTA
         try:
             self.host.list_heard(self.clock.now(), news, found.entries)
         except Exception as error:
@@ -219,16 +219,16 @@
     def discovery_failed(self, why: str) -> None:
         self.counts["discovery failed"] += 1
         self.notes.once("discovery", why)
-        if self.given.deployment.must_subscribe:
+        if self.given.deployment.subscription_required:
             self.host.list_refused(self.clock.now())
             self.schedule_round()
 
     def _life(self, backend: str) -> Hashable:
         """Where a backend is and since when: another one may come under its name while a look is under way."""
         listed = self.host.listed.get(backend)
-        return self.places.get(backend), listed.started if listed else 0
+        return self.places.get(backend), listed.started_at if listed else 0
 
-    def probed(self, backend: str, life: Hashable, sight: say.Sight, load: say.Load) -> None:
+    def probed(self, backend: str, life: Hashable, sight: HealthCheckResult, load: LoadReport) -> None:
         if life != self._life(backend):
             self.counts["probe outlived"] += 1
             return
--- a/onyxhead/node/start.py
+++ b/onyxhead/node/start.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-import onyxhead.interface as say
+from onyxhead.policy.inputs import Deployment
 from onyxhead.settings.instance import NS, Unfit, deployment
 
 Address = tuple[str, int]
@@ -28,7 +28,7 @@
     seed: int
     sockets: int
     known: Any
-    deployment: say.Deployment
+    deployment: Deployment
     groups: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
--- a/onyxhead/brain.py
+++ b/onyxhead/policy/balancer.py
@@ -1,9 +1,9 @@
 """Decides for one controller which backends its proxies use, and with what weight.
 
-A host makes one Brain at the controller's start (`Brain(deployment, seed, now)`), tells it what it hears
-by the methods under "What is heard", which only update what is known, and then pulls `decisions(now)` one by
-one until there is none; one pull leaves as one message for each proxy concerned. The types handed in and out
-are in `onyxhead/interface.py`, the mechanism and its departures in `docs/design.md`."""
+The caller makes one BalancingPolicy when the controller starts, reports events through the `on_...` methods, which only
+update what is known, and then takes `decisions(now)` until there are none; the decisions of one such round leave as one
+message for each proxy concerned. `docs/design.md` describes the mechanism and how it departs from the paper.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +12,27 @@
 from collections import defaultdict, deque
 from collections.abc import Iterator
 
-import onyxhead.interface as say
+from onyxhead.policy.decisions import (
+    AcknowledgementRequest,
+    AdmissionLevel,
+    Decision,
+    HealthCheckRequest,
+    SubscribeToEndpoints,
+    TableAssignment,
+    TableChange,
+    WakeUp,
+    Withdrawal,
+)
+from onyxhead.policy.inputs import (
+    AdmissionMode,
+    Deployment,
+    Endpoint,
+    HealthCheckResult,
+    LoadReport,
+    RetrySafety,
+    TrafficGroup,
+    WatchEvent,
+)
 
 SECOND = 10_000
 UNREACHED = 2  # probes in a row; a single one may meet a full accept queue
@@ -92,11 +112,11 @@
         self.recent = Record()
         self.forget(now)
 
-    def hear_load(self, load: say.Load, pulls: dict[int, float]) -> None:
+    def hear_load(self, load: LoadReport, pulls: dict[int, float]) -> None:
         drawn = self.drawn(pulls)
         self.takes = load.latency if load.latency is not None else self.takes
-        if load.busy is not None and drawn > 0 and max(self.lines.values()) > LEAST_TRUST:
-            self.load = MEMORY * self.load + load.busy
+        if load.utilization is not None and drawn > 0 and max(self.lines.values()) > LEAST_TRUST:
+            self.load = MEMORY * self.load + load.utilization
             self.held = MEMORY * self.held + drawn
 
     def drawn(self, pulls: dict[int, float]) -> float:
@@ -132,40 +152,40 @@
         return self.cell == proxy.cell % self.of and self.home in (None, proxy.zone)
 
 
-class Brain:
-    def __init__(self, start: say.Deployment, seed: int, now: int) -> None:
+class BalancingPolicy:
+    def __init__(self, start: Deployment, seed: int, now: int) -> None:
         self.vary = random.Random(seed).uniform
-        channel, guards = start.channel, start.guards
-        self.head, self.limit, self.transit = channel.head + 1, channel.most_waiting, channel.slowest_transit
-        self.cap, self.cap_span = channel.messages_cap, channel.messages_span
-        self.pace = channel.lines_per_s
+        channel, guards = start.channel, start.safety
+        self.head, self.limit, self.transit = channel.message_overhead + 1, channel.max_queued_lines, channel.max_delay
+        self.cap, self.cap_span = channel.max_messages, channel.message_window
+        self.pace = channel.lines_per_second
         # Whole tables for all proxies, as after the other controllers' deaths, have to fit into the grace.
-        each = self.pace * guards.drain_grace / SECOND / max(1, start.proxies)
+        each = self.pace * guards.drain_grace / SECOND / max(1, start.proxy_count)
         self.width = max(NARROWEST, each - self.head - 1 - len(start.groups))
         self.grace, self.gather = guards.drain_grace, guards.drain_grace // GATHERED
-        self.cold_share, self.cold_time = guards.cold_share, guards.cold_time
-        self.patience = 2 * start.report_every + channel.slowest_transit
-        self.throttle = start.throttle
+        self.cold_share, self.cold_time = guards.initial_warmup_fraction, guards.warmup_time
+        self.patience = 2 * start.report_interval + channel.max_delay
+        self.throttle = start.admission_mode
         self.budgets = [(group.utility, group.latency_budget) for group in start.groups]
         self.tries = [_further_tries(group, start) for group in start.groups]
         self.backends: dict[str, Backend] = {}
         self.proxies: dict[int, Proxy] = {}
         self.plan = self.tables = _lay_out(start)
-        self.asks, self.ask_at = start.must_subscribe, now
+        self.asks, self.ask_at = start.subscription_required, now
         self.turned = self.looked = now - SECOND
         self.free_at = float(now)
         self.unanswered: list[tuple[int, int, float, int]] = []
-        self.lost_after = 2 * self.transit + round(SLOWEST * self.limit * SECOND / channel.lines_per_s)
+        self.lost_after = 2 * self.transit + round(SLOWEST * self.limit * SECOND / channel.lines_per_second)
         self.spent: dict[int, float] = {}
         self.turn, self.wake_at, self.cells, self.told, self.crowded = 0, -1, 1, False, False
         self.let_in = self.spare = 1.0
         self.best = self.target = self.peak = 0.0
         self.dark: set[int] = set()
-        self.reckon_gap = max(start.report_every, SECOND)
+        self.reckon_gap = max(start.report_interval, SECOND)
         self.reckoned = self.rationed = self.split = self.sent = self.answered = now
-        self.probes, self.avoids = start.probes_allowed, start.avoided_after > 0
+        self.probes, self.avoids = start.health_checks_allowed, start.proxy_ejection_failures > 0
         # Half the load that fells a cold backend, for chance and late reports; less the sooner proxies avoid.
-        self.haste = 6 / start.avoided_after if start.avoided_after else 0.0
+        self.haste = 6 / start.proxy_ejection_failures if start.proxy_ejection_failures else 0.0
         self.half = guards.overload_factor / 2
         self.bearable = self.half / (1 + self.haste)
         self.unit = self.attempts = self.failed = self.shunned = self.late = self.slow = self.able = 0.0
@@ -176,22 +196,22 @@
 
     # What is heard
 
-    def learn_list(self, now: int, news: say.News, entries: list[say.Listed]) -> None:
-        if news is say.News.REFUSED:
+    def on_endpoint_update(self, now: int, event: WatchEvent, endpoints: list[Endpoint]) -> None:
+        if event is WatchEvent.REJECTED:
             self.ask_at = now + round(SECOND * self.vary(0.5, 1.5))
             return
         lost, healthy = [], sum(b.ready for b in self.backends.values())
-        named = {entry.backend for entry in entries} if news is say.News.WHOLE else set(self.backends)
+        named = {entry.backend for entry in endpoints} if event is WatchEvent.SNAPSHOT else set(self.backends)
         unnamed = [known for known in self.backends.values() if known.id not in named]
-        gone = [say.Listed(b.id, b.zone, b.kind, False, False, b.weight, b.started) for b in unnamed]
-        for entry in [*entries, *gone]:
+        gone = [Endpoint(b.id, b.zone, b.kind, False, False, b.weight, b.started) for b in unnamed]
+        for entry in [*endpoints, *gone]:
             if (known := self.backends.get(entry.backend)) is None:
                 known = self.backends[entry.backend] = Backend(entry.backend, self._emptiest(entry))
             known.zone, known.kind, known.weight = entry.zone, entry.kind, entry.weight or 1.0
             if entry.ready:
-                if not known.ready or known.started != entry.started:
+                if not known.ready or known.started != entry.started_at:
                     known.hear_anew(now)
-                known.ready, known.down, known.out_at, known.started = True, False, None, entry.started
+                known.ready, known.down, known.out_at, known.started = True, False, None, entry.started_at
             elif not known.down:
                 known.down = True
                 if entry.draining or not known.ready:
@@ -208,77 +228,85 @@
         for known in sorted(out, key=lambda b: b.shut)[: max(0, len(out) - MOST_GONE)]:
             del self.backends[known.id]
 
-    def learn_tries(
-        self, now: int, backend: str, zone: int, tries: int, bad: int, mean: int, age: int, load: say.Load
+    def on_attempt_statistics(
+        self,
+        now: int,
+        backend: str,
+        zone: int,
+        attempts: int,
+        failures: int,
+        mean_latency: int,
+        window: int,
+        load: LoadReport,
     ) -> None:
         if (known := self.backends.get(backend)) is None:
             return
         known.hear_load(load, self.pulls)
-        known.recent.add(tries, bad, mean)
+        known.recent.add(attempts, failures, mean_latency)
         if known.zone not in self.dark:  # a cut zone's tries tell nothing of the others
-            self.met.add(tries, bad, mean)
-        if now - age >= known.judged:
-            known.since.add(tries, bad, mean)
+            self.met.add(attempts, failures, mean_latency)
+        if now - window >= known.judged:
+            known.since.add(attempts, failures, mean_latency)
 
-    def learn_intake(self, now: int, proxy: int, group: int, flows: int, age: int) -> None:
+    def on_request_rate(self, now: int, proxy: int, group: int, requests: int, window: int) -> None:
         known = self.proxies.get(proxy)
-        if known is not None and group < len(known.rates) and age > 0:
-            known.rates[group] = (known.rates[group] + flows * SECOND / age) / 2
+        if known is not None and group < len(known.rates) and window > 0:
+            known.rates[group] = (known.rates[group] + requests * SECOND / window) / 2
 
-    def learn_share(self, now: int, backend: str, share: float) -> None:
+    def on_budget_share(self, now: int, backend: str, share: float) -> None:
         if (known := self.backends.get(backend)) is not None:
             known.share = share
 
-    def learn_probe(self, now: int, backend: str, sight: say.Sight, load: say.Load) -> None:
+    def on_health_check(self, now: int, backend: str, result: HealthCheckResult, load: LoadReport) -> None:
         if (known := self.backends.get(backend)) is None:
             return
-        known.silent = sight is say.Sight.SILENT
+        known.silent = result is HealthCheckResult.TIMED_OUT
         known.takes = None  # what it told before it fell silent is no longer so
-        if sight is say.Sight.OUT_OF_REACH:
+        if result is HealthCheckResult.UNREACHABLE:
             known.unreached += 1
             known.look_at = now if known.unreached < UNREACHED else known.look_at
         else:
             known.unreached = 0
-            full = say.Load(busy=1.0 if known.load else None)
-            known.hear_load(load if sight is say.Sight.SERVED else full, self.pulls)
+            full = LoadReport(utilization=1.0 if known.load else None)
+            known.hear_load(load if result is HealthCheckResult.HEALTHY else full, self.pulls)
         if known.takes and self._warmth(known, now) == 1:
             known.long = QUICK_MEMORY * (known.long or known.takes) + (1 - QUICK_MEMORY) * known.takes
         # Where proxies are many, sums come seconds late; a look meets a long queue or an error at once. Where
         # many fail them all have too much. A quick answer proves little: flows may fail all the same.
-        failed = known.unseen = sight in (say.Sight.SILENT, say.Sight.NO_ROOM)
+        failed = known.unseen = result in (HealthCheckResult.TIMED_OUT, HealthCheckResult.REJECTED)
         bad = failed or self._late(known.takes or 0) > SOUND_EXCESS
         if bad and now >= known.judged and 3 * sum(b.unseen for b in self._up()) < len(self._up()):
             known.since.add(LOOK_TRIES, LOOK_TRIES * failed, known.takes or 0)
 
-    def proxy_joined(self, now: int, proxy: int, zone: int, usual: float, standing: bool) -> None:
+    def on_proxy_joined(self, now: int, proxy: int, zone: int, baseline_rate: float, has_standing_table: bool) -> None:
         coming = [0.0] * self.cells
         for other in self.proxies.values():
             coming[other.cell] += other.usual
-        known = self.proxies[proxy] = Proxy(proxy, zone, usual, standing, now)
-        known.rates, known.cell = [usual / len(self.budgets)] * len(self.budgets), coming.index(min(coming))
+        known = self.proxies[proxy] = Proxy(proxy, zone, baseline_rate, has_standing_table, now)
+        known.rates, known.cell = [baseline_rate / len(self.budgets)] * len(self.budgets), coming.index(min(coming))
 
-    def proxy_left(self, now: int, proxy: int) -> None:
+    def on_proxy_left(self, now: int, proxy: int) -> None:
         self.proxies.pop(proxy, None)
         # What was on its way to it is lost, and must not count as waiting for good.
         self.unanswered = [sent for sent in self.unanswered if sent[1] != proxy]
 
-    def turn_applied(self, now: int, proxy: int, turn: int, took: int) -> None:
+    def on_acknowledgement(self, now: int, proxy: int, round_number: int, elapsed: int) -> None:
         if proxy in self.proxies:
-            self.proxies[proxy].applied = turn
+            self.proxies[proxy].applied = round_number
         # The channel is in order, so an answer proves that all ordered earlier has left it.
-        place = next((n for n, sent in enumerate(self.unanswered) if sent[:2] == (turn, proxy)), -1)
+        place = next((n for n, sent in enumerate(self.unanswered) if sent[:2] == (round_number, proxy)), -1)
         self.answered = now if place >= 0 else self.answered
-        earlier = [sent for sent in self.unanswered[: max(0, place)] if sent[0] == turn]
+        earlier = [sent for sent in self.unanswered[: max(0, place)] if sent[0] == round_number]
         self.unanswered = earlier + self.unanswered[place + 1 :]
 
     # What is decided
 
-    def cold(self, now: int) -> list[tuple[str, int, float, float]]:
+    def warming_backends(self, now: int) -> list[tuple[str, int, float, float]]:
         """Cold backends, their starts, the usual flows of their weight, and what would come unheld."""
         usual = [(b, self.unit * b.weight) for b in self._up() if self._warmth(b, now) < 1]
         return [(b.id, b.started, flows, flows * b.asked) for b, flows in usual]
 
-    def decisions(self, now: int) -> Iterator[say.Decision]:
+    def decisions(self, now: int) -> Iterator[Decision]:
         self.spent, self.reach_all = {}, False
         for proxy in self.proxies.values():
             while proxy.written and proxy.written[0] <= now - self.cap_span:
@@ -286,13 +314,13 @@
         self.unanswered = [sent for sent in self.unanswered if sent[3] > now]
         if self.asks and 0 <= self.ask_at <= now:
             self.ask_at = -1
-            yield say.Subscribe()
+            yield SubscribeToEndpoints()
         yield from self._shut_out(now)
         for backend in self._up() if self.probes else ():
             if backend.look_at <= now:
                 # Only where probes tell how long answers take does a second one a gap tell more than noise.
                 backend.look_at = now + (PROBE_GAP // 2 if backend.takes else PROBE_GAP)
-                yield say.Probe(backend.id)
+                yield HealthCheckRequest(backend.id)
         if now >= max(self.turned + SECOND, self.looked + BEAT):
             self.looked = now
             yield from self._take_turn(now)
@@ -300,13 +328,13 @@
         if self.spent:
             self.sent, self.free_at = now, self._free_at(now)
             self.turn = self.turn % 65_535 + 1
-            for proxy, lines in self.spent.items():
-                self.unanswered.append((self.turn, proxy, lines, now + self.lost_after))
-                self.proxies[proxy].written.append(now)
-            yield say.TurnMark(self.turn, self.reach_all)
+            for number, lines in self.spent.items():
+                self.unanswered.append((self.turn, number, lines, now + self.lost_after))
+                self.proxies[number].written.append(now)
+            yield AcknowledgementRequest(self.turn, self.reach_all)
         if self.wake_at <= now:
             self.wake_at = now + BEAT
-            yield say.Wakeup(BEAT)
+            yield WakeUp(BEAT)
 
     def _room(self, share: float, receivers: list[Proxy]) -> float:
         # A part of the messages a proxy may be written is kept back for what cannot wait.
@@ -340,7 +368,7 @@
         again = now - self.grace // 3  # each time it fills the channel, so those that join together wait
         return [b for b in gone if not b.shut or (b.shut < min(joined, again) and (b.out_at or now) > since)]
 
-    def _shut_out(self, now: int) -> Iterator[say.Decision]:
+    def _shut_out(self, now: int) -> Iterator[Decision]:
         everyone, due = list(self.proxies.values()), self._due(now, self.gather)
         if not due:
             return
@@ -365,7 +393,7 @@
             self.reach_all = 2 * sum(not proxy.bound for proxy in everyone) > len(everyone)
             self._spend(0, everyone if self.reach_all else holding[backend.id])
             self._spend(1, holding[backend.id])
-            yield say.Shutout(backend.id, True)
+            yield Withdrawal(backend.id, True)
 
     def _holding(self, due: list[Backend], proxies: list[Proxy]) -> dict[str, list[Proxy]]:
         # Asked at each pull while withdrawals wait: once for all whose lines are in the same tables.
@@ -374,7 +402,7 @@
                  for tables in set(held.values())}  # fmt: skip
         return {name: users[tables] for name, tables in held.items()}
 
-    def _assign(self, now: int) -> Iterator[say.Decision]:
+    def _assign(self, now: int) -> Iterator[Decision]:
         waiting = [proxy for proxy in self.proxies.values() if not proxy.bound]
         # Empty tables would take away the last lines a proxy has, and full ones the room for withdrawals.
         if not waiting or self._due(now, self.gather):
@@ -403,9 +431,9 @@
             self._spend(cost, [proxy])
             for table in tables:
                 named = () if len(table.groups) == len(self.budgets) else tuple(table.groups)
-                yield say.Assignment(proxy.id, table.number, named)
+                yield TableAssignment(proxy.id, table.number, named)
 
-    def _take_turn(self, now: int) -> Iterator[say.Decision]:
+    def _take_turn(self, now: int) -> Iterator[Decision]:
         self._judge(now)
         self._crowd(now)
         self.dark = self._dark()
@@ -419,7 +447,7 @@
         self._set_levels(now)
         if self._due(now, self.gather):
             return  # levels and weights must not fill the channel that withdrawals wait for
-        if self.throttle is not say.Throttle.OFF:
+        if self.throttle is not AdmissionMode.DISABLED:
             yield from self._admit()
         bound = [proxy for proxy in self.proxies.values() if proxy.bound]
         users = {table.number: self._users(table) for table in self.tables}
@@ -446,10 +474,10 @@
                 chosen.setdefault(number, []).append((backend.id, weight))
             if back:
                 backend.shut = 0
-                yield say.Shutout(backend.id, False)
+                yield Withdrawal(backend.id, False)
         for number, sent in chosen.items():
             self.turned = now
-            yield say.TableChange(number, tuple(sent))
+            yield TableChange(number, tuple(sent))
 
     def _pulls(self) -> dict[int, float]:
         pulls = {}
@@ -543,8 +571,8 @@
 
     def _admission(self, group: int) -> float:
         level = self.levels[group]
-        if self.throttle is say.Throttle.SHARE or self.let_in >= 1:
-            return level if self.throttle is say.Throttle.SHARE else NO_LIMIT
+        if self.throttle is AdmissionMode.FRACTION or self.let_in >= 1:
+            return level if self.throttle is AdmissionMode.FRACTION else NO_LIMIT
         # A group let in whole is held to what is known of it, as a burst is told seconds late.
         rates = sorted(SWELL * proxy.rates[group] for proxy in self.proxies.values())
         left = level * sum(rates) / SWELL
@@ -571,7 +599,7 @@
             backend.cell = max(range(cells), key=lambda c: (held[c] == 0, (coming[c] or 1) / (held[c] + 1)))
             held[backend.cell] += backend.weight
 
-    def _emptiest(self, entry: say.Listed) -> int:
+    def _emptiest(self, entry: Endpoint) -> int:
         """The cell for a newcomer. All need some of each zone, as whole ones are lost, and of each kind."""
         held = [(0, 0, 0)] * self.cells
         for b in self._up() if self.cells > 1 else ():
@@ -671,9 +699,9 @@
                     self.spare = min(self.spare, bears / brought)
                     backend.part *= bears / brought
 
-    def _admit(self) -> Iterator[say.Decision]:
+    def _admit(self) -> Iterator[Decision]:
         # In rates, a group let in whole has a bound while levels hold; as a share it has none.
-        most = 0.99 if self.let_in < 1 and self.throttle is say.Throttle.RATE else 1.0
+        most = 0.99 if self.let_in < 1 and self.throttle is AdmissionMode.RATE else 1.0
         for table in self.tables:
             users = self._users(table)
             for group in table.groups:
@@ -684,7 +712,7 @@
                         return
                     table.gates[group] = wanted
                     self._spend(1, users)
-                    yield say.Admission(table.number, (group,), self._admission(group), self.tries[group])
+                    yield AdmissionLevel(table.number, (group,), self._admission(group), self.tries[group])
 
     def _users(self, table: Table) -> list[Proxy]:
         return [proxy for proxy in self.proxies.values() if proxy.bound and table.serves(proxy)]
@@ -770,17 +798,23 @@
     return abs(weight - line) > WORTH_A_LINE * max(weight, line)
 
 
-def _further_tries(group: say.TrafficGroup, start: say.Deployment) -> int:
-    if group.repeats is not say.Repeats.RETRIABLE and start.guards.refusal_may_have_run:
+def _further_tries(group: TrafficGroup, start: Deployment) -> int:
+    if group.retry_safety is not RetrySafety.IDEMPOTENT and start.safety.rejection_may_have_effect:
         return 0  # a refused flow may have run, so no second try of it is surely the first
-    return start.usual_tries if group.repeats is say.Repeats.RETRIABLE else min(1, start.usual_tries)
+    return (
+        start.default_retry_mode if group.retry_safety is RetrySafety.IDEMPOTENT else min(1, start.default_retry_mode)
+    )
 
 
-def _lay_out(start: say.Deployment) -> list[Table]:
+def _lay_out(start: Deployment) -> list[Table]:
     tables: dict[tuple[frozenset[int] | None, int | None], Table] = {}
     for place, group in enumerate(start.groups):
-        for home in range(start.zones) if group.home_zone_only else (None,):
-            zones = group.zones if home is None else frozenset((home,)) & (group.zones or frozenset((home,)))
+        for home in range(start.zone_count) if group.home_zone_only else (None,):
+            zones = (
+                group.allowed_zones
+                if home is None
+                else frozenset((home,)) & (group.allowed_zones or frozenset((home,)))
+            )
             key = (zones, home)
             tables.setdefault(key, Table(len(tables), None, zones, home, [])).groups.append(place)
     return list(tables.values())
--- a/onyxhead/settings/instance.py
+++ b/onyxhead/settings/instance.py
@@ -8,13 +8,13 @@
 from collections.abc import Mapping
 from typing import Any
 
-from onyxhead.interface import (
-    Channel,
+from onyxhead.policy.inputs import (
+    AdmissionMode,
+    ChannelLimits,
     Deployment,
-    Guards,
-    Load,
-    Repeats,
-    Throttle,
+    LoadReport,
+    RetrySafety,
+    SafetyLimits,
     TrafficGroup,
 )
 
@@ -23,11 +23,11 @@
 TENTHS_IN_MS = 10
 
 REPEATS = {
-    "pure": Repeats.RETRIABLE,
-    "token": Repeats.DEDUPED,
-    "side_effect": Repeats.NON_RETRIABLE,
+    "pure": RetrySafety.IDEMPOTENT,
+    "token": RetrySafety.DEDUPLICATED,
+    "side_effect": RetrySafety.NOT_IDEMPOTENT,
 }
-THROTTLES = {"ratio": Throttle.SHARE, "rps": Throttle.RATE, "off": Throttle.OFF}
+THROTTLES = {"ratio": AdmissionMode.FRACTION, "rps": AdmissionMode.RATE, "off": AdmissionMode.DISABLED}
 
 
 class Unfit(ValueError):
@@ -39,10 +39,10 @@
     return list(map(str, given["report"].get("fields") or ()))
 
 
-def load(told: Mapping[str, float]) -> Load:
+def load(told: Mapping[str, float]) -> LoadReport:
     """What the module is told of a load report, from its values by the names of the settings."""
     latency = told.get("svc_ms")
-    return Load(told.get("cpu_share"), None if latency is None else round(latency * TENTHS_IN_MS))
+    return LoadReport(told.get("cpu_share"), None if latency is None else round(latency * TENTHS_IN_MS))
 
 
 def deployment(given: Mapping[str, Any]) -> Deployment:
@@ -55,48 +55,48 @@
                 name=str(group["name"]),
                 utility=float(group["credit"]),
                 latency_budget=int(group["aimNs"]) // NS,
-                expiry=int(group["deadlineNs"]) // NS,
-                repeats=REPEATS[group["effect"]],
-                dedup_reach=str(group.get("group", "cell")),
-                dedup_window=int(group.get("repeatWindowNs", 0)) // NS,
-                zones=frozenset(map(int, group["onlyZones"])) if group.get("onlyZones") else None,
+                timeout=int(group["deadlineNs"]) // NS,
+                retry_safety=REPEATS[group["effect"]],
+                deduplication_scope=str(group.get("group", "cell")),
+                deduplication_window=int(group.get("repeatWindowNs", 0)) // NS,
+                allowed_zones=frozenset(map(int, group["onlyZones"])) if group.get("onlyZones") else None,
                 home_zone_only=bool(home),
             )
             for group, home in zip(given["services"], own_zone, strict=True)
         )
         return Deployment(
             zone=int(given["zone"]),
-            zones=len(given["zones"]),
-            controllers=int(given["balancers"]),
-            proxies=int(extra["agents"]),
+            zone_count=len(given["zones"]),
+            controller_count=int(given["balancers"]),
+            proxy_count=int(extra["agents"]),
             groups=groups,
-            channel=Channel(
-                lines_per_s=float(extra["egressPerS"]),
-                head=float(extra["perMessage"]),
-                most_waiting=float(extra["mostWaiting"]),
-                transit=-(-int(extra["pushDelayNs"]) // NS),
-                slowest_transit=-(-int(extra["lateMostNs"]) // NS),
-                messages_cap=int(extra.get("updateCap", 0)),
-                messages_span=-(-int(extra.get("messagesOverNs", 0)) // NS),
+            channel=ChannelLimits(
+                lines_per_second=float(extra["egressPerS"]),
+                message_overhead=float(extra["perMessage"]),
+                max_queued_lines=float(extra["mostWaiting"]),
+                typical_delay=-(-int(extra["pushDelayNs"]) // NS),
+                max_delay=-(-int(extra["lateMostNs"]) // NS),
+                max_messages=int(extra.get("updateCap", 0)),
+                message_window=-(-int(extra.get("messagesOverNs", 0)) // NS),
             ),
-            guards=Guards(
+            safety=SafetyLimits(
                 unserved_limit=int(extra["unservedMaxNs"]) // NS,
                 drain_grace=int(guards["drainGraceNs"]) // NS,
-                only_draining_binds=bool(guards.get("drainBindsAlone", False)),
-                cold_share=float(guards["coldFrom"]),
-                cold_time=-(-int(guards["coldNs"]) // NS),
+                only_draining_counts=bool(guards.get("drainBindsAlone", False)),
+                initial_warmup_fraction=float(guards["coldFrom"]),
+                warmup_time=-(-int(guards["coldNs"]) // NS),
                 overload_factor=float(guards["overloadFactor"]),
-                fall_time=int(guards["fallNs"]) // NS,
-                refusal_may_have_run=bool(guards.get("fullMayHaveRun", False)),
-                ask_within=int(guards.get("askWithinNs", 0)) // NS,
+                overload_time_to_fail=int(guards["fallNs"]) // NS,
+                rejection_may_have_effect=bool(guards.get("fullMayHaveRun", False)),
+                subscribe_within=int(guards.get("askWithinNs", 0)) // NS,
             ),
-            throttle=THROTTLES[extra["throttleBy"]],
-            usual_tries=int(extra["baseMode"]),
-            try_stretch=float(extra["tryFactor"]),
-            avoided_after=int(extra.get("ejects", 0)),
-            report_every=-(-int(extra["cycleNs"]) // NS),
-            probes_allowed=bool(allowed["probes"]),
-            must_subscribe=given["discovery"] == "subscribe",
+            admission_mode=THROTTLES[extra["throttleBy"]],
+            default_retry_mode=int(extra["baseMode"]),
+            attempt_timeout_factor=float(extra["tryFactor"]),
+            proxy_ejection_failures=int(extra.get("ejects", 0)),
+            report_interval=-(-int(extra["cycleNs"]) // NS),
+            health_checks_allowed=bool(allowed["probes"]),
+            subscription_required=given["discovery"] == "subscribe",
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise Unfit(f"settings: {type(error).__name__}: {error}") from None
--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-import onyxhead.interface as say
+from onyxhead.policy.inputs import AdmissionMode, ChannelLimits, Deployment, RetrySafety, SafetyLimits, TrafficGroup
 from onyxhead.records.files import check, gather
 from onyxhead.records.meaning import Found
 from onyxhead.records.syntax import Fault, Faulty, File, Literal
@@ -110,7 +110,7 @@
     seed: int
     groups: tuple[str, ...]
     zones: tuple[str, ...]
-    start: say.Deployment
+    start: Deployment
     patience: int
     discovery: Discovery
     list_good_for: float
@@ -248,12 +248,12 @@
             wrong(f"{name} is deduped and needs a dedup_window", "groups", name, "repeats")
         own = frozenset(map(zones.index, group["zones"])) if group.get("zones") and not faults else None
         groups.append(
-            say.TrafficGroup(
+            TrafficGroup(
                 name,
                 group["utility"],
                 group["latency_budget"],
                 group["expiry"],
-                say.Repeats(group["repeats"]),
+                RetrySafety(group["repeats"]),
                 group["dedup_reach"],
                 group["dedup_window"],
                 own,
@@ -270,28 +270,28 @@
         )
     if faults:
         raise Faulty(faults)
-    throttles = {"share": say.Throttle.SHARE, "rate": say.Throttle.RATE, "off": say.Throttle.OFF}
-    start = say.Deployment(
+    throttles = {"share": AdmissionMode.FRACTION, "rate": AdmissionMode.RATE, "off": AdmissionMode.DISABLED}
+    start = Deployment(
         zone=zones.index(found["zone"]),
-        zones=len(zones),
-        controllers=found["controllers"],
-        proxies=found["proxies"],
+        zone_count=len(zones),
+        controller_count=found["controllers"],
+        proxy_count=found["proxies"],
         groups=tuple(groups),
-        channel=say.Channel(
+        channel=ChannelLimits(
             channel["pace"], float(channel["head"]), float(channel["most_waiting"]), channel["transit"],
             max(channel["transit"], channel["slowest_transit"]), channel["messages_cap"], channel["messages_span"],
         ),
-        guards=say.Guards(
+        safety=SafetyLimits(
             guards["unserved_limit"], guards["drain_grace"], guards["only_draining_binds"], guards["cold_share"],
             guards["cold_time"], guards["overload_factor"], guards["fall_time"], guards["refusal_may_have_run"], 0,
         ),
-        throttle=throttles[found["throttle"]],
-        usual_tries=tries["usual"],
-        try_stretch=tries["stretch"],
-        avoided_after=tries["avoided_after"],
-        report_every=found["report_every"],
-        probes_allowed=found["probes"]["allowed"],
-        must_subscribe=found["discovery"]["subscribe"],
+        admission_mode=throttles[found["throttle"]],
+        default_retry_mode=tries["usual"],
+        attempt_timeout_factor=tries["stretch"],
+        proxy_ejection_failures=tries["avoided_after"],
+        report_interval=found["report_every"],
+        health_checks_allowed=found["probes"]["allowed"],
+        subscription_required=found["discovery"]["subscribe"],
     )  # fmt: skip
     given, addresses, here = found["discovery"], _Addresses(found, faults), path.parent
     file = here / given["file"] if "file" in given else None
--- a/onyxhead/store/store.py
+++ b/onyxhead/store/store.py
@@ -56,6 +56,7 @@
 
 Write = tuple[str, tuple[Any, ...]]
 
+
 class Remembered(NamedTuple):
     """What the last life left. `heard` and `withdrawn` in seconds of the wall's clock."""
 
@@ -65,12 +66,15 @@
     numbers: dict[str, int]
     withdrawn: dict[str, float]
 
+
 class _Broken(sqlite3.DatabaseError):
     sqlite_errorcode = sqlite3.SQLITE_CORRUPT
 
+
 class Unusable(OSError):
     """The store can't be opened or written; the text says why."""
 
+
 def recorded(path: Path, name: str, since: float, until: float) -> dict[str, Any]:
     """What a store holds of a stretch, read without touching it, also while a controller writes. Raises Unusable."""
     try:
@@ -88,6 +92,7 @@
     except (sqlite3.Error, ValueError) as error:
         raise Unusable(f"{path}: {error}") from None
 
+
 def _order(row: tuple[Any, ...]) -> dict[str, Any]:
     """An order as it was kept; `sound` is False where its bytes are not those that were written, and what it says is
     left out. None: written by a program that kept no digests."""
@@ -102,6 +107,7 @@
 def _record(*fields: object) -> str:
     return hashlib.blake2b(json.dumps(fields).encode(), digest_size=16).hexdigest()
 
+
 class Store:
     """One database file. Opening it begins a new epoch, which is on disk before the first order."""
 
--- a/onyxhead/tables/orders.py
+++ b/onyxhead/tables/orders.py
@@ -8,7 +8,8 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-import onyxhead.interface as say
+from onyxhead.policy.decisions import AdmissionLevel, Decision, TableAssignment, TableChange, Withdrawal
+from onyxhead.policy.inputs import AdmissionMode
 from onyxhead.tables.view import Document, Leaf, Path, View, nested
 
 PARTS = 1_000_000
@@ -78,7 +79,7 @@
     `head` is what a message costs beyond its own lines.
     """
 
-    def __init__(self, groups: tuple[str, ...], throttle: say.Throttle, head: float) -> None:
+    def __init__(self, groups: tuple[str, ...], throttle: AdmissionMode, head: float) -> None:
         self.groups, self.throttle, self.head = groups, throttle, head
         self.places: dict[str, Place] = {}
         self.main, self.trial = Lines(), Lines()
@@ -121,7 +122,7 @@
     def name(self, table: int) -> str:
         return f"t{table}"
 
-    def messages(self, turn: int, decisions: Iterable[say.Decision]) -> list[Message]:
+    def messages(self, turn: int, decisions: Iterable[Decision]) -> list[Message]:
         """One message for each proxy concerned, in the order in which the module first named them."""
         changes: dict[int, dict[Path, Leaf | None]] = {}
         lines: dict[int, float] = {}
@@ -134,10 +135,10 @@
                 lines[proxy] = lines.get(proxy, self.head) + 1
 
         for decision in decisions:
-            if isinstance(decision, say.Shutout | say.TableChange | say.Admission):
+            if isinstance(decision, Withdrawal | TableChange | AdmissionLevel):
                 self.wholes.clear()
             match decision:
-                case say.Shutout(backend, shut):
+                case Withdrawal(backend, shut):
                     if shut:
                         self.withdrawn[backend] = None
                         urgent.update(self.views)
@@ -148,7 +149,7 @@
                         said = changes.get(proxy, {}).get(leaf, view.leaves.get(leaf)) is True
                         if said != shut and (said or self._may_hold(proxy, backend)):
                             write((proxy,), leaf, True if shut else None)
-                case say.TableChange(table, changed):
+                case TableChange(table, changed):
                     for backend, weight in changed:
                         parts = max(1, round(weight * PARTS)) if weight > 0 else 0
                         self.wanted.pop((table, backend), None)
@@ -162,12 +163,12 @@
                             parts = target.get((table, backend), 0)
                             if own.hold is None or parts != held.get(backend, 0):
                                 self._put(own, table, backend, parts, write)
-                case say.Admission(table, groups, level, tries):
+                case AdmissionLevel(table, groups, level, tries):
                     for group in groups:
                         leaf = self.levels[table, group] = self._level(level, tries)
                         path = ("tables", self.name(table), "levels", self.groups[group])
                         write(self.users.get(table, ()), path, leaf)
-                case say.Assignment(proxy, table, groups) if proxy in self.views:
+                case TableAssignment(proxy, table, groups) if proxy in self.views:
                     if proxy not in whole:
                         whole[proxy] = None
                         changes.setdefault(proxy, {})
@@ -299,6 +300,6 @@
         return {"address": place.address, "weight": parts, "zone": place.zone}
 
     def _level(self, level: float, tries: int) -> Leaf:
-        if self.throttle is say.Throttle.RATE:
+        if self.throttle is AdmissionMode.RATE:
             return {"rate": round(level, 3), "tries": tries}
         return {"share": round(min(1.0, level), 6), "tries": tries}
--- a/onyxhead/wirehost/__main__.py
+++ b/onyxhead/wirehost/__main__.py
@@ -7,8 +7,8 @@
 from collections.abc import Iterable
 from typing import Any, TextIO
 
-from onyxhead.brain import Brain
-from onyxhead.interface import Listed, Load
+from onyxhead.policy.balancer import BalancingPolicy
+from onyxhead.policy.inputs import Endpoint, LoadReport
 from onyxhead.settings.instance import NS, Unfit, deployment, load, load_fields
 from onyxhead.wirehost.codec import (
     NEWS,
@@ -29,8 +29,8 @@
         self.source = enumerate(source, 1)
         self.sink = sink
         self.line_number = 0
-        self.instances: dict[int, Brain | None] = {}
-        self.lists: dict[int, list[Listed]] = {}
+        self.instances: dict[int, BalancingPolicy | None] = {}
+        self.lists: dict[int, list[Endpoint]] = {}
         self.fields: dict[int, list[str]] = {}
 
     def next_line(self) -> str | None:
@@ -84,7 +84,7 @@
         self.sink.write("\n".join([*out, "END\n"]))
         self.sink.flush()
 
-    def rows(self, count: int) -> list[Listed]:
+    def rows(self, count: int) -> list[Endpoint]:
         rows = []
         for _ in range(count):
             line = self.next_line()
@@ -94,7 +94,7 @@
             rows.append(listed(values))
         return rows
 
-    def report(self, number: int, told: tuple[float, ...]) -> Load:
+    def report(self, number: int, told: tuple[float, ...]) -> LoadReport:
         """A load report, its values in the order that this instance's settings name."""
         return load(dict(zip(self.fields[number], told, strict=False)))
 
@@ -107,7 +107,7 @@
             except Unfit as error:
                 raise WireError(str(error)) from None
             self.fields[number] = load_fields(given)
-            return lambda: self.instances.__setitem__(number, Brain(known, values[0], now))
+            return lambda: self.instances.__setitem__(number, BalancingPolicy(known, values[0], now))
         if name == "STOP":
             return lambda: self.instances.__setitem__(number, None)
         if number not in self.instances:
@@ -117,31 +117,31 @@
             return lambda: None
         if name == "PEERS_KNOWN":
             mode, _version, list_number = values
-            entries: list[Listed] = []
+            entries: list[Endpoint] = []
             if mode != "refused":
                 if list_number not in self.lists:
                     raise WireError(f"list {list_number} was never defined")
                 entries = self.lists[list_number]
-            return lambda: brain.learn_list(now, NEWS[mode], entries)
+            return lambda: brain.on_endpoint_update(now, NEWS[mode], entries)
         if name == "STATS":
             zone, age, backend, bad, mean, tries, told = values
             report = self.report(number, told)
-            return lambda: brain.learn_tries(now, backend, zone, tries, bad, mean, age, report)
+            return lambda: brain.on_attempt_statistics(now, backend, zone, tries, bad, mean, age, report)
         if name == "INTAKE":
             proxy, group, flows, _bad, age = values
-            return lambda: brain.learn_intake(now, proxy, group, flows, age)
+            return lambda: brain.on_request_rate(now, proxy, group, flows, age)
         if name == "ATTACHED":
-            return lambda: brain.proxy_joined(now, *values)
+            return lambda: brain.on_proxy_joined(now, *values)
         if name == "STREAM_DOWN":
-            return lambda: brain.proxy_left(now, values[0])
+            return lambda: brain.on_proxy_left(now, values[0])
         if name == "IN_FORCE":
             proxy, turn, took = values
-            return lambda: brain.turn_applied(now, proxy, turn, took)
+            return lambda: brain.on_acknowledgement(now, proxy, turn, took)
         if name == "PROBED":
             backend, end, _took, told = values
             report = self.report(number, told)
             sight = SIGHTS[end]
-            return lambda: sight and brain.learn_probe(now, backend, sight, report)
+            return lambda: sight and brain.on_health_check(now, backend, sight, report)
         # Wake-ups need no more than the pull that follows; peers and slices are told nothing and ask nothing.
         return lambda: None
 
--- a/onyxhead/wirehost/codec.py
+++ b/onyxhead/wirehost/codec.py
@@ -7,37 +7,35 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from onyxhead.interface import (
-    Admission,
-    Assignment,
+from onyxhead.policy.decisions import (
+    AcknowledgementRequest,
+    AdmissionLevel,
     Decision,
-    Listed,
-    News,
-    Probe,
-    Remark,
-    Shutout,
-    Sight,
-    Subscribe,
+    HealthCheckRequest,
+    LogMessage,
+    SubscribeToEndpoints,
+    TableAssignment,
     TableChange,
-    TurnMark,
-    Wakeup,
+    WakeUp,
+    Withdrawal,
 )
+from onyxhead.policy.inputs import Endpoint, HealthCheckResult, WatchEvent
 from onyxhead.settings.instance import NS, shown
 
 NEWS = {
-    "changes": News.CHANGES,
-    "all": News.WHOLE,
-    "remembered": News.REMEMBERED,
-    "refused": News.REFUSED,
+    "changes": WatchEvent.DELTA,
+    "all": WatchEvent.SNAPSHOT,
+    "remembered": WatchEvent.CACHED,
+    "refused": WatchEvent.REJECTED,
 }
 STATES = ("ready", "draining", "gone")
 SIGHTS = {
-    "served": Sight.SERVED,
-    "server_error": Sight.NO_ROOM,
-    "turned_away": Sight.NO_ROOM,
-    "no_answer": Sight.SILENT,
-    "no_connection": Sight.OUT_OF_REACH,
-    "connection_lost": Sight.OUT_OF_REACH,
+    "served": HealthCheckResult.HEALTHY,
+    "server_error": HealthCheckResult.REJECTED,
+    "turned_away": HealthCheckResult.REJECTED,
+    "no_answer": HealthCheckResult.TIMED_OUT,
+    "no_connection": HealthCheckResult.UNREACHABLE,
+    "connection_lost": HealthCheckResult.UNREACHABLE,
     "called_off": None,
     "not_sent": None,
 }
@@ -148,9 +146,9 @@
     return name, [parse(part) for parse, part in zip(shape, parts, strict=True)]
 
 
-def listed(values: list[Any]) -> Listed:
+def listed(values: list[Any]) -> Endpoint:
     backend, zone, kind, _cell, state, weight, started = values
-    return Listed(backend, zone, kind, state == "ready", state == "draining", weight, started)
+    return Endpoint(backend, zone, kind, state == "ready", state == "draining", weight, started)
 
 
 def settings(text: str) -> dict[str, Any]:
@@ -170,22 +168,22 @@
 def written(decision: Decision) -> Iterator[str]:
     """The wire's lines for one decision."""
     match decision:
-        case Shutout(backend, shut):
+        case Withdrawal(backend, shut):
             yield f"SUSPEND {backend} {int(shut)}"
         case TableChange(table, lines):
             for backend, weight in lines:
                 yield f"PUT_LINE {table} {backend} {shown(weight)}"
-        case Admission(table, groups, level, tries):
+        case AdmissionLevel(table, groups, level, tries):
             yield f"GATE_CLASS {table} {bits(groups)} {shown(level)} {tries}"
-        case Assignment(proxy, table, groups):
+        case TableAssignment(proxy, table, groups):
             yield f"PIN {proxy} {table} {bits(groups)}"
-        case TurnMark(turn, everyone):
+        case AcknowledgementRequest(turn, everyone):
             yield f"NONCE {int(everyone)} {turn}"
-        case Probe(backend):
+        case HealthCheckRequest(backend):
             yield f"SOUND_OUT {backend}"
-        case Wakeup(after):
+        case WakeUp(after):
             yield f"SET_TIMER {WAKEUP_TOKEN} {after * NS}"
-        case Subscribe():
+        case SubscribeToEndpoints():
             yield "OBSERVE 1"
-        case Remark(text):
+        case LogMessage(text):
             yield f"REMARK {text}"
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -5,13 +5,13 @@
 import json
 import random
 
-import onyxhead.interface as say
 from onyxhead.agent.keeper import Keeper, Taken
 from onyxhead.controller.channel import Sent
 from onyxhead.controller.house import House, Joining, Work
 from onyxhead.controller.roster import Entry, Follower, Roster
 from onyxhead.fronts.files.push import Encoder, Stream
 from onyxhead.http.messages import JSON, MERGE_PATCH, ORDER, STREAM, Request, order_field
+from onyxhead.policy.inputs import AdmissionMode, ChannelLimits, Deployment, RetrySafety, SafetyLimits, TrafficGroup
 from onyxhead.tables.orders import Message
 from onyxhead.tables.view import View
 
@@ -19,11 +19,11 @@
 GROUPS, ZONES = ("read", "write"), ("north", "south")
 
 
-def deployment(**channel: float) -> say.Deployment:
-    groups = tuple(say.TrafficGroup(n, 1.0, 5000, 15000, say.Repeats.RETRIABLE, "all", 0, None, False) for n in GROUPS)
-    way = say.Channel(2000.0, 6.0, 3000.0, 100, 1000, 0, 10 * SECOND)._replace(**channel)
-    guards = say.Guards(3 * SECOND, 2 * SECOND, False, 0.2, 15 * SECOND, 3.0, 15_000, False, 0)
-    return say.Deployment(0, 2, 1, 8, groups, way, guards, say.Throttle.SHARE, 1, 1.2, 0, SECOND, False, False)
+def deployment(**channel: float) -> Deployment:
+    groups = tuple(TrafficGroup(n, 1.0, 5000, 15000, RetrySafety.IDEMPOTENT, "all", 0, None, False) for n in GROUPS)
+    way = ChannelLimits(2000.0, 6.0, 3000.0, 100, 1000, 0, 10 * SECOND)._replace(**channel)
+    guards = SafetyLimits(3 * SECOND, 2 * SECOND, False, 0.2, 15 * SECOND, 3.0, 15_000, False, 0)
+    return Deployment(0, 2, 1, 8, groups, way, guards, AdmissionMode.FRACTION, 1, 1.2, 0, SECOND, False, False)
 
 
 def entry(name: str, state: str = "ready", started: float = 0.0, **other: object) -> Entry:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -4,8 +4,26 @@
 
 from dataclasses import dataclass, field
 
-import onyxhead.interface as say
-from onyxhead.brain import Brain
+from onyxhead.policy.balancer import BalancingPolicy
+from onyxhead.policy.decisions import (
+    AcknowledgementRequest,
+    AdmissionLevel,
+    Decision,
+    TableAssignment,
+    TableChange,
+    Withdrawal,
+)
+from onyxhead.policy.inputs import (
+    AdmissionMode,
+    ChannelLimits,
+    Deployment,
+    Endpoint,
+    LoadReport,
+    RetrySafety,
+    SafetyLimits,
+    TrafficGroup,
+    WatchEvent,
+)
 
 SECOND = 10_000
 GRACE = 2 * SECOND
@@ -14,31 +32,31 @@
 MOST_WAITING = 1000
 
 
-def group(repeats: say.Repeats = say.Repeats.RETRIABLE, **other: object) -> say.TrafficGroup:
-    usual = say.TrafficGroup("g", 1.0, SECOND, 3 * SECOND, repeats, "all", 5 * SECOND, None, False)
+def group(repeats: RetrySafety = RetrySafety.IDEMPOTENT, **other: object) -> TrafficGroup:
+    usual = TrafficGroup("g", 1.0, SECOND, 3 * SECOND, repeats, "all", 5 * SECOND, None, False)
     return usual._replace(**other)
 
 
-def deployment(*groups: say.TrafficGroup, **other: object) -> say.Deployment:
-    return say.Deployment(
-        zone=0, zones=3, controllers=1, proxies=4, groups=groups or (group(),),
-        channel=say.Channel(500.0, 6.0, MOST_WAITING, 2000, 5000, 0, 0),
-        guards=say.Guards(UNSERVED, GRACE, False, 0.2, COLD_TIME, 3.0, 15_000, False, 10 * SECOND),
-        throttle=say.Throttle.SHARE, usual_tries=1, try_stretch=1.0, avoided_after=0, report_every=SECOND,
-        probes_allowed=False, must_subscribe=False,
+def deployment(*groups: TrafficGroup, **other: object) -> Deployment:
+    return Deployment(
+        zone=0, zone_count=3, controller_count=1, proxy_count=4, groups=groups or (group(),),
+        channel=ChannelLimits(500.0, 6.0, MOST_WAITING, 2000, 5000, 0, 0),
+        safety=SafetyLimits(UNSERVED, GRACE, False, 0.2, COLD_TIME, 3.0, 15_000, False, 10 * SECOND),
+        admission_mode=AdmissionMode.FRACTION, default_retry_mode=1, attempt_timeout_factor=1.0, proxy_ejection_failures=0, report_interval=SECOND,
+        health_checks_allowed=False, subscription_required=False,
     )._replace(**other)  # fmt: skip
 
 
-def ready(backend: str, started: int = 0, zone: int = 0, kind: int = 0) -> say.Listed:
-    return say.Listed(backend, zone, kind, True, False, 1.0, started)
+def ready(backend: str, started: int = 0, zone: int = 0, kind: int = 0) -> Endpoint:
+    return Endpoint(backend, zone, kind, True, False, 1.0, started)
 
 
-def draining(backend: str) -> say.Listed:
-    return say.Listed(backend, 0, 0, False, True, 1.0, 0)
+def draining(backend: str) -> Endpoint:
+    return Endpoint(backend, 0, 0, False, True, 1.0, 0)
 
 
-def gone(backend: str) -> say.Listed:
-    return say.Listed(backend, 0, 0, False, False, 1.0, 0)
+def gone(backend: str) -> Endpoint:
+    return Endpoint(backend, 0, 0, False, False, 1.0, 0)
 
 
 @dataclass
@@ -62,61 +80,61 @@
 class Rig:
     """One module and its proxies behind a channel in order, of a pace that a test may change."""
 
-    def __init__(self, start: say.Deployment, backends: list[say.Listed], now: int = 100 * SECOND) -> None:
+    def __init__(self, start: Deployment, backends: list[Endpoint], now: int = 100 * SECOND) -> None:
         self.start, self.now = start, now
-        self.brain = Brain(start, 7, now)
+        self.brain = BalancingPolicy(start, 7, now)
         self.tables: dict[int, dict[str, float]] = {}
         self.levels: dict[tuple[int, int], tuple[float, int]] = {}
         self.shut: set[str] = set()
         self.muxes: dict[int, Mux] = {}
-        self.queue: list[tuple[Mux, int, float, list[say.Decision], int]] = []
-        self.pace, self.credit = start.channel.lines_per_s, 0.0
-        self.made: list[say.Decision] = []
-        self.hear(*backends, news=say.News.REMEMBERED)
+        self.queue: list[tuple[Mux, int, float, list[Decision], int]] = []
+        self.pace, self.credit = start.channel.lines_per_second, 0.0
+        self.made: list[Decision] = []
+        self.hear(*backends, news=WatchEvent.CACHED)
 
     def join(self, proxy: int, *standing: str) -> None:
         self.muxes[proxy] = Mux(standing, self.now)
-        self.brain.proxy_joined(self.now, proxy, 0, 10.0, True)
+        self.brain.on_proxy_joined(self.now, proxy, 0, 10.0, True)
 
     def leave(self, proxy: int) -> None:
         if self.muxes.pop(proxy, None):
             self.queue = [sent for sent in self.queue if sent[0] in self.muxes.values()]
-        self.brain.proxy_left(self.now, proxy)
+        self.brain.on_proxy_left(self.now, proxy)
 
-    def hear(self, *entries: say.Listed, news: say.News = say.News.CHANGES) -> None:
-        self.brain.learn_list(self.now, news, list(entries))
+    def hear(self, *entries: Endpoint, news: WatchEvent = WatchEvent.DELTA) -> None:
+        self.brain.on_endpoint_update(self.now, news, list(entries))
 
     def met(self, backend: str, tries: int, bad: int = 0, mean: int = 1000, busy: float | None = None) -> None:
-        self.brain.learn_tries(self.now, backend, 0, tries, bad, mean, SECOND, say.Load(busy))
+        self.brain.on_attempt_statistics(self.now, backend, 0, tries, bad, mean, SECOND, LoadReport(busy))
 
-    def pull(self) -> list[say.Decision]:
+    def pull(self) -> list[Decision]:
         made = list(self.brain.decisions(self.now))
         self.made += made
-        turn = next((each.turn for each in made if isinstance(each, say.TurnMark)), 0)
-        messages: dict[int, tuple[float, list[say.Decision]]] = {}
+        turn = next((each.round_number for each in made if isinstance(each, AcknowledgementRequest)), 0)
+        messages: dict[int, tuple[float, list[Decision]]] = {}
         for decision in made:
             for proxy, lines in self.cost(decision).items():
-                cost, orders = messages.setdefault(proxy, (self.start.channel.head + 1, []))
+                cost, orders = messages.setdefault(proxy, (self.start.channel.message_overhead + 1, []))
                 messages[proxy] = (cost + lines, [*orders, decision])
-            if isinstance(decision, say.TurnMark) and decision.everyone:
+            if isinstance(decision, AcknowledgementRequest) and decision.all_proxies:
                 for proxy in self.muxes:
-                    messages.setdefault(proxy, (self.start.channel.head + 1, []))
+                    messages.setdefault(proxy, (self.start.channel.message_overhead + 1, []))
         self.queue += [(self.muxes[p], p, cost, orders, turn) for p, (cost, orders) in messages.items()]
         return made
 
-    def cost(self, decision: say.Decision) -> dict[int, float]:
+    def cost(self, decision: Decision) -> dict[int, float]:
         """Lines at each proxy, and what the order changes in the controller's own books."""
         match decision:
-            case say.TableChange(table, lines):
+            case TableChange(table, lines):
                 self.tables.setdefault(table, {}).update(lines)
                 return dict.fromkeys(self.users(table), float(len(lines)))
-            case say.Admission(table, groups, level, tries):
+            case AdmissionLevel(table, groups, level, tries):
                 self.levels.update({(table, place): (level, tries) for place in groups})
                 return dict.fromkeys(self.users(table), 1.0)
-            case say.Shutout(backend, shut):
+            case Withdrawal(backend, shut):
                 (self.shut.add if shut else self.shut.discard)(backend)
                 return {proxy: 1.0 for proxy, mux in self.muxes.items() if not shut or self.holds(mux, backend)}
-            case say.Assignment(proxy, table, groups):
+            case TableAssignment(proxy, table, groups):
                 self.muxes[proxy].ordered = {table} if not groups else self.muxes[proxy].ordered | {table}
                 held = {b: w for b, w in self.tables.get(table, {}).items() if w}
                 self.muxes[proxy].coming[table] = held
@@ -141,20 +159,20 @@
             self.credit -= lines
             for decision in orders:
                 self.obey(mux, decision)
-            self.brain.turn_applied(self.now, proxy, turn, 100)
+            self.brain.on_acknowledgement(self.now, proxy, turn, 100)
 
-    def obey(self, mux: Mux, decision: say.Decision) -> None:
+    def obey(self, mux: Mux, decision: Decision) -> None:
         match decision:
-            case say.TableChange(table, lines):
+            case TableChange(table, lines):
                 mux.tables.setdefault(table, {}).update(lines)
                 mux.tables[table] = {b: w for b, w in mux.tables[table].items() if w}
-            case say.Assignment(_, table, groups):
+            case TableAssignment(_, table, groups):
                 mux.shut = mux.shut if mux.tables else set(self.shut)
                 mux.tables = (mux.tables if groups else {}) | {table: mux.coming.pop(table)}
-            case say.Shutout(backend, shut):
+            case Withdrawal(backend, shut):
                 (mux.shut.add if shut else mux.shut.discard)(backend)
 
-    def run(self, seconds: float, beat: int = 1_000) -> list[say.Decision]:
+    def run(self, seconds: float, beat: int = 1_000) -> list[Decision]:
         first = len(self.made)
         for _ in range(int(seconds * SECOND / beat)):
             self.now += beat
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -11,7 +11,6 @@
 
 import pytest
 
-import onyxhead.interface as say
 from onyxhead.agent import counters
 from onyxhead.agent.daemon import Tree
 from onyxhead.agent.keeper import Keeper, Taken, Torn, read_state, state_of
@@ -19,6 +18,8 @@
 from onyxhead.controller import sums
 from onyxhead.fronts.files import envoy, nginx
 from onyxhead.http.messages import Request, Response
+from onyxhead.policy.decisions import TableAssignment, TableChange, Withdrawal
+from onyxhead.policy.inputs import AdmissionMode
 from onyxhead.settings.load import Agent, Log, Route
 from onyxhead.tables.orders import Books, Place
 from onyxhead.tables.view import View
@@ -29,13 +30,13 @@
 
 def orders() -> tuple[Keeper, list[Request]]:
     """A keeper that listens to stream "s", and two orders that build on each other."""
-    own = Books(("read", "write"), say.Throttle.SHARE, 6.0)
+    own = Books(("read", "write"), AdmissionMode.FRACTION, 6.0)
     own.places = {f"b{n}": Place(f"127.0.0.1:{9000 + n}", "north") for n in range(4)}
     keeper = Keeper(View.of({("standing", "b9"): line("b9")}))
     keeper.listen_to("s")
     own.join(1, keeper.view)
-    whole = own.messages(1, [say.TableChange(0, (("b0", 1.0), ("b1", 1.0))), say.Assignment(1, 0, ())])
-    change = own.messages(2, [say.Shutout("b1", True), say.TableChange(0, (("b2", 0.1),))])
+    whole = own.messages(1, [TableChange(0, (("b0", 1.0), ("b1", 1.0))), TableAssignment(1, 0, ())])
+    change = own.messages(2, [Withdrawal("b1", True), TableChange(0, (("b2", 0.1),))])
     return keeper, [request_of(message, "s", 0) for message in (*whole, *change)]
 
 
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -4,7 +4,17 @@
 
 from itertools import pairwise
 
-import onyxhead.interface as say
+from onyxhead.policy.decisions import (
+    AcknowledgementRequest,
+    AdmissionLevel,
+    Decision,
+    HealthCheckRequest,
+    SubscribeToEndpoints,
+    TableChange,
+    WakeUp,
+    Withdrawal,
+)
+from onyxhead.policy.inputs import AdmissionMode, ChannelLimits, HealthCheckResult, LoadReport, RetrySafety, WatchEvent
 from tests.rig import COLD_TIME, GRACE, SECOND, UNSERVED, Rig, deployment, draining, gone, group, ready
 
 
@@ -25,21 +35,21 @@
                 failed, mean = bad.get(backend, bad.get("all", (0, 1000)))
                 rig.met(backend, 20, failed, mean)
         for proxy in rig.muxes:
-            rig.brain.learn_intake(rig.now, proxy, 0, flows, SECOND)
+            rig.brain.on_request_rate(rig.now, proxy, 0, flows, SECOND)
         rig.run(1)
 
 
 def test_a_joining_proxy_gets_the_whole_table_once() -> None:
     rig = fleet(6, 1)
     assert rig.muxes[1].lines() == {f"b{n}": 1.0 for n in range(6)}
-    assert not any(isinstance(made, say.TableChange) for made in rig.run(5))
+    assert not any(isinstance(made, TableChange) for made in rig.run(5))
 
 
 def test_a_draining_backend_is_shut_out_at_once_and_its_line_goes_next_turn() -> None:
     rig = fleet(6, 1)
     rig.hear(draining("b2"))
-    assert say.Shutout("b2", True) in rig.pull()
-    assert say.TableChange(0, (("b2", 0),)) in rig.run(2)
+    assert Withdrawal("b2", True) in rig.pull()
+    assert TableChange(0, (("b2", 0),)) in rig.run(2)
 
 
 def test_one_that_comes_back_under_its_old_id_starts_at_a_tenth_and_rises_by_no_more() -> None:
@@ -57,9 +67,9 @@
 
 def test_a_removal_of_most_of_the_fleet_is_spread() -> None:
     rig = fleet(6, 1)
-    rig.hear(ready("b0"), news=say.News.WHOLE)
-    assert len([made for made in rig.pull() if isinstance(made, say.Shutout)]) == 1
-    assert len([made for made in rig.run(1) if isinstance(made, say.Shutout)]) == 4
+    rig.hear(ready("b0"), news=WatchEvent.SNAPSHOT)
+    assert len([made for made in rig.pull() if isinstance(made, Withdrawal)]) == 1
+    assert len([made for made in rig.run(1) if isinstance(made, Withdrawal)]) == 4
 
 
 def test_no_further_turn_waits_in_a_channel_far_slower_than_stated() -> None:
@@ -68,7 +78,7 @@
     for second in range(40):
         rig.hear(ready(f"b{second % 20}", started=rig.now))
         report(rig, 1)
-        assert rig.waiting() <= rig.start.channel.most_waiting / 2
+        assert rig.waiting() <= rig.start.channel.max_queued_lines / 2
 
 
 def test_a_slow_backend_steps_down_against_the_fleet_though_half_are_slow() -> None:
@@ -96,7 +106,7 @@
 
 
 def test_a_rate_level_splits_the_flows_over_proxies() -> None:
-    rig = fleet(8, 1, 2, throttle=say.Throttle.RATE)
+    rig = fleet(8, 1, 2, admission_mode=AdmissionMode.RATE)
     report(rig, 3)
     report(rig, 3, all=(10, 12_000))
     assert 0 < rig.levels[0, 0][0] <= 10
@@ -151,16 +161,18 @@
     assert rig.muxes[1].lines()["b1"] < 0.8
 
 
-def probe(rig: Rig, *dark: str, sight: say.Sight = say.Sight.SILENT) -> None:
+def probe(rig: Rig, *dark: str, sight: HealthCheckResult = HealthCheckResult.TIMED_OUT) -> None:
     for made in rig.run(3):
-        if isinstance(made, say.Probe):
+        if isinstance(made, HealthCheckRequest):
             lost = made.backend in dark
-            rig.brain.learn_probe(rig.now, made.backend, sight if lost else say.Sight.SERVED, say.Load(0.5))
+            rig.brain.on_health_check(
+                rig.now, made.backend, sight if lost else HealthCheckResult.HEALTHY, LoadReport(0.5)
+            )
     rig.run(1.1)
 
 
 def test_a_zone_that_answers_no_probe_keeps_a_trickle_and_comes_back_with_the_first_answer() -> None:
-    rig = fleet(9, 1, probes_allowed=True)
+    rig = fleet(9, 1, health_checks_allowed=True)
     report(rig, 2)
     probe(rig, "b0", "b3", "b6")
     assert all(rig.muxes[1].lines()[backend] < 0.01 for backend in ("b0", "b3", "b6"))
@@ -170,20 +182,20 @@
 
 
 def test_silence_everywhere_shuts_no_zone_out() -> None:
-    rig = fleet(9, 1, probes_allowed=True)
+    rig = fleet(9, 1, health_checks_allowed=True)
     probe(rig, *(f"b{n}" for n in range(9)))
     assert min(rig.muxes[1].lines().values()) == 1
 
 
 def test_two_refused_connections_take_a_backend_to_a_trickle() -> None:
-    rig = fleet(9, 1, probes_allowed=True)
-    probe(rig, "b0", sight=say.Sight.OUT_OF_REACH)
-    probe(rig, "b0", sight=say.Sight.OUT_OF_REACH)
+    rig = fleet(9, 1, health_checks_allowed=True)
+    probe(rig, "b0", sight=HealthCheckResult.UNREACHABLE)
+    probe(rig, "b0", sight=HealthCheckResult.UNREACHABLE)
     assert rig.muxes[1].lines()["b0"] < 0.01
 
 
 def test_the_messages_to_one_proxy_stay_under_their_cap() -> None:
-    channel = deployment().channel._replace(messages_cap=4, messages_span=10 * SECOND)
+    channel = deployment().channel._replace(max_messages=4, message_window=10 * SECOND)
     rig = fleet(8, 1, channel=channel)
     for second in range(9):
         rig.hear(ready(f"n{second}"))
@@ -192,37 +204,37 @@
 
 
 def test_a_refused_subscription_is_asked_again_and_the_old_list_stands() -> None:
-    rig = fleet(4, 1, must_subscribe=True)
-    assert rig.made.count(say.Subscribe()) == 1
-    rig.hear(news=say.News.REFUSED)
-    assert say.Subscribe() in rig.run(2)
+    rig = fleet(4, 1, subscription_required=True)
+    assert rig.made.count(SubscribeToEndpoints()) == 1
+    rig.hear(news=WatchEvent.REJECTED)
+    assert SubscribeToEndpoints() in rig.run(2)
     assert len(rig.muxes[1].lines()) == 4
 
 
 def test_levels_order_no_second_try_that_might_be_a_second_effect() -> None:
-    unsafe = group(say.Repeats.NON_RETRIABLE)
-    loose = deployment(unsafe, group(say.Repeats.DEDUPED), group(), usual_tries=2)
+    unsafe = group(RetrySafety.NOT_IDEMPOTENT)
+    loose = deployment(unsafe, group(RetrySafety.DEDUPLICATED), group(), default_retry_mode=2)
     assert Rig(loose, []).brain.tries == [1, 1, 2]
-    strict = loose._replace(guards=loose.guards._replace(refusal_may_have_run=True))
+    strict = loose._replace(safety=loose.safety._replace(rejection_may_have_effect=True))
     assert Rig(strict, []).brain.tries == [0, 0, 2]
 
 
 def test_odd_news_changes_nothing() -> None:
     rig = fleet(4, 1)
-    rig.brain.proxy_left(rig.now, 77)
-    rig.brain.turn_applied(rig.now, 77, 9, 1)
-    rig.brain.learn_intake(rig.now, 77, 9, 1, 0)
+    rig.brain.on_proxy_left(rig.now, 77)
+    rig.brain.on_acknowledgement(rig.now, 77, 9, 1)
+    rig.brain.on_request_rate(rig.now, 77, 9, 1, 0)
     rig.met("nobody", 3)
-    rig.brain.learn_probe(rig.now, "nobody", say.Sight.SERVED, say.Load())
+    rig.brain.on_health_check(rig.now, "nobody", HealthCheckResult.HEALTHY, LoadReport())
     rig.hear(ready("b1")._replace(weight=0.0))
-    rig.brain.proxy_joined(rig.now, 1, 0, 10.0, True)
+    rig.brain.on_proxy_joined(rig.now, 1, 0, 10.0, True)
     rig.now += 10 * COLD_TIME
-    assert all(not isinstance(made, say.Shutout | say.TableChange) for made in rig.pull())
-    assert any(isinstance(made, say.Wakeup) for made in rig.run(1))
+    assert all(not isinstance(made, Withdrawal | TableChange) for made in rig.pull())
+    assert any(isinstance(made, WakeUp) for made in rig.run(1))
 
 
 def test_groups_with_the_same_backends_share_a_table_and_others_have_their_own() -> None:
-    start = deployment(group(), group(), group(zones=frozenset((0, 1))), group(home_zone_only=True))
+    start = deployment(group(), group(), group(allowed_zones=frozenset((0, 1))), group(home_zone_only=True))
     assert [(table.zones, table.home, table.groups) for table in Rig(start, []).brain.tables] == [
         (None, None, [0, 1]),
         (frozenset((0, 1)), None, [2]),
@@ -282,7 +294,7 @@
 
 
 def test_a_table_open_to_few_keeps_its_lines_though_all_of_its_backends_are_too_busy() -> None:
-    start = deployment(group(), group(zones=frozenset((0,))))
+    start = deployment(group(), group(allowed_zones=frozenset((0,))))
     rig = Rig(start, [ready(f"b{n}", zone=n % 3) for n in range(9)])
     rig.join(1, "b0")
     for _ in range(20):
@@ -320,14 +332,16 @@
 
 def test_tries_of_a_cut_zone_make_no_cells() -> None:
     # On a bench day a controller that came up in a cut took its two dark zones for a lack of connections.
-    rig = Rig(deployment(probes_allowed=True), [ready(f"b{n}", zone=n % 3) for n in range(12)])
+    rig = Rig(deployment(health_checks_allowed=True), [ready(f"b{n}", zone=n % 3) for n in range(12)])
     for proxy in range(1, 9):
         rig.join(proxy, "b0", "b1")
     rig.run(1)
     for _ in range(20):
         for n in range(12):
             dark = n % 3 > 0
-            rig.brain.learn_probe(rig.now, f"b{n}", say.Sight.SILENT if dark else say.Sight.SERVED, say.Load())
+            rig.brain.on_health_check(
+                rig.now, f"b{n}", HealthCheckResult.TIMED_OUT if dark else HealthCheckResult.HEALTHY, LoadReport()
+            )
             rig.met(f"b{n}", 20, 20 if dark else 0, 100)
         rig.run(1)
     assert rig.brain.cells == 1 and rig.brain.failed < 0.1
@@ -345,21 +359,21 @@
     assert cut and min(cut) > 0.82 * cut[0]
 
 
-def told(rig: Rig, seconds: int, **latency: int) -> list[say.Decision]:
+def told(rig: Rig, seconds: int, **latency: int) -> list[Decision]:
     """Probes are answered; each backend tells how long its answers took, 0.1 s but for those named."""
-    made: list[say.Decision] = []
+    made: list[Decision] = []
     for _ in range(10 * seconds):
         made += (fresh := rig.run(0.1))
-        for probe in (each for each in fresh if isinstance(each, say.Probe)):
+        for probe in (each for each in fresh if isinstance(each, HealthCheckRequest)):
             takes = latency.get(probe.backend, latency.get("all", 1000))
-            sight = say.Sight.SERVED if takes else say.Sight.SILENT
-            rig.brain.learn_probe(rig.now, probe.backend, sight, say.Load(None, takes or None))
+            sight = HealthCheckResult.HEALTHY if takes else HealthCheckResult.TIMED_OUT
+            rig.brain.on_health_check(rig.now, probe.backend, sight, LoadReport(None, takes or None))
     return made
 
 
 def test_levels_follow_what_probes_tell_before_any_sum_does() -> None:
     # On bench days bursts were over, or had tipped the fleet, before sums that are seconds late moved a level.
-    rig = fleet(9, 1, 2, probes_allowed=True)
+    rig = fleet(9, 1, 2, health_checks_allowed=True)
     report(rig, 3, flows=90)
     told(rig, 3, all=12_000)
     assert rig.levels[0, 0][0] < 1 and rig.brain.slow < 0.1
@@ -368,14 +382,14 @@
 
 
 def test_some_slow_backends_lower_no_level() -> None:
-    rig = fleet(9, 1, 2, probes_allowed=True)
+    rig = fleet(9, 1, 2, health_checks_allowed=True)
     report(rig, 3, flows=90)
     told(rig, 6, b0=30_000, b1=30_000, b2=30_000, b3=30_000)
     assert rig.brain.let_in == 1
 
 
 def test_levels_go_back_to_sums_when_probes_fall_silent() -> None:
-    rig = fleet(9, 1, 2, probes_allowed=True)
+    rig = fleet(9, 1, 2, health_checks_allowed=True)
     report(rig, 3, flows=90)
     told(rig, 2)
     assert rig.brain.told
@@ -385,8 +399,8 @@
 
 
 def test_probes_come_twice_as_often_only_where_they_tell_how_long_answers_take() -> None:
-    telling, other = fleet(4, 1, probes_allowed=True), fleet(4, 1, probes_allowed=True)
-    probes = [sum(isinstance(made, say.Probe) for made in told(rig, 8, **kept))
+    telling, other = fleet(4, 1, health_checks_allowed=True), fleet(4, 1, health_checks_allowed=True)
+    probes = [sum(isinstance(made, HealthCheckRequest) for made in told(rig, 8, **kept))
               for rig, kept in ((telling, {}), (other, {"all": 0}))]  # fmt: skip
     assert probes[0] >= 1.4 * probes[1] > 0
 
@@ -397,7 +411,7 @@
         for backend in rig.brain.backends:
             rig.met(backend, 4, 0, 5_000, busy=1.0)
         for proxy in rig.muxes:
-            rig.brain.learn_intake(rig.now, proxy, 0, 10, SECOND)
+            rig.brain.on_request_rate(rig.now, proxy, 0, 10, SECOND)
         rig.run(1)
     assert 0.1 < rig.brain.late < 0.2 and 0.85 < rig.levels[0, 0][0] < 1
 
@@ -405,7 +419,7 @@
 def test_a_rate_level_holds_also_groups_that_are_let_in_whole() -> None:
     # A burst is told seconds late: what is known of the first group is no bound on what comes of it.
     groups = (group(utility=3.0), group())
-    rig = Rig(deployment(*groups, throttle=say.Throttle.RATE), [ready(f"b{n}") for n in range(8)])
+    rig = Rig(deployment(*groups, admission_mode=AdmissionMode.RATE), [ready(f"b{n}") for n in range(8)])
     rig.join(1, "b0")
     rig.join(2, "b0")
     rig.run(1)
@@ -426,12 +440,12 @@
     for proxy in range(30, 90):
         rig.join(proxy, *(f"b{n}" for n in range(40)))
     rig.run(6)
-    again = [made.backend for made in rig.made if isinstance(made, say.Shutout)]
+    again = [made.backend for made in rig.made if isinstance(made, Withdrawal)]
     assert again[:2] == ["b19", "b18"], again
 
 
 def test_no_cell_lacks_a_backend_for_a_group_that_few_may_serve() -> None:
-    start = deployment(group(), group(zones=frozenset((0,))))
+    start = deployment(group(), group(allowed_zones=frozenset((0,))))
     rig = Rig(start, [ready(f"b{n}", zone=n % 3) for n in range(12)])
     for proxy in range(12):
         rig.join(proxy, "b0", "b3")
@@ -468,7 +482,7 @@
         rig.run(2)
     rig.run(38)
     left = [n for mux in rig.muxes.values() for n in range(30) if f"b{n}" in mux.lines()]
-    assert not left, (len(left), sum(isinstance(made, say.TurnMark) for made in rig.made))
+    assert not left, (len(left), sum(isinstance(made, AcknowledgementRequest) for made in rig.made))
 
 
 def test_small_changes_of_level_are_not_sent() -> None:
@@ -478,7 +492,7 @@
     report(rig, 6, flows=30, all=(10, 12_000))
     for n in range(20):
         report(rig, 1, flows=30 + n % 4, all=(0, 5_000))
-    sent = [made.level for made in rig.made if isinstance(made, say.Admission)]
+    sent = [made.level for made in rig.made if isinstance(made, AdmissionLevel)]
     assert sent and all(abs(late - soon) > 0.1 * max(late, soon) for soon, late in pairwise(sent)), sent
 
 
@@ -492,7 +506,7 @@
 
 
 def test_a_growing_fleet_that_fails_nothing_uses_its_cold_backends_though_proxies_avoid() -> None:
-    calm, rattled = (fleet(6, 1, avoided_after=3) for _ in range(2))
+    calm, rattled = (fleet(6, 1, proxy_ejection_failures=3) for _ in range(2))
     for rig, bad in ((calm, (0, 1000)), (rattled, (3, 1000))):
         report(rig, 6, flows=120, all=bad)
         rig.hear(*(ready(f"n{n}", started=rig.now) for n in range(10)))
@@ -513,74 +527,76 @@
 
 
 def test_looks_that_meet_silence_or_late_answers_step_a_backend_down_before_sums_tell() -> None:
-    for sight, told in ((say.Sight.SILENT, None), (say.Sight.SERVED, 20_000)):
-        rig = fleet(9, 1, probes_allowed=True)
+    for sight, told in ((HealthCheckResult.TIMED_OUT, None), (HealthCheckResult.HEALTHY, 20_000)):
+        rig = fleet(9, 1, health_checks_allowed=True)
         report(rig, 6)
         for _ in range(4):
             for n in range(9):
-                rig.brain.learn_probe(rig.now, f"b{n}", say.Sight.SERVED, say.Load(latency=1000))
-            rig.brain.learn_probe(rig.now, "b4", sight, say.Load(latency=told))
+                rig.brain.on_health_check(rig.now, f"b{n}", HealthCheckResult.HEALTHY, LoadReport(latency=1000))
+            rig.brain.on_health_check(rig.now, "b4", sight, LoadReport(latency=told))
             report(rig, 1)
         lines = rig.muxes[1].lines()
         assert lines["b4"] < 0.9 and all(lines[f"b{n}"] == 1 for n in range(9) if n != 4)
 
 
 def test_where_many_are_silent_looks_step_nobody_down() -> None:
-    rig = fleet(9, 1, probes_allowed=True)
+    rig = fleet(9, 1, health_checks_allowed=True)
     report(rig, 6)
     for _ in range(4):
         for n in range(9):
-            sight = say.Sight.SILENT if n < 6 else say.Sight.SERVED
-            rig.brain.learn_probe(rig.now, f"b{n}", sight, say.Load(latency=1000))
+            sight = HealthCheckResult.TIMED_OUT if n < 6 else HealthCheckResult.HEALTHY
+            rig.brain.on_health_check(rig.now, f"b{n}", sight, LoadReport(latency=1000))
         report(rig, 1)
     assert all(rig.brain.backends[f"b{n}"].trust == 1 for n in range(3, 6))
 
 
 def test_quick_answers_to_looks_hide_no_backend_whose_flows_fail() -> None:
-    rig = fleet(9, 1, probes_allowed=True)
+    rig = fleet(9, 1, health_checks_allowed=True)
     for _ in range(12):
         for n in range(9):
-            rig.brain.learn_probe(rig.now, f"b{n}", say.Sight.SERVED, say.Load(latency=500))
+            rig.brain.on_health_check(rig.now, f"b{n}", HealthCheckResult.HEALTHY, LoadReport(latency=500))
         report(rig, 1, b4=(16, 1000))
     assert rig.muxes[1].lines()["b4"] < 0.3
 
 
 def test_looks_that_meet_errors_step_a_backend_down_before_sums_tell() -> None:
-    rig = fleet(9, 1, probes_allowed=True)
+    rig = fleet(9, 1, health_checks_allowed=True)
     report(rig, 6)
     for second in range(5):
         for n in range(9):
-            sight = say.Sight.NO_ROOM if n == 4 and second % 2 else say.Sight.SERVED
-            rig.brain.learn_probe(rig.now, f"b{n}", sight, say.Load(latency=1000))
+            sight = HealthCheckResult.REJECTED if n == 4 and second % 2 else HealthCheckResult.HEALTHY
+            rig.brain.on_health_check(rig.now, f"b{n}", sight, LoadReport(latency=1000))
         report(rig, 1)
     lines = rig.muxes[1].lines()
     assert lines["b4"] < 0.9 and all(lines[f"b{n}"] == 1 for n in range(9) if n != 4)
 
 
 def test_a_warm_backend_slower_than_the_middle_of_its_kind_gets_less_and_small_differences_change_nothing() -> None:
-    rig = fleet(12, 1, probes_allowed=True)
+    rig = fleet(12, 1, health_checks_allowed=True)
     for _ in range(12):
         for n in range(12):
             told = 3000 if n == 4 else 1100 + 30 * n
-            rig.brain.learn_probe(rig.now, f"b{n}", say.Sight.SERVED, say.Load(latency=told))
+            rig.brain.on_health_check(rig.now, f"b{n}", HealthCheckResult.HEALTHY, LoadReport(latency=told))
         report(rig, 1)
     lines = rig.muxes[1].lines()
     assert 0.3 <= lines["b4"] < 0.5 and all(lines[f"b{n}"] == 1 for n in range(12) if n != 4)
 
 
 def test_a_cold_backend_is_not_held_to_the_speed_of_warm_ones() -> None:
-    rig = fleet(6, 1, probes_allowed=True)
+    rig = fleet(6, 1, health_checks_allowed=True)
     rig.hear(ready("n", started=rig.now))
     for _ in range(8):
         for n in ("b0", "b1", "b2", "b3", "b4", "b5", "n"):
-            rig.brain.learn_probe(rig.now, n, say.Sight.SERVED, say.Load(latency=3000 if n == "n" else 1000))
+            rig.brain.on_health_check(
+                rig.now, n, HealthCheckResult.HEALTHY, LoadReport(latency=3000 if n == "n" else 1000)
+            )
         report(rig, 1)
     assert rig.brain.backends["n"].quick == 1 and rig.brain.backends["n"].long == 0
 
 
 def test_a_few_that_join_in_a_deploy_get_their_tables_and_cost_the_others_nothing() -> None:
     # Each joining had all withdrawals said again to all that still held a line: the channel never came free.
-    rig = fleet(30, *range(60), channel=say.Channel(900.0, 6.0, 3600, 2000, 5000, 0, 0))
+    rig = fleet(30, *range(60), channel=ChannelLimits(900.0, 6.0, 3600, 2000, 5000, 0, 0))
     rig.run(8)
     rig.pace /= 2
     rig.made.clear()
@@ -589,13 +605,13 @@
         rig.hear(draining(f"b{place}"))
         rig.run(0.5)
     rig.run(2)
-    assert sum(isinstance(made, say.Shutout) for made in rig.made) == 6
+    assert sum(isinstance(made, Withdrawal) for made in rig.made) == 6
     assert all(proxy.bound for proxy in rig.brain.proxies.values())
 
 
 def test_where_whole_tables_for_all_outlast_the_grace_they_are_narrow_and_a_drain_costs_few() -> None:
     # 40 proxies may have 25 lines each within the grace: their heads, and 17 backends of the 50.
-    rig = fleet(50, *range(8), proxies=40)
+    rig = fleet(50, *range(8), proxy_count=40)
     rig.run(4)
     held = {proxy: set(mux.lines()) for proxy, mux in rig.muxes.items()}
     assert all(12 <= len(lines) <= 20 for lines in held.values())
@@ -613,19 +629,19 @@
 
 
 def test_proxies_that_all_come_at_once_in_a_deploy_get_narrow_tables_in_place_of_old_withdrawals() -> None:
-    rig = fleet(50, *range(4), proxies=40)
+    rig = fleet(50, *range(4), proxy_count=40)
     rig.run(4)
     rig.hear(*(draining(f"b{n}") for n in range(10)))
     rig.run(2)
     for proxy in range(4, 30):
         rig.join(proxy, *(f"b{n}" for n in range(5)))
     made = rig.run(GRACE / SECOND)
-    assert not any(isinstance(each, say.Shutout) for each in made)
+    assert not any(isinstance(each, Withdrawal) for each in made)
     assert not any(set(mux.lines()) & {f"b{n}" for n in range(10)} for mux in rig.muxes.values())
 
 
 def test_a_narrow_table_left_with_nothing_is_dealt_anew() -> None:
-    rig = fleet(50, *range(8), proxies=40)
+    rig = fleet(50, *range(8), proxy_count=40)
     rig.run(4)
     lost = set(rig.muxes[0].lines())
     rig.hear(*(gone(name) for name in lost))
@@ -634,7 +650,7 @@
 
 
 def test_one_that_was_away_while_cells_became_fewer_returns_and_newcomers_are_still_dealt() -> None:
-    rig = fleet(50, *range(30), proxies=40)
+    rig = fleet(50, *range(30), proxy_count=40)
     rig.brain._split(rig.now, [30], True)  # as where connections are few
     last = max(rig.brain.backends.values(), key=lambda b: b.cell)
     rig.hear(gone(last.id))
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -118,7 +118,9 @@
 
     def lend(self, name: str) -> None:
         if (member := self.members[name]) is not None:
-            member.strained({life: Strain(self.parts[name], self.chance.uniform(0, 3) * self.parts[name]) for life in self.lives})
+            member.strained(
+                {life: Strain(self.parts[name], self.chance.uniform(0, 3) * self.parts[name]) for life in self.lives}
+            )
             member.lend()
 
     def step(self) -> None:
@@ -195,11 +197,16 @@
 
 def brought(rig: Rig) -> float:
     """The weight of the cold backend's line that proxies here hold, in parts."""
-    return sum(keeper.view.leaves.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"] for keeper in rig.keepers.values())
+    return sum(
+        keeper.view.leaves.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"]
+        for keeper in rig.keepers.values()
+    )
 
 
 def burst(shared: bool) -> tuple[float, list[float]]:
-    rigs = {name: Rig(backends=4, proxies=4, seed=n, lines_per_s=20_000.0) for n, name in enumerate(("busy", "idle"))}
+    rigs = {
+        name: Rig(backends=4, proxies=4, seed=n, lines_per_second=20_000.0) for n, name in enumerate(("busy", "idle"))
+    }
     budgets = {name: Budget(name, 0, [], Disk().keep) for name in rigs}
     for step in range(300):
         for name, rig in rigs.items():
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -9,7 +9,14 @@
 from onyxhead.console.app import TABS, Console
 from onyxhead.console.rows import Told
 
-LINE = {"address": "a:1", "zone": "north", "ready": True, "draining": False, "withdrawn": False, "lines": {"0": 1_000_000}}
+LINE = {
+    "address": "a:1",
+    "zone": "north",
+    "ready": True,
+    "draining": False,
+    "withdrawn": False,
+    "lines": {"0": 1_000_000},
+}
 
 
 def state(**more: Any) -> dict[str, Any]:
@@ -21,8 +28,17 @@
     return usual | more
 
 
-ORDER = {"at": 990.0, "causes": ["list: 1 changes"], "decisions": [["withdraw", "b2"], ["lines", 0, {"b1": 0.5}], ["level", 0, [1], 0.25, 1]], "sound": True}
-LOAD = {"backends": {"b1": {"busy": {"value": 0.42, "error": 0.01}, "trust": 0.1, "why": "answers are later than its word allows"}}}
+ORDER = {
+    "at": 990.0,
+    "causes": ["list: 1 changes"],
+    "decisions": [["withdraw", "b2"], ["lines", 0, {"b1": 0.5}], ["level", 0, [1], 0.25, 1]],
+    "sound": True,
+}
+LOAD = {
+    "backends": {
+        "b1": {"busy": {"value": 0.42, "error": 0.01}, "trust": 0.1, "why": "answers are later than its word allows"}
+    }
+}
 
 
 def told(**members: Told) -> dict[str, Told]:
@@ -30,16 +46,22 @@
 
 
 def test_a_member_that_does_not_answer_is_not_known_and_never_as_it_was() -> None:
-    shown = rows.fleet(told(c1=Told(state(), [], None, 1.0), c2=Told(None, [], None, 0.0), c3=Told(state(), [], None, 60.0)))
+    shown = rows.fleet(
+        told(c1=Told(state(), [], None, 1.0), c2=Told(None, [], None, 0.0), c3=Told(state(), [], None, 60.0))
+    )
     assert shown[0] == ("c1", "1 s", "2", "7", "1", "10/2000", "12")
     assert shown[1] == ("c2", "never heard", *"?????") and shown[2] == ("c3", "silent for 60 s", *"?????")
     gone = told(c3=Told(state(), [], LOAD, 60.0))
-    assert rows.backends(gone) == [] and rows.proxies(gone) == [] and [each.grave for each in rows.alarms(gone)] == [True]
+    assert (
+        rows.backends(gone) == [] and rows.proxies(gone) == [] and [each.grave for each in rows.alarms(gone)] == [True]
+    )
 
 
 def test_backends_show_where_members_differ_and_whose_word_is_doubted() -> None:
     other = state(backends={"b1": LINE | {"draining": True, "ready": False, "lines": {}}, "b3": LINE | {"lines": {}}})
-    shown = {row[0]: row[1:] for row in rows.backends(told(c1=Told(state(), [], LOAD, 1.0), c2=Told(other, [], None, 1.0)))}
+    shown = {
+        row[0]: row[1:] for row in rows.backends(told(c1=Told(state(), [], LOAD, 1.0), c2=Told(other, [], None, 1.0)))
+    }
     assert shown["b1"] == ("north", "c1:in c2:draining", "1.00", "42%", "answers are later than its word allows")
     assert shown["b2"][1] == "c1:out c2:unlisted" and shown["b3"][1] == "c1:unlisted c2:waiting"
 
@@ -47,7 +69,10 @@
 def test_orders_and_a_backends_course_are_told_newest_first() -> None:
     late = ORDER | {"at": 995.0, "sound": False}
     shown = rows.orders(told(c1=Told(state(), [ORDER, late], None, 1.0)), 1000.0)
-    assert shown[0] == ("5 s", "c1", "list: 1 changes", "damaged record") and shown[1][3] == "withdraw b2; t0: b1=0.5; t0: groups [1] let in 25%"
+    assert (
+        shown[0] == ("5 s", "c1", "list: 1 changes", "damaged record")
+        and shown[1][3] == "withdraw b2; t0: b1=0.5; t0: groups [1] let in 25%"
+    )
     assert rows.course(told(c1=Told(state(), [ORDER], None, 1.0)), "b1", 1000.0) == [("10 s", "c1", "0.5 in t0")]
 
 
@@ -83,7 +108,10 @@
             await pilot.press("3", "enter")
             await pilot.pause(0.2)
             assert app.backend == "b1" and tables["course"].row_count == 1  # type: ignore[attr-defined]
-            assert all(widget.region.right <= 80 and widget.region.bottom <= 24 for widget in app.query("Header, Footer, TabbedContent"))
+            assert all(
+                widget.region.right <= 80 and widget.region.bottom <= 24
+                for widget in app.query("Header, Footer, TabbedContent")
+            )
             await pilot.press("q")
 
     asyncio.run(work())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -13,7 +13,6 @@
 
 import pytest
 
-import onyxhead.interface as say
 from onyxhead.fronts.streams.orders import rejected
 from onyxhead.fronts.streams.resp import Words, framed
 from onyxhead.node import start as starting
@@ -22,6 +21,7 @@
 from onyxhead.node.listing import Listing, Names
 from onyxhead.node.notes import Notes
 from onyxhead.node.serve import Node
+from onyxhead.policy.decisions import TableChange, Withdrawal
 from tests.test_node import SETTINGS, Client, Platform, Running, config, free_port, running
 
 JOINING = b"attach proxy %d zone a weight 5.0 fresh 1"
@@ -107,7 +107,9 @@
         heard = Heard(4)
         good, mute = heard.dial(framed([b"hello"])), heard.dial()
         heard.listener._accept()
-        monkeypatch.setattr("onyxhead.node.connections.JOIN_TIMEOUT", -1.0)  # as after a slow moment between accept and read
+        monkeypatch.setattr(
+            "onyxhead.node.connections.JOIN_TIMEOUT", -1.0
+        )  # as after a slow moment between accept and read
         heard.listener._sweep()
         assert heard.joined == [(b"hello",)] and heard.ended == ["never joined"]
         assert mute.recv(1) == b""
@@ -205,7 +207,9 @@
         asked, seen = list[bytes](), list[tuple[int, bool]]()
         names = Names({"a": 0}, {}, round)
         async with discovery(old) as before, discovery(new) as after, asyncio.timeout(30):
-            watch = Watch(before, names, lambda found: seen.append((found.revision, found.entries[0].draining)), print, 1)
+            watch = Watch(
+                before, names, lambda found: seen.append((found.revision, found.entries[0].draining)), print, 1
+            )
             watch.start()
             while not seen:
                 await asyncio.sleep(0)
@@ -328,14 +332,14 @@
 def test_a_joining_that_can_not_be_booked_ends_its_stream_so_that_the_proxy_joins_anew(tmp_path: Path) -> None:
     async def play() -> None:
         async with node_here(tmp_path) as (node, here):
-            book, faults = node.host.brain.proxy_joined, [KeyError("a fault of ours")]
+            book, faults = node.host.brain.on_proxy_joined, [KeyError("a fault of ours")]
 
             def joined(*told: Any) -> None:
                 if faults:
                     raise faults.pop()
                 book(*told)
 
-            node.host.brain.proxy_joined = joined  # type: ignore[method-assign]
+            node.host.brain.on_proxy_joined = joined  # type: ignore[method-assign]
             assert await (await here.dial((JOINING % 3).decode())).hear() is None
             assert "rows" in await (await here.dial((JOINING % 3).decode())).until(lambda m: "rows" in m)
 
@@ -348,12 +352,12 @@
             proxy = await here.dial((JOINING % 3).decode())
             table = await proxy.until(lambda m: "rows" in m)
             proxy.say(f"done proxy 3 mark {table['stamp']} took_ms 1")
-            decide, unfit = node.host.brain.decisions, [say.TableChange(0, None)]  # type: ignore[arg-type]
+            decide, unfit = node.host.brain.decisions, [TableChange(0, None)]  # type: ignore[arg-type]
 
             def decisions(now: int) -> Any:
                 made = list(decide(now))
                 yield from made
-                if unfit and any(isinstance(each, say.Shutout) for each in made):
+                if unfit and any(isinstance(each, Withdrawal) for each in made):
                     yield unfit.pop()
 
             node.host.brain.decisions = decisions  # type: ignore[method-assign]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -47,7 +47,9 @@
 
     def start(self, name: str) -> Membership:
         self.lives[name] += 1
-        return Membership(name, f"{self.lives[name]:05d}", self.names, Random(f"{name}{self.chance.random()}"), self.now)
+        return Membership(
+            name, f"{self.lives[name]:05d}", self.names, Random(f"{name}{self.chance.random()}"), self.now
+        )
 
     def send(self, packets: list[Packet]) -> None:
         for packet in packets:
@@ -454,7 +456,9 @@
 
         daemons = await three(running, tmp_path)
         listed = ", ".join(f'"127.0.0.1:{d.settings.listen[1]}"' for d in daemons)
-        sockets.AGENT = AGENT.replace('"127.0.0.1:%d"', listed.replace("%", "%%") + ' // %d\n').replace("1500ms", "600ms")
+        sockets.AGENT = AGENT.replace('"127.0.0.1:%d"', listed.replace("%", "%%") + " // %d\n").replace(
+            "1500ms", "600ms"
+        )
         agents = [await running.agent(f"p{n}", 0) for n in range(6)]
         sockets.AGENT = AGENT
         names = {f"p{n}" for n in range(6)}
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -10,10 +10,10 @@
 from click.testing import CliRunner
 from immutables import Map
 
-import onyxhead.interface as say
 from onyxhead.agent.keeper import Taken
 from onyxhead.cli.main import main
 from onyxhead.controller.ways import run as ask
+from onyxhead.policy.decisions import TableChange
 from onyxhead.store.store import Store
 from onyxhead.tables.history import History, Refused, Truth, Unknown, diff, overlay, plan
 from onyxhead.tables.view import MODULUS, leaf_hash
@@ -76,7 +76,9 @@
     back = plan(version, now, now, truth)
     assert back.lines == lines(a=FULL, cold=5, young=9)
     assert back.left == {
-        "gone": "gone or draining", "cold": "started since; it keeps its ramp", "young": "started since; it keeps its ramp",
+        "gone": "gone or draining",
+        "cold": "started since; it keeps its ramp",
+        "young": "started since; it keeps its ramp",
     }
 
 
@@ -104,9 +106,7 @@
     """All proxies on a table in which somebody has made b1 and b2 carry nearly nothing."""
     rig = Rig(proxies=4)
     rig.run(2)
-    import onyxhead.interface as say
-
-    messages = rig.house.books.messages(0, [say.TableChange(0, (("b1", 0.001), ("b2", 0.001)))])
+    messages = rig.house.books.messages(0, [TableChange(0, (("b1", 0.001), ("b2", 0.001)))])
     for message in messages:
         rig.house._send(rig.now, message)
     rig.run(0.5)
@@ -152,13 +152,11 @@
 
 
 def test_a_rollback_at_size_goes_out_within_the_channels_share() -> None:
-    rig = Rig(backends=60, proxies=30, lines_per_s=3000.0, most_waiting=3000.0)
+    rig = Rig(backends=60, proxies=30, lines_per_second=3000.0, max_queued_lines=3000.0)
     rig.run(4)
-    import onyxhead.interface as say
-
     first = rig.house.history.last.number
     changed = tuple((f"b{n}", 0.5) for n in range(50))
-    for message in rig.house.books.messages(0, [say.TableChange(0, changed)]):
+    for message in rig.house.books.messages(0, [TableChange(0, changed)]):
         rig.house._send(rig.now, message)
     rig.run(2)
     rolled(rig, str(first))
@@ -249,9 +247,7 @@
     rig = Rig(proxies=2)
     rig.run(2)
     assert rig.house.freeze(rig.now, 60.0) == rig.house.history.last.number
-    import onyxhead.interface as say
-
-    for message in rig.house.books.messages(0, [say.TableChange(0, (("b1", 0.001),))]):
+    for message in rig.house.books.messages(0, [TableChange(0, (("b1", 0.001),))]):
         rig.house._send(rig.now, message)
     rig.set("b2", "draining")
     rig.run(2)
@@ -343,7 +339,7 @@
     one, two = first.house.history.last, second.house.history.last
     assert one.number == two.number and one.tag != two.tag
     # The proxy is handed over; an order of the first controller's version, late on its way, finds another view.
-    late = first.house.books.messages(77, [say.TableChange(0, (("b2", 0.5),))])[0]
+    late = first.house.books.messages(77, [TableChange(0, (("b2", 0.5),))])[0]
     second.keepers = {"p0": first.keepers["p0"]}
     second.join("p0")
     second.run(2)
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -7,7 +7,6 @@
 
 import pytest
 
-import onyxhead.interface as say
 from onyxhead.agent.keeper import Keeper, Taken
 from onyxhead.controller import sums
 from onyxhead.controller.channel import Channel, Overfull
@@ -15,11 +14,13 @@
 from onyxhead.controller.door import Door
 from onyxhead.controller.probe import busy_share, latency, load_report
 from onyxhead.controller.roster import Follower, Roster, Unlisted, read
+from onyxhead.policy.decisions import TableChange, Withdrawal
+from onyxhead.policy.inputs import ChannelLimits, WatchEvent
 from onyxhead.tables.orders import Place
 from onyxhead.tables.view import View
 from tests.fleetrig import SECOND, ZONES, Rig, entry, line, request_of
 
-LIMITS = say.Channel(100.0, 6.0, 50.0, 0, 0, 3, SECOND)
+LIMITS = ChannelLimits(100.0, 6.0, 50.0, 0, 0, 3, SECOND)
 
 
 def test_messages_leave_in_order_at_the_pace() -> None:
@@ -102,9 +103,9 @@
 def test_changes_name_what_left_and_a_newcomer_with_no_start_counts_as_just_started() -> None:
     own = follower()
     first = own.follow(Roster(1, (entry("b1"), entry("b2"))))
-    assert first is not None and first.kind is say.News.WHOLE and {e.started for e in first.listed} == {0}
+    assert first is not None and first.kind is WatchEvent.SNAPSHOT and {e.started_at for e in first.listed} == {0}
     news = own.follow(Roster(2, (entry("b2"), entry("b3"), entry("b4", zone="moon"))))
-    assert news is not None and [(e.backend, e.ready, e.started) for e in news.listed] == [
+    assert news is not None and [(e.backend, e.ready, e.started_at) for e in news.listed] == [
         ("b3", True, 50 * SECOND), ("b1", False, 0),
     ]  # fmt: skip
     assert "moon" in news.notes[0] and own.follow(Roster(2, own.last.entries if own.last else ())) is None
@@ -198,7 +199,7 @@
 
 
 def test_a_drain_told_while_forty_wait_for_full_tables_reaches_all_within_the_grace() -> None:
-    rig = Rig(backends=30, lines_per_s=1500.0, most_waiting=4000.0)
+    rig = Rig(backends=30, lines_per_second=1500.0, max_queued_lines=4000.0)
     for number in range(40):
         rig.keepers[f"p{number}"] = Keeper(View.of({("standing", "b3"): line("b3")}))
         rig.join(f"p{number}")
@@ -241,7 +242,7 @@
 
 @pytest.mark.parametrize("after", [1.0, 1.4, 2.5])
 def test_a_survivor_that_gets_a_hundred_proxies_in_a_deploy_keeps_drains_within_the_grace(after: float) -> None:
-    way = {"lines_per_s": 1050.0, "most_waiting": 2100.0}
+    way = {"lines_per_second": 1050.0, "max_queued_lines": 2100.0}
     first = Rig(backends=60, **way)
     for number in range(100):
         first.keepers[f"p{number}"] = Keeper(View.of({("standing", "b0"): line("b0")}))
@@ -255,7 +256,7 @@
         second.join(name)
     for number in range(10):
         second.set(f"b{number}", "draining")
-    grace = second.start.guards.drain_grace / SECOND
+    grace = second.start.safety.drain_grace / SECOND
     second.run(after)
     # The second wave comes in the middle of the storm, behind the tables of those that join.
     for number in range(10, 15):
@@ -318,10 +319,10 @@
 
 
 def test_orders_beyond_the_limit_are_refused_and_the_proxy_joins_anew() -> None:
-    rig = Rig(backends=6, proxies=1, most_waiting=40.0, lines_per_s=10_000.0)
+    rig = Rig(backends=6, proxies=1, max_queued_lines=40.0, lines_per_second=10_000.0)
     rig.run(1)
     number = rig.house.number("p0")
-    message = rig.house.books.messages(9, [say.TableChange(0, tuple((f"b{n % 6}", 1 + n / 100) for n in range(60)))])[0]
+    message = rig.house.books.messages(9, [TableChange(0, tuple((f"b{n % 6}", 1 + n / 100) for n in range(60)))])[0]
     rig.house._send(rig.now, message)
     assert number not in rig.house.joined and rig.house.counts["refused by the limit"] == 1
     rig.join("p0")
@@ -367,7 +368,7 @@
     for name, keeper in rig.keepers.items():
         assert keeper.view.tag == rig.house.books.views[rig.house.number(name)].tag
         assert set(rig.lines(name)) == up
-    assert rig.most <= rig.start.channel.most_waiting
+    assert rig.most <= rig.start.channel.max_queued_lines
 
 
 def test_a_withdrawal_goes_only_to_who_may_hold_the_backend_and_only_once() -> None:
@@ -377,11 +378,11 @@
     rig.run(3)
     assert all(("withdrawn", "b2") in keeper.view.leaves for keeper in rig.keepers.values())
     before = {name: keeper.view.tag for name, keeper in rig.keepers.items()}
-    told = rig.house.books.messages(99, [say.Shutout("b2", True)])
+    told = rig.house.books.messages(99, [Withdrawal("b2", True)])
     assert told == [] and before == {name: keeper.view.tag for name, keeper in rig.keepers.items()}
     # A line of a withdrawn backend, as held tables might bring it, never comes without its withdrawal.
     for keeper in rig.keepers.values():
         assert "b2" not in keeper.view.kind("tables", "t0", "lines")
     rig.join("p9")
-    messages = rig.house.books.messages(100, [say.TableChange(0, (("b2", 1.0),))])
+    messages = rig.house.books.messages(100, [TableChange(0, (("b2", 1.0),))])
     assert messages and all(("withdrawn", "b2") in message.result.leaves for message in messages)
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -19,7 +19,9 @@
 NOW = 1_000_000.0
 
 
-def order(at: float, *decisions: list[Any], causes: tuple[str, ...] = ("list: 1 changes",), sound: bool | None = True) -> dict[str, Any]:
+def order(
+    at: float, *decisions: list[Any], causes: tuple[str, ...] = ("list: 1 changes",), sound: bool | None = True
+) -> dict[str, Any]:
     return {"number": int(at), "at": NOW + at, "causes": list(causes), "decisions": list(decisions), "sound": sound}
 
 
@@ -43,26 +45,56 @@
 
 
 def test_a_stretch_with_no_records_is_a_gap_and_never_calm() -> None:
-    own = records(lives=(Life(1, NOW + 10, NOW + 30), Life(2, NOW + 50, NOW + 90)), orders=(order(12, ["lines", 0, {"b1": 1.0}]), order(55, ["withdraw", "b1"])))
+    own = records(
+        lives=(Life(1, NOW + 10, NOW + 30), Life(2, NOW + 50, NOW + 90)),
+        orders=(order(12, ["lines", 0, {"b1": 1.0}]), order(55, ["withdraw", "b1"])),
+    )
     found = gaps([own], NOW, NOW + 100)
     assert [(round(gap.since - NOW), gap.until and round(gap.until - NOW), gap.why) for gap in found] == [
         (0, 10, "nothing is recorded before"), (30, 50, "it was down"), (90, None, "nothing is recorded after"),
     ]  # fmt: skip
     made = [(round(s.since - NOW), round(s.until - NOW), s.state) for s in courses([own], NOW, NOW + 100)["b1"]["c1"]]
-    assert made == [(0, 12, "not known"), (12, 30, "in"), (30, 50, "not known"), (50, 55, "in"), (55, 90, "out"), (90, 100, "not known")]
+    assert made == [
+        (0, 12, "not known"),
+        (12, 30, "in"),
+        (30, 50, "not known"),
+        (50, 55, "in"),
+        (55, 90, "out"),
+        (90, 100, "not known"),
+    ]
     assert gaps([Records("c9", (), (), (), ())], NOW, NOW + 1)[0].why == "no records at all"
 
 
 def test_two_controllers_that_disagree_are_told_but_not_where_one_is_silent() -> None:
-    one = {"b1": {"c1": [Stretch(NOW, NOW + 50, "in")], "c2": [Stretch(NOW, NOW + 10, "in"), Stretch(NOW + 10, NOW + 30, "out"), Stretch(NOW + 30, NOW + 50, "not known")]}}
+    one = {
+        "b1": {
+            "c1": [Stretch(NOW, NOW + 50, "in")],
+            "c2": [
+                Stretch(NOW, NOW + 10, "in"),
+                Stretch(NOW + 10, NOW + 30, "out"),
+                Stretch(NOW + 30, NOW + 50, "not known"),
+            ],
+        }
+    }
     (told,) = disagreements(one)
     assert told.at == NOW + 10 and "c1 has it in, c2 out, for 20 s" in told.text
 
 
 def test_a_page_escapes_what_it_tells_and_breaks_its_lines_at_gaps() -> None:
     own = records(audit=((NOW + 1, "<script>", "drain", "x"),))
-    made = page("A & B", NOW, NOW + 10, events([own], NOW, NOW + 10), gaps([own], NOW - 5, NOW + 10), {}, {"busy.b1": [(NOW, 1.0), (NOW + 2, 2.0), (NOW + 4, None), (NOW + 6, 1.0)]}, [])
-    assert "<script>" not in made and "A &amp; B" in made and made.count("<polyline") == 1 and made.count("<circle") == 1
+    made = page(
+        "A & B",
+        NOW,
+        NOW + 10,
+        events([own], NOW, NOW + 10),
+        gaps([own], NOW - 5, NOW + 10),
+        {},
+        {"busy.b1": [(NOW, 1.0), (NOW + 2, 2.0), (NOW + 4, None), (NOW + 6, 1.0)]},
+        [],
+    )
+    assert (
+        "<script>" not in made and "A &amp; B" in made and made.count("<polyline") == 1 and made.count("<circle") == 1
+    )
     assert not re.search(r"(src|href)=|https?://|@import", made)
 
 
@@ -99,15 +131,26 @@
 
     play(tmp_path, work)
     out = tmp_path / "page.html"
-    done = CliRunner().invoke(main, ["incident", str(tmp_path / "state"), "--since", "-30", "--title", "Night", "--out", str(out)])
+    done = CliRunner().invoke(
+        main, ["incident", str(tmp_path / "state"), "--since", "-30", "--title", "Night", "--out", str(out)]
+    )
     assert done.exit_code == 0, done.output
-    rows = re.findall(r"<tr class='(\w+)'><td>(\d+):(\d+):([\d.]+)</td><td>state</td><td>\w+</td><td>(.*?)</td></tr>", out.read_text())
+    rows = re.findall(
+        r"<tr class='(\w+)'><td>(\d+):(\d+):([\d.]+)</td><td>state</td><td>\w+</td><td>(.*?)</td></tr>", out.read_text()
+    )
     assert len(rows) >= len(script)
     for at, text in script:
         wanted = at % 86_400
         times = [int(h) * 3600 + int(m) * 60 + float(s) for _, h, m, s, told in rows if text in told]
         assert any(abs(each - wanted) < 1.0 for each in times), (text, wanted, times)
-    gap = next(int(h) * 3600 + int(m) * 60 + float(s) for kind, h, m, s, told in rows if kind == "gap" and "it was down" in told)
+    gap = next(
+        int(h) * 3600 + int(m) * 60 + float(s)
+        for kind, h, m, s, told in rows
+        if kind == "gap" and "it was down" in told
+    )
     assert down[0] % 86_400 - 1.6 < gap < down[1] % 86_400
     assert CliRunner().invoke(main, ["incident", str(tmp_path), "--since", "-30", "--out", str(out)]).exit_code == 2
-    assert CliRunner().invoke(main, ["incident", str(tmp_path / "state"), "--since", "noon", "--out", str(out)]).exit_code == 2
+    assert (
+        CliRunner().invoke(main, ["incident", str(tmp_path / "state"), "--since", "noon", "--out", str(out)]).exit_code
+        == 2
+    )
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -27,7 +27,9 @@
     return json.dumps(reports).encode()
 
 
-def report(backend: str, at: int, boot: str = "1", queue: float | None = 2.0, latency: float | None = 20.0, **load: Any) -> dict[str, Any]:
+def report(
+    backend: str, at: int, boot: str = "1", queue: float | None = 2.0, latency: float | None = 20.0, **load: Any
+) -> dict[str, Any]:
     named = {name: value for name, value in (("queue", queue), ("latency_ms", latency)) if value is not None}
     return {"backend": backend, "boot": boot, "at": at / SECOND, "load": load | {"named_metrics": named}}
 
@@ -45,7 +47,13 @@
     told, faulty = read(body(odd, report("b2", START, cpu_utilization=0.4)))
     assert faulty == 1 and [each.backend for each in told] == ["b1", "b2"]
     kept = told[0].load
-    for figure in (kept.cpu_utilization, kept.rps_fractional, kept.eps, kept.named_metrics.queue, kept.named_metrics.latency_ms):
+    for figure in (
+        kept.cpu_utilization,
+        kept.rps_fractional,
+        kept.eps,
+        kept.named_metrics.queue,
+        kept.named_metrics.latency_ms,
+    ):
         assert figure is None or (math.isfinite(figure) and 0 <= figure < 1e6)
 
 
@@ -55,7 +63,16 @@
         read(text)
 
 
-@pytest.mark.parametrize("part", ["{}", "null", '{"backend": "", "boot": "", "at": 1, "load": {}}', '{"backend": "b", "boot": "1", "at": -4, "load": {}}', "3"])
+@pytest.mark.parametrize(
+    "part",
+    [
+        "{}",
+        "null",
+        '{"backend": "", "boot": "", "at": 1, "load": {}}',
+        '{"backend": "b", "boot": "1", "at": -4, "load": {}}',
+        "3",
+    ],
+)
 def test_a_part_that_is_none_costs_only_itself(part: str) -> None:
     told, faulty = read(b"[" + part.encode() + b"," + body(report("b1", START))[1:])
     assert [each.backend for each in told] == ["b1"] and faulty == 1
@@ -240,7 +257,7 @@
     for n in range(30):
         own.add(START + n * 1000, 10.0 + n % 2)
     before = own.figure()
-    own.add(START + 30_000, 100.0, share=0.5 ** 10, fresh=False)
+    own.add(START + 30_000, 100.0, share=0.5**10, fresh=False)
     after = own.figure()
     assert before is not None and after is not None and abs(after.value - before.value) < 0.2
 
@@ -272,7 +289,12 @@
     for n in range(30):
         up.add(START + n * SECOND, 100.0 + 5 * n)
         down.add(START + n * SECOND, 500.0 - 10 * n)
-    assert 4 < up.slope < 6 and -11 < down.slope < -9 and up.ahead(4 * SECOND) > up.ahead(0) and down.ahead(600 * SECOND) == 0
+    assert (
+        4 < up.slope < 6
+        and -11 < down.slope < -9
+        and up.ahead(4 * SECOND) > up.ahead(0)
+        and down.ahead(600 * SECOND) == 0
+    )
 
 
 # False words
@@ -402,7 +424,12 @@
 def test_the_views_error_and_delay_are_within_what_is_stated(share: float, delay: float) -> None:
     day = Day()
     day.run(0.1)
-    day.budget = round(1.3 * share * 20 * len(body(*[report("b1", START, "1", latency=12.345678, rps_fractional=444.4, cpu_utilization=0.512345)] * 10)))
+    day.budget = round(
+        1.3
+        * share
+        * 20
+        * len(body(*[report("b1", START, "1", latency=12.345678, rps_fractional=444.4, cpu_utilization=0.512345)] * 10))
+    )
     day.run(4)
     assert day.error() < 0.05
     # All change at once: the view follows within a second where all is heard, later where a fifth is.
@@ -422,7 +449,10 @@
     assert day.view.busy(day.now, "b1") == pytest.approx(0.1, abs=0.05)
     day.decoder.offer("b1", late, day.now)
     day.run(0.3)
-    assert day.view.busy(day.now, "b1") == pytest.approx(0.1, abs=0.05) and day.view.counts["reports of earlier lives"] >= 50
+    assert (
+        day.view.busy(day.now, "b1") == pytest.approx(0.1, abs=0.05)
+        and day.view.counts["reports of earlier lives"] >= 50
+    )
     assert any(notice.what == "restart" and notice.where == "b1" for notice in day.view.notices)
 
 
@@ -475,17 +505,27 @@
     figures = view.figures(START + 40 * SECOND, "b1")
     assert figures is not None and figures.met is not None and figures.met.value == pytest.approx(100, abs=1)
     assert figures.loss is not None and abs(figures.loss.value - 0.1) <= figures.loss.error
-    assert any(notice.what == "demand" and notice.where == "p1/read" and notice.way == 1 for notice in view.told_notices())
-    view.absorb(START + 40 * SECOND, [Sums("b1", "7", START + 40 * SECOND, 3.0, (3.0, 1.5), (0, 0), (0, 0), (0, 0), ())])
+    assert any(
+        notice.what == "demand" and notice.where == "p1/read" and notice.way == 1 for notice in view.told_notices()
+    )
+    view.absorb(
+        START + 40 * SECOND, [Sums("b1", "7", START + 40 * SECOND, 3.0, (3.0, 1.5), (0, 0), (0, 0), (0, 0), ())]
+    )
     assert view.known["b1"].boot == "7" and view.figures(START + 41 * SECOND, "b1").met is not None  # type: ignore[union-attr]
     view.left("p1")
     assert not view.demand
 
 
-@given(st.lists(st.tuples(st.sampled_from("ab"), st.integers(0, 9), st.integers(1, 50)), max_size=30), st.randoms(use_true_random=False))
+@given(
+    st.lists(st.tuples(st.sampled_from("ab"), st.integers(0, 9), st.integers(1, 50)), max_size=30),
+    st.randoms(use_true_random=False),
+)
 @settings(max_examples=60, deadline=None)
 def test_workers_sums_are_the_same_in_any_order_whoever_got_what(rows: list[Any], chance: Any) -> None:
-    parts = [Sums(name, "1", at, float(n), (n, n / 2), (0, 0), (n, 3.0 * n), (0, 0), ((float(at), 1.0),)) for name, at, n in rows]
+    parts = [
+        Sums(name, "1", at, float(n), (n, n / 2), (0, 0), (n, 3.0 * n), (0, 0), ((float(at), 1.0),))
+        for name, at, n in rows
+    ]
     shuffled = parts[:]
     chance.shuffle(shuffled)
     place = chance.randint(0, len(shuffled))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -173,7 +173,9 @@
         list_of(tmp_path, 2, backends)
         await until(lambda: all(shown(tmp_path, name) == {9001, 9002} for name in ("p1", "p2")))
         assert controller.keys is not None
-        await until(lambda: not before & {line.token for line in controller.lines.values()} and len(controller.lines) == 2)
+        await until(
+            lambda: not before & {line.token for line in controller.lines.values()} and len(controller.lines) == 2
+        )
         assert controller.house.counts["faults"] == 0
         authority.revoke("p2")
         await until(lambda: len(controller.lines) == 1, 10.0)
@@ -205,7 +207,9 @@
     play(tmp_path, work)
 
 
-def test_a_certificate_speaks_for_its_own_name_and_plain_connections_for_none(tmp_path: Path, authority: Authority) -> None:
+def test_a_certificate_speaks_for_its_own_name_and_plain_connections_for_none(
+    tmp_path: Path, authority: Authority
+) -> None:
     async def work(running: Running) -> None:
         running.more = TLS % ("c1", "c1")
         controller = await running.controller()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -31,7 +31,9 @@
 
 
 def test_it_passes_over_the_tests_it_names_and_tells_them(tmp_path: Path) -> None:
-    code, told = run(tmp_path, "test_it.py::test_red | one is not two | issue 5\n\ntest_it.py::test_each[2] | two | issue 6\n")
+    code, told = run(
+        tmp_path, "test_it.py::test_red | one is not two | issue 5\n\ntest_it.py::test_each[2] | two | issue 6\n"
+    )
     assert code == 0
     assert "known red: test_it.py::test_red: fails, as known" in told
     assert "known red: test_it.py::test_each[2]: fails, as known" in told
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -48,7 +48,10 @@
 
 
 def test_a_file_is_laid_out_with_its_comments(tmp_path: Path) -> None:
-    path = written(tmp_path, '// top\n\n\nname : "c1" ,zone:"n"   // beside\ngroups:{\n a:{x:1,y:>=2&<=3}\n\n\n\n  // inside\n b  : *1|int\n   row:[ 1,2 ,...string ]\n}\n')
+    path = written(
+        tmp_path,
+        '// top\n\n\nname : "c1" ,zone:"n"   // beside\ngroups:{\n a:{x:1,y:>=2&<=3}\n\n\n\n  // inside\n b  : *1|int\n   row:[ 1,2 ,...string ]\n}\n',
+    )
     assert run("fmt", path) == (0, f"{path}: laid out\n")
     assert path.read_text() == (
         '// top\n\nname: "c1", zone: "n"  // beside\ngroups: {\n    a: {x: 1, y: >=2 & <=3}\n\n    // inside\n    b: *1 | int\n    row: [1, 2, ...string]\n}\n'
@@ -60,8 +63,29 @@
     assert run("fmt", "--check", written(tmp_path, "a:1", "odd.rec"))[0] == 1
 
 
-names = st.from_regex(r"[a-z][a-z0-9_]{0,5}", fullmatch=True).filter(lambda each: not each.startswith(("true", "false", "include")))
-scalars = st.sampled_from(["1", "-5", "1.5", "2e3", "500ms", "900/s", "4KiB", "true", '"a // b"', '"q\\"{"', '">="', "string", "#D", "x.y", ">=1 & <=5", '=~"^a[:]"'])
+names = st.from_regex(r"[a-z][a-z0-9_]{0,5}", fullmatch=True).filter(
+    lambda each: not each.startswith(("true", "false", "include"))
+)
+scalars = st.sampled_from(
+    [
+        "1",
+        "-5",
+        "1.5",
+        "2e3",
+        "500ms",
+        "900/s",
+        "4KiB",
+        "true",
+        '"a // b"',
+        '"q\\"{"',
+        '">="',
+        "string",
+        "#D",
+        "x.y",
+        ">=1 & <=5",
+        '=~"^a[:]"',
+    ]
+)
 values = st.recursive(
     scalars,
     lambda inner: st.one_of(
@@ -73,10 +97,18 @@
 spaces = st.sampled_from([" ", "\n", "\n\n\n", "\t", "  // note\n", "\r\n"])
 
 
-@given(st.dictionaries(names, values, max_size=4), st.lists(spaces, min_size=40, max_size=40), st.randoms(use_true_random=False))
+@given(
+    st.dictionaries(names, values, max_size=4),
+    st.lists(spaces, min_size=40, max_size=40),
+    st.randoms(use_true_random=False),
+)
 @settings(max_examples=300, deadline=None)
-def test_laying_out_changes_no_meaning_and_is_done_once(members: dict[str, str], gaps: list[str], chance: random.Random) -> None:
-    text = "".join(f"{name} :{value}{chance.choice(gaps) if chance.random() < 0.9 else ','}\n" for name, value in members.items())
+def test_laying_out_changes_no_meaning_and_is_done_once(
+    members: dict[str, str], gaps: list[str], chance: random.Random
+) -> None:
+    text = "".join(
+        f"{name} :{value}{chance.choice(gaps) if chance.random() < 0.9 else ','}\n" for name, value in members.items()
+    )
     text = re.sub(r"(?<=[{\[,])(?![^\n]*\")", lambda _: chance.choice(["", " ", "\n"]), text)
     try:
         before = parse(text, "a")
@@ -84,7 +116,9 @@
         return
     made = laid_out(text)
     assert stripped(parse(made, "a")) == stripped(before) and laid_out(made) == made
-    assert [word for word in words(made) if word.startswith("//")] == [word for word in words(text) if word.startswith("//")]
+    assert [word for word in words(made) if word.startswith("//")] == [
+        word for word in words(text) if word.startswith("//")
+    ]
 
 
 def stripped(term: Any) -> Any:
@@ -112,7 +146,9 @@
     ("latency_budget: 500ms", "latency_budget: 400ms", "groups read latency budget: 500 ms -> 400 ms"),
     ('    write: {prefix: "/w", latency_budget: 700ms, expiry: 2s, repeats: "deduped", dedup_window: 3s}', "", "groups loses write"),
 ])  # fmt: skip
-def test_changes_of_meaning_are_told_with_the_rules_they_press_on(tmp_path: Path, old: str, new: str, told: str) -> None:
+def test_changes_of_meaning_are_told_with_the_rules_they_press_on(
+    tmp_path: Path, old: str, new: str, told: str
+) -> None:
     assert old in GOOD
     one, two = written(tmp_path, GOOD), written(tmp_path, "// moved about\n" + GOOD.replace(old, new), "b.rec")
     assert run("diff", one, two) == ((1, told + "\n") if told else (0, ""))
@@ -121,12 +157,27 @@
 def test_pools_that_lose_a_backend_and_files_of_two_kinds(tmp_path: Path) -> None:
     text = 'pools: {reads: {servers: [{address: "a:1"}, {address: "b:2", weight: 3}]}}\nhosts: [{names: ["x"], locations: [{pattern: "/", target: {pool: "reads"}}]}]'
     one = written(tmp_path, text)
-    two = written(tmp_path, text.replace(', {address: "b:2", weight: 3}', "").replace('address: "a:1"', 'address: "a:1", slow_start: 30s'), "b.rec")
+    two = written(
+        tmp_path,
+        text.replace(', {address: "b:2", weight: 3}', "").replace('address: "a:1"', 'address: "a:1", slow_start: 30s'),
+        "b.rec",
+    )
     code, told = run("diff", one, two)
-    assert code == 1 and "pools reads servers loses b:2  (rule 1)" in told and "pools reads servers a:1 slow start: 0 ms -> 30 s  (rule 1, 4)" in told
-    swapped = written(tmp_path, text.replace('{address: "a:1"}, {address: "b:2", weight: 3}', '{address: "b:2", weight: 3}, {address: "a:1"}'), "c.rec")
+    assert (
+        code == 1
+        and "pools reads servers loses b:2  (rule 1)" in told
+        and "pools reads servers a:1 slow start: 0 ms -> 30 s  (rule 1, 4)" in told
+    )
+    swapped = written(
+        tmp_path,
+        text.replace('{address: "a:1"}, {address: "b:2", weight: 3}', '{address: "b:2", weight: 3}, {address: "a:1"}'),
+        "c.rec",
+    )
     assert "in another order" in run("diff", one, swapped)[1]
-    assert run("diff", one, written(tmp_path, GOOD, "d.rec"))[0] == 2 and run("diff", one, written(tmp_path, "a: [", "e.rec"))[0] == 2
+    assert (
+        run("diff", one, written(tmp_path, GOOD, "d.rec"))[0] == 2
+        and run("diff", one, written(tmp_path, "a: [", "e.rec"))[0] == 2
+    )
     assert json.loads(run("diff", one, two, "--json")[1])
 
 
@@ -136,12 +187,21 @@
 def test_the_schema_says_what_the_definitions_say() -> None:
     made = json_schema(load.schema(), "#Controller")
     controller, guards, channel = made["$defs"]["Controller"], made["$defs"]["Guards"], made["$defs"]["Channel"]
-    assert controller["additionalProperties"] is False and {"name", "zone", "zones", "listen", "state"} <= set(controller["required"])
+    assert controller["additionalProperties"] is False and {"name", "zone", "zones", "listen", "state"} <= set(
+        controller["required"]
+    )
     assert controller["properties"]["controllers"] == {"type": "integer", "minimum": 1, "maximum": 64, "default": 1}
     assert controller["properties"]["throttle"] == {"enum": ["share", "rate", "off"], "default": "share"}
-    assert guards["properties"]["drain_grace"]["default"] == "2s" and re.fullmatch(guards["properties"]["drain_grace"]["pattern"], "1500ms")
-    assert re.fullmatch(channel["properties"]["pace"]["pattern"], "900/s") and len(made["$defs"]["Discovery"]["anyOf"]) == 2
-    assert controller["properties"]["zones"]["minItems"] == 1 and controller["properties"]["groups"]["additionalProperties"] == {"$ref": "#/$defs/Group"}
+    assert guards["properties"]["drain_grace"]["default"] == "2s" and re.fullmatch(
+        guards["properties"]["drain_grace"]["pattern"], "1500ms"
+    )
+    assert (
+        re.fullmatch(channel["properties"]["pace"]["pattern"], "900/s")
+        and len(made["$defs"]["Discovery"]["anyOf"]) == 2
+    )
+    assert controller["properties"]["zones"]["minItems"] == 1 and controller["properties"]["groups"][
+        "additionalProperties"
+    ] == {"$ref": "#/$defs/Group"}
     names = set(re.findall(r'"#/\$defs/(\w+)"', json.dumps(made)))
     assert names <= set(made["$defs"])
     for kind in ("controller", "agent", "operators", "routing"):
@@ -183,7 +243,12 @@
 
 
 def test_all_faults_of_a_file_are_told_in_one_pass(tmp_path: Path) -> None:
-    bad = GOOD.replace('name: "c1"', 'nam: "c1"').replace("900/s", "900ms").replace('"retriable"', '"retryable"').replace("15s", "15")
+    bad = (
+        GOOD.replace('name: "c1"', 'nam: "c1"')
+        .replace("900/s", "900ms")
+        .replace('"retriable"', '"retryable"')
+        .replace("15s", "15")
+    )
     code, told = run("check", written(tmp_path, bad))
     assert code == 2 and len({line.split(": ")[0] for line in told.splitlines()}) >= 4
 
@@ -209,7 +274,9 @@
     try:
         found = sound(tmp_path, text)
     except Faulty as error:
-        assert error.faults and all(fault.at.line >= 1 and fault.text and "Traceback" not in fault.text for fault in error.faults)
+        assert error.faults and all(
+            fault.at.line >= 1 and fault.text and "Traceback" not in fault.text for fault in error.faults
+        )
         assert all(fault.at.file.endswith("m.rec") for fault in error.faults), error.faults
     else:
         assert plain(sound(tmp_path, laid_out(text))) == plain(found)
@@ -224,7 +291,9 @@
 
 
 @pytest.mark.parametrize("how", ["rewritten", "swapped", "gone"])
-def test_a_file_that_changes_while_it_is_read_is_told(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str) -> None:
+def test_a_file_that_changes_while_it_is_read_is_told(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
+) -> None:
     import onyxhead.records.files as module
 
     written(tmp_path, "guards: {cold_time: 16s}", "in.rec")
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -191,7 +191,9 @@
             case "discard" if self.may(who, "candidate"):
                 self.candidate = self.running
                 return True
-            case "commit" | "confirmed" if self.may(who, "candidate", "running") and (not self.back or self.back[1] == who):
+            case "commit" | "confirmed" if self.may(who, "candidate", "running") and (
+                not self.back or self.back[1] == who
+            ):
                 first = self.back[0] if self.back else self.running
                 self.back = (first, who, now + 5, "") if what == "confirmed" else None
                 self.running = self.candidate
@@ -309,7 +311,7 @@
 
 def test_settings_and_trees_are_two_views_of_one_thing(tmp_path: Path) -> None:
     path = tmp_path / "c.rec"
-    path.write_text(CONTROLLER + 'backends: {b1: {weight: 2.5}, b2: {drained: true}}\n')
+    path.write_text(CONTROLLER + "backends: {b1: {weight: 2.5}, b2: {drained: true}}\n")
     first = read(path)
     assert isinstance(first, Controller)
     tree = tree_of(first)
@@ -401,7 +403,9 @@
 def quiet_session() -> tuple[Session, list[bytes], list[bool]]:
     sent, over = list[bytes](), list[bool]()
     rule = Rule("all", ("*",), None, None, ("*",), True)
-    hands = Hands(facts, lambda _: None, lambda _: None, lambda *_: None, lambda: {"epoch": 3}, time.time, lambda *_: None)
+    hands = Hands(
+        facts, lambda _: None, lambda _: None, lambda *_: None, lambda: {"epoch": 3}, time.time, lambda *_: None
+    )
     desk = Desk(stores(), Access({}, (rule,)), hands)
     return Session(desk, "u", sent.append, lambda: over.append(True)), sent, over
 
@@ -525,10 +529,14 @@
     return f'<config xmlns="{xml.BASE}"><fleet xmlns="{xml.FLEET}">{entry}</fleet></config>'
 
 
-def test_a_drain_edited_over_netconf_reaches_the_proxys_file_and_an_unconfirmed_commit_goes_back(tmp_path: Path) -> None:
+def test_a_drain_edited_over_netconf_reaches_the_proxys_file_and_an_unconfirmed_commit_goes_back(
+    tmp_path: Path,
+) -> None:
     key = asyncssh.generate_private_key("ssh-ed25519")
     for name in ("host", "user"):
-        (asyncssh.generate_private_key("ecdsa-sha2-nistp256") if name == "host" else key).write_private_key(tmp_path / name)
+        (asyncssh.generate_private_key("ecdsa-sha2-nistp256") if name == "host" else key).write_private_key(
+            tmp_path / name
+        )
     public = key.export_public_key("openssh").decode().strip()
 
     def connect(port: int, user: str = "op") -> Any:
@@ -557,7 +565,7 @@
         await asyncio.to_thread(m.commit, confirmed=True, timeout="1")
         await until(lambda: shown(tmp_path, "p1") == {9001}, 2.0)
         await until(lambda: shown(tmp_path, "p1") == {9001, 9003}, 6.0)
-        await asyncio.to_thread(m.edit_config, drain_xml("b1") , target="candidate")
+        await asyncio.to_thread(m.edit_config, drain_xml("b1"), target="candidate")
         await asyncio.to_thread(m.edit_config, drain_xml("b3"), target="candidate")
         with pytest.raises(RPCError, match="no warm backend"):
             await asyncio.to_thread(m.commit)
@@ -621,10 +629,12 @@
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
         epoch, desk = controller.house.epoch, controller.desk
         assert desk is not None
-        desk.stores.put(1, "candidate", after("<guards><drain-grace>9000</drain-grace></guards>", tree=desk.stores.running))
+        desk.stores.put(
+            1, "candidate", after("<guards><drain-grace>9000</drain-grace></guards>", tree=desk.stores.running)
+        )
         desk.access.rules = (Rule("all", ("*",), None, None, ("*",), True),)
         desk.commit("u", 1)
-        assert controller.house.epoch > epoch and controller.house.start.guards.drain_grace == 9000
+        assert controller.house.epoch > epoch and controller.house.start.safety.drain_grace == 9000
         await until(lambda: controller.house.applied)
         assert json.dumps(sorted(shown(tmp_path, "p1"))) == "[9001, 9002, 9003]"
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -19,7 +19,6 @@
 
 import pytest
 
-import onyxhead.interface as say
 from onyxhead.fronts.streams.orders import Orders
 from onyxhead.fronts.streams.resp import Machine, framed
 from onyxhead.node import start as starting
@@ -28,6 +27,7 @@
 from onyxhead.node.listing import InvalidListing, Names, parse
 from onyxhead.node.notes import BURST, Notes
 from onyxhead.node.probes import look
+from onyxhead.policy.inputs import Endpoint, HealthCheckResult, LoadReport, WatchEvent
 from onyxhead.settings.instance import Unfit, deployment
 from tests import rig
 
@@ -123,18 +123,18 @@
     return {proxy for proxy in host.brain.spent if proxy in host.joined} - reached
 
 
-def fleet(*names: str, started: int = 0) -> list[say.Listed]:
+def fleet(*names: str, started: int = 0) -> list[Endpoint]:
     return [rig.ready(name, started=started) for name in names]
 
 
 def test_a_joining_proxy_gets_the_whole_table_once_and_then_changed_lines_only() -> None:
     day = Day()
-    day.host.list_heard(day.now, say.News.REMEMBERED, fleet("s1", "s2", "s3"))
+    day.host.list_heard(day.now, WatchEvent.CACHED, fleet("s1", "s2", "s3"))
     day.act()
     day.join(4)
     day.run(1)
     assert day.muxes[4].rows == {0: {"s1": 1, "s2": 1, "s3": 1}, 1: {"s1": 1, "s2": 1, "s3": 1}}
-    day.host.list_heard(day.now, say.News.CHANGES, fleet("s4"))
+    day.host.list_heard(day.now, WatchEvent.DELTA, fleet("s4"))
     day.now += 20_000
     ((_, orders),) = day.act()
     assert [(rows.whole, rows.lines) for rows in orders.rows] == [(False, (("s4", 1.0),))]
@@ -142,17 +142,17 @@
 
 def test_a_drain_reaches_every_proxy_and_a_return_lifts_it_where_it_was_missed() -> None:
     day = Day()
-    day.host.list_heard(day.now, say.News.REMEMBERED, fleet("s1", "s2"))
+    day.host.list_heard(day.now, WatchEvent.CACHED, fleet("s1", "s2"))
     for proxy in (1, 2, 3):
         day.join(proxy)
     day.run(2)
-    day.host.list_heard(day.now, say.News.CHANGES, [rig.draining("s2")])
+    day.host.list_heard(day.now, WatchEvent.DELTA, [rig.draining("s2")])
     day.act()
     assert all("s2" in mux.shut for mux in day.muxes.values())
     day.run(3)
     # One proxy is away while the backend returns; it still shuts it out when it joins again.
     day.host.left(day.now, 3, day.streams.pop(3))
-    day.host.list_heard(day.now, say.News.CHANGES, fleet("s2", started=day.now))
+    day.host.list_heard(day.now, WatchEvent.DELTA, fleet("s2", started=day.now))
     day.run(4)
     assert "s2" not in day.muxes[1].shut and day.muxes[1].rows[0]["s2"] > 0 and "s2" in day.muxes[3].shut
     day.join(3)
@@ -162,7 +162,7 @@
 
 def test_an_answer_counts_on_the_stream_that_was_asked_and_once() -> None:
     day = Day()
-    day.host.list_heard(day.now, say.News.REMEMBERED, fleet("s1"))
+    day.host.list_heard(day.now, WatchEvent.CACHED, fleet("s1"))
     day.join(1)
     day.run(1, answering=False)
     (turn,) = day.muxes[1].turns
@@ -179,7 +179,7 @@
 
 def test_a_silent_stream_holds_no_room_and_may_speak_again() -> None:
     day = Day()
-    day.host.list_heard(day.now, say.News.REMEMBERED, fleet("s1", "s2"))
+    day.host.list_heard(day.now, WatchEvent.CACHED, fleet("s1", "s2"))
     day.join(1)
     day.run(1, answering=False)
     day.now += SILENCE + 10_000
@@ -188,9 +188,11 @@
     day.join(2)
     day.run(1, answering=False)
     day.answer(2)
-    assert day.host.detect_silent(day.now) == [1] and not day.host.brain.unanswered and not day.host.detect_silent(day.now)
+    assert (
+        day.host.detect_silent(day.now) == [1] and not day.host.brain.unanswered and not day.host.detect_silent(day.now)
+    )
     day.host.left(day.now, 2, day.streams.pop(2))
-    day.host.list_heard(day.now, say.News.CHANGES, [rig.draining("s2")])
+    day.host.list_heard(day.now, WatchEvent.DELTA, [rig.draining("s2")])
     assert day.act() == []
     day.host.alive(day.now, 1, day.streams[1])
     day.run(3)
@@ -202,7 +204,7 @@
 
 def test_a_fault_of_the_module_keeps_what_it_decided_before(monkeypatch: pytest.MonkeyPatch) -> None:
     day = Day()
-    day.host.list_heard(day.now, say.News.REMEMBERED, fleet("s1"))
+    day.host.list_heard(day.now, WatchEvent.CACHED, fleet("s1"))
     day.act()
     day.join(1)
     day.run(2)
@@ -211,7 +213,7 @@
         raise ZeroDivisionError("division by zero")
 
     monkeypatch.setattr(day.host.brain, "_take_turn", broken)
-    day.host.list_heard(day.now, say.News.CHANGES, [rig.gone("s1")])
+    day.host.list_heard(day.now, WatchEvent.DELTA, [rig.gone("s1")])
     day.now += 20_000
     work = day.host.act(day.now)
     assert [orders.out for _, _, orders in work.orders] == [("s1",)]
@@ -223,7 +225,7 @@
     for seed in range(12):
         vary = random.Random(seed)
         day, names = Day(seed, proxies), [f"s{n}" for n in range(backends)]
-        day.host.list_heard(day.now, say.News.REMEMBERED, fleet(*names))
+        day.host.list_heard(day.now, WatchEvent.CACHED, fleet(*names))
         for _ in range(150):
             day.now += vary.randint(40, 6_000)
             chance, proxy, name = vary.random(), vary.randrange(12), vary.choice(names)
@@ -233,13 +235,18 @@
                 assert day.host.left(day.now, proxy, day.streams.pop(proxy))
             elif chance < 0.5:
                 entry = vary.choice([rig.draining, rig.gone, rig.ready])(name)
-                started = day.now if entry.ready and not day.host.listed[name].ready else day.host.listed[name].started
-                day.host.list_heard(day.now, say.News.CHANGES, [entry._replace(started=started)])
+                started = (
+                    day.now if entry.ready and not day.host.listed[name].ready else day.host.listed[name].started_at
+                )
+                day.host.list_heard(day.now, WatchEvent.DELTA, [entry._replace(started_at=started)])
             elif chance < 0.6:
-                day.host.tries(day.now, name, 0, 20, vary.randrange(20), 900, 10_000, say.Load())
+                day.host.tries(day.now, name, 0, 20, vary.randrange(20), 900, 10_000, LoadReport())
             elif chance < 0.7:
                 day.host.probed(
-                    day.now, name, vary.choice(list(say.Sight)), say.Load(None, vary.choice((None, 500, 9000)))
+                    day.now,
+                    name,
+                    vary.choice(list(HealthCheckResult)),
+                    LoadReport(None, vary.choice((None, 500, 9000))),
                 )
             elif chance < 0.95 and proxy in day.streams:
                 day.answer(proxy)
@@ -260,22 +267,22 @@
 
 
 def test_what_is_kept_of_departed_backends_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("onyxhead.brain.MOST_GONE", 20)
+    monkeypatch.setattr("onyxhead.policy.balancer.MOST_GONE", 20)
     monkeypatch.setattr("onyxhead.node.host.MOST_NAMES", 60)
     day = Day()
-    day.host.list_heard(day.now, say.News.REMEMBERED, fleet("s0", "s1"))
+    day.host.list_heard(day.now, WatchEvent.CACHED, fleet("s0", "s1"))
     for proxy in (1, 2):
         day.join(proxy)
     day.run(2)
     for n in range(2, 200):
-        day.host.list_heard(day.now, say.News.CHANGES, [*fleet(f"s{n}", started=day.now), rig.draining(f"s{n - 2}")])
+        day.host.list_heard(day.now, WatchEvent.DELTA, [*fleet(f"s{n}", started=day.now), rig.draining(f"s{n - 2}")])
         day.run(1.2)
-        day.host.list_heard(day.now, say.News.CHANGES, [rig.gone(f"s{n - 2}")])
+        day.host.list_heard(day.now, WatchEvent.DELTA, [rig.gone(f"s{n - 2}")])
     assert len(day.host.brain.backends) < 30 and len(day.host.listed) <= 61 and len(day.host.shut) <= 61
     assert all(set(rows) == set(day.host.tables[0]) for rows in (mux.rows[0] for mux in day.muxes.values()))
     # A late word of a forgotten one brings nothing back, and its name alone makes it no trusted backend.
-    day.host.tries(day.now, "s5", 0, 50, 0, 500, 10_000, say.Load())
-    day.host.probed(day.now, "s5", say.Sight.SERVED, say.Load())
+    day.host.tries(day.now, "s5", 0, 50, 0, 500, 10_000, LoadReport())
+    day.host.probed(day.now, "s5", HealthCheckResult.HEALTHY, LoadReport())
     assert "s5" not in day.host.brain.backends and "s5" in day.muxes[1].shut
 
 
@@ -339,8 +346,8 @@
 
 def test_settings_keep_their_units() -> None:
     start = deployment(SETTINGS)
-    assert start.groups[0].latency_budget == 7_500 and start.guards.drain_grace == 29_000
-    assert start.channel.slowest_transit == 6_600 and start.report_every == 10_000
+    assert start.groups[0].latency_budget == 7_500 and start.safety.drain_grace == 29_000
+    assert start.channel.max_delay == 6_600 and start.report_interval == 10_000
     with pytest.raises(Unfit, match="KeyError"):
         deployment({k: v for k, v in SETTINGS.items() if k != "extra"})
 
@@ -359,8 +366,8 @@
 def test_a_list_is_read_in_the_modules_units() -> None:
     found = parse(body(MEMBER, MEMBER | {"id": "s-2", "phase": "DRAINING", "up_since_ms": 0}), NAMES)
     assert found.entries == [
-        say.Listed("s-1", 1, 0, True, False, 1.5, 615_000),
-        say.Listed("s-2", 1, 0, False, True, 1.5, 0),
+        Endpoint("s-1", 1, 0, True, False, 1.5, 615_000),
+        Endpoint("s-2", 1, 0, False, True, 1.5, 0),
     ]
     assert found.revision == 41 and found.whole and found.places["s-1"] == ("10.1.0.18", 9000)
     gone = parse(body(MEMBER | {"phase": "DELETED"}, complete=False), NAMES)
@@ -672,15 +679,15 @@
         status, report = b"200 OK", b"queue=2,latency_ms=41.5"
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         where = server.sockets[0].getsockname()[:2]
-        assert await look(where, "/load", 30) == (say.Sight.SERVED, say.Load(None, 415))
+        assert await look(where, "/load", 30) == (HealthCheckResult.HEALTHY, LoadReport(None, 415))
         report = b"queue=nan"
-        assert await look(where, "/load", 30) == (say.Sight.SERVED, say.Load())
+        assert await look(where, "/load", 30) == (HealthCheckResult.HEALTHY, LoadReport())
         status = b"503 Busy"
-        assert await look(where, "/load", 30) == (say.Sight.NO_ROOM, say.Load())
+        assert await look(where, "/load", 30) == (HealthCheckResult.REJECTED, LoadReport())
         server.close()
-        assert (await look(("127.0.0.1", free_port()), "/load", 30))[0] is say.Sight.OUT_OF_REACH
+        assert (await look(("127.0.0.1", free_port()), "/load", 30))[0] is HealthCheckResult.UNREACHABLE
         mute = await asyncio.start_server(silent, "127.0.0.1", 0)
-        assert (await look(mute.sockets[0].getsockname()[:2], "/load", 0.01))[0] is say.Sight.SILENT
+        assert (await look(mute.sockets[0].getsockname()[:2], "/load", 0.01))[0] is HealthCheckResult.TIMED_OUT
         mute.close()
 
     asyncio.run(play())
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -134,7 +134,11 @@
         async def late(request: Request, _w: asyncio.StreamWriter) -> Response:
             came.append("late")
             ready = came.count("late") > 2
-            return answer(200, {"status": "applied", "why": "", "changed": []}) if ready else Response(503, {}, b'{"detail": "starting"}')
+            return (
+                answer(200, {"status": "applied", "why": "", "changed": []})
+                if ready
+                else Response(503, {}, b'{"detail": "starting"}')
+            )
 
         async def garbles(request: Request, _w: asyncio.StreamWriter) -> Response:
             return Response(200, {}, b"<html>")
@@ -148,9 +152,19 @@
         assert time.monotonic() - began < 4.0 and len(outcomes) == 12
         ended = {each.member: each.status for each in outcomes}
         wanted = {"c1": "applied", "dead": "unknown"}
-        for name, status in (("slow", "unknown"), ("older", "refused"), ("dies", "unknown"), ("late", "applied"), ("garbles", "unknown")):
+        for name, status in (
+            ("slow", "unknown"),
+            ("older", "refused"),
+            ("dies", "unknown"),
+            ("late", "applied"),
+            ("garbles", "unknown"),
+        ):
             wanted |= {f"{name}{n}": status for n in range(2)}
-        assert ended == wanted and all(each.why for each in outcomes if each.status != "applied") and set(came) == {"x", "late"}
+        assert (
+            ended == wanted
+            and all(each.why for each in outcomes if each.status != "applied")
+            and set(came) == {"x", "late"}
+        )
         assert controller.standing.drained == {"b1"}
 
     play(tmp_path, work)
@@ -210,12 +224,16 @@
         assert code == 1 and "still in: b2" in told
         code, told = await command("compare", "--fleet", str(tmp_path / "fleet.rec"), "--settle", "0.3")
         assert code == 0 and "agree" in told, told
-        (tmp_path / "p1" / "eds.json").write_text((tmp_path / "p1" / "eds.json").read_text().replace('"version_info":"', '"version_info":"0'))
+        (tmp_path / "p1" / "eds.json").write_text(
+            (tmp_path / "p1" / "eds.json").read_text().replace('"version_info":"', '"version_info":"0')
+        )
         code, told = await command("compare", "--fleet", str(tmp_path / "fleet.rec"), "--settle", "0.1", "--json")
         assert code == 1 and json.loads(told)[0]["what"] == "files"
         assert (await command("restore", "b1", "--at", address))[0] == 0
         await until(lambda: 9001 in shown(tmp_path, "p1"))
-        assert (await command("drain", "b1"))[0] == 2 and (await command("drain", "b1", "--at", "127.0.0.1:1", "--within", "0.4"))[0] == 3
+        assert (await command("drain", "b1"))[0] == 2 and (
+            await command("drain", "b1", "--at", "127.0.0.1:1", "--within", "0.4")
+        )[0] == 3
 
     play(tmp_path, work)
 
@@ -225,16 +243,31 @@
 
 def state(version: int = 3, tag: str = '"t1"', **backends: dict[str, Any]) -> dict[str, Any]:
     usual = {"address": "a:1", "ready": True, "draining": False, "withdrawn": False}
-    return {"list": {"version": version}, "proxies": {"p1": {"tag": tag}}, "backends": {"b1": usual, **{n: usual | own for n, own in backends.items()}}}
+    return {
+        "list": {"version": version},
+        "proxies": {"p1": {"tag": tag}},
+        "backends": {"b1": usual, **{n: usual | own for n, own in backends.items()}},
+    }
 
 
 def test_differences_between_controllers_books_proxies_and_files() -> None:
     agent = {"tag": '"t1"', "files": '"t1"'}
     lone = state() | {"proxies": {}}
     assert compare({"c1": state(), "c2": lone}, {"p1": agent}) == []
-    found = compare({"c1": state(b2={"withdrawn": True}), "c2": state(2, '"t9"', b2={}, b1={"address": "x:9"}), "c3": None}, {"p1": agent | {"files": '"t0"'}, "p2": agent})
+    found = compare(
+        {"c1": state(b2={"withdrawn": True}), "c2": state(2, '"t9"', b2={}, b1={"address": "x:9"}), "c3": None},
+        {"p1": agent | {"files": '"t0"'}, "p2": agent},
+    )
     told = {(each.what, each.where) for each in found}
-    assert told == {("list", "c2"), ("backend", "b1"), ("backend", "b2"), ("proxy", "p1"), ("proxy", "p2"), ("files", "p1"), ("silent", "c3")}
+    assert told == {
+        ("list", "c2"),
+        ("backend", "b1"),
+        ("backend", "b2"),
+        ("proxy", "p1"),
+        ("proxy", "p2"),
+        ("files", "p1"),
+        ("silent", "c3"),
+    }
     assert [each.what for each in lasting([], found)] == ["backend", "silent"] and lasting(found, found) == found
     unknown = compare({"c1": state(b5={}), "c2": lone}, {})
     assert [(each.where, each.settles) for each in unknown] == [("b5", True)]
--- a/tests/test_reception.py
+++ b/tests/test_reception.py
@@ -22,7 +22,13 @@
 
 
 def told(at: float, busy: float, count: int = 20) -> bytes:
-    return body(*[report(name, round(at * 10_000), cpu_utilization=busy, rps_fractional=50.0) for name in ("b1", "b2") for _ in range(count)])
+    return body(
+        *[
+            report(name, round(at * 10_000), cpu_utilization=busy, rps_fractional=50.0)
+            for name in ("b1", "b2")
+            for _ in range(count)
+        ]
+    )
 
 
 async def post(port: int, sender: str, sent: bytes) -> int:
@@ -53,7 +59,7 @@
         list_of(tmp_path, 2, [BACKENDS[0] | {"state": "draining"}, *BACKENDS[1:]])
         began = time.monotonic()
         await until(lambda: shown(tmp_path, "p1") == {9002, 9003})
-        assert time.monotonic() - began < controller.house.start.guards.drain_grace / 10_000
+        assert time.monotonic() - began < controller.house.start.safety.drain_grace / 10_000
         over = True
         await asyncio.gather(*floods)
         state: Any = (await ask_once(("127.0.0.1", port_of(controller)), Request("GET", "/v1/load"), 5.0)).json()
@@ -122,7 +128,9 @@
 def test_a_courses_name_is_never_a_way_out_of_its_folder(tmp_path: Path, name: str) -> None:
     own = Courses(tmp_path / "series")
     own.write(time.time(), {name: 1.0})
-    assert not own.failing and len(list((tmp_path / "series").glob("*.wsp"))) == 1 and len(list(tmp_path.iterdir())) == 1
+    assert (
+        not own.failing and len(list((tmp_path / "series").glob("*.wsp"))) == 1 and len(list(tmp_path.iterdir())) == 1
+    )
     assert any(each is not None for each in own.read(name, time.time() - 60, time.time())["figures"])
 
 
@@ -142,7 +150,9 @@
         controller = await running.controller()
         for _ in range(20):
             await post(port_of(controller), "b1", told(time.time(), 0.6, 2))
-        mixed = body(report("b1", round(time.time() * 10_000), cpu_utilization=0.6), report("b1", 20_000, cpu_utilization=0.01))
+        mixed = body(
+            report("b1", round(time.time() * 10_000), cpu_utilization=0.6), report("b1", 20_000, cpu_utilization=0.01)
+        )
         await post(port_of(controller), "b1", mixed)
         await until(lambda: controller.reception is not None and controller.reception.counts["reports too old"] == 1)
         assert busy(controller, "b1") == pytest.approx(0.6, abs=0.01)
