--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -54,7 +54,9 @@
 
 words = st.text("ab/.", max_size=5)
 kinds = st.sampled_from(["exact", "prefix", "prefix", "prefix-first", "regex", "regex-caseless", "named"])
-regexes = st.sampled_from(["^/a", "^/A", "b$", "^/a.b", r"\.b", "^/(a|b)", "(?i)^/ab", "^/ab|b", "a{2}", "^", "^/a[b]?", "^/ab+"])
+regexes = st.sampled_from(
+    ["^/a", "^/A", "b$", "^/a.b", r"\.b", "^/(a|b)", "(?i)^/ab", "^/ab|b", "a{2}", "^", "^/a[b]?", "^/ab+"]
+)
 
 
 def locations(depth: int) -> st.SearchStrategy[list[Location]]:
@@ -75,7 +77,11 @@
     compiled, plain = Compiled(unique), Plain(unique)
     for path in paths:
         one, two = compiled.find("/" + path), plain.find("/" + path)
-        same = one is not None and two is not None and (one.kind == two.kind or {one.kind, two.kind} == {"prefix", "prefix-first"})
+        same = (
+            one is not None
+            and two is not None
+            and (one.kind == two.kind or {one.kind, two.kind} == {"prefix", "prefix-first"})
+        )
         assert one is two or (same and one.pattern == two.pattern)  # type: ignore[union-attr]
 
 
@@ -98,14 +104,24 @@
     ("q.y.net", ".y.net"), ("n12.zz", r"~^n\d+"), ("else", "_"), ("", "_"), ("x.org.", "x.org"),
 ])  # fmt: skip
 def test_hosts_are_chosen_exact_then_wildcards_then_expressions_then_the_default(name: str, found: str) -> None:
-    hosts = [Host((each,), default=each == "_") for each in ("a.org", "*.x.org", r"~^n\d+", "www.*", "x.org", "*.b.x.org", ".y.net", "_")]
+    hosts = [
+        Host((each,), default=each == "_")
+        for each in ("a.org", "*.x.org", r"~^n\d+", "www.*", "x.org", "*.b.x.org", ".y.net", "_")
+    ]
     chosen = Hosts(hosts).find(name)
     assert chosen is not None and chosen.names == (found,)
 
 
 def test_variables_choose_by_text_wildcard_expression_and_share() -> None:
     own = Choice("$x", (("~^b", "B"), ("b1", "exact"), ("*.org", "tail"), ("~*C$", "C")), "other", True)
-    assert [choose(own, value) for value in ("b1", "b2", "a.org", "xc", "z", "B2")] == ["exact", "B", "tail", "C", "other", "other"]
+    assert [choose(own, value) for value in ("b1", "b2", "a.org", "xc", "z", "B2")] == [
+        "exact",
+        "B",
+        "tail",
+        "C",
+        "other",
+        "other",
+    ]
     halves = Split("$x", ((2500, "a"), (2500, "b")), "c")
     counts = Counter(split(halves, f"10.0.{n // 256}.{n % 256}") for n in range(8_000))
     assert 1_700 < counts["a"] < 2_300 and 1_700 < counts["b"] < 2_300 and 3_600 < counts["c"] < 4_400
@@ -114,7 +130,10 @@
 
 def test_variables_that_go_round_end() -> None:
     routing = Routing(choices={"a": Choice("$b", (), "$a"), "b": Choice("$a", (), "x")})
-    assert Router(routing).value("a", {}) == "$a" and Router(Routing(choices={"a": Choice("$a", (("q", "p"),), "")})).value("a", {}) == ""
+    assert (
+        Router(routing).value("a", {}) == "$a"
+        and Router(Routing(choices={"a": Choice("$a", (("q", "p"),), "")})).value("a", {}) == ""
+    )
 
 
 # nginx
@@ -123,7 +142,9 @@
 def carried(folder: Path, **files: str) -> tuple[Routing, list[Line]]:
     for name, body in files.items():
         (folder / f"{name}.conf").write_text(body)
-    return Carrying(crossplane.parse(str(folder / f"{next(iter(files))}.conf"), check_ctx=False, check_args=False)["config"]).run()
+    return Carrying(
+        crossplane.parse(str(folder / f"{next(iter(files))}.conf"), check_ctx=False, check_args=False)["config"]
+    ).run()
 
 
 def said(lines: list[Line], directive: str) -> list[tuple[str, str]]:
@@ -131,7 +152,9 @@
 
 
 def test_weights_and_backups_in_one_upstream_are_carried_and_what_is_lost_is_told(tmp_path: Path) -> None:
-    routing, lines = carried(tmp_path, a="""
+    routing, lines = carried(
+        tmp_path,
+        a="""
         upstream u {
             server 10.0.0.1 weight=5 max_fails=3 fail_timeout=1m30s;
             server 10.0.0.2:81 backup max_conns=20;
@@ -143,39 +166,48 @@
             fair;
         }
         upstream h { hash $uri consistent; server a:1; server b:2 backup; }
-    """)
+    """,
+    )
     assert routing.pools["u"].servers == (
         Server("10.0.0.1:80", 5, max_fails=3, fail_timeout=90.0), Server("10.0.0.2:81", backup=True, max_connections=20),
         Server("10.0.0.3:80", down=True, slow_start=0.5), Server("10.0.0.5:80"),
     )  # fmt: skip
     assert said(lines, "server 10.0.0.4") == [("not", "'0' is no number from 1 on")]
-    assert said(lines, "server unix")[0][0] == "not" and said(lines, "server 10.0.0.5") == [("changed", "without route=a")]
+    assert said(lines, "server unix")[0][0] == "not" and said(lines, "server 10.0.0.5") == [
+        ("changed", "without route=a")
+    ]
     assert said(lines, "fair") == [("not", "not known here")] and said(lines, "zone")[0][0] == "changed"
     assert routing.pools["h"].servers == (Server("a:1"),) and "backup has no meaning" in said(lines, "upstream h")[1][1]
     assert [line.line for line in lines if line.directive == "fair"] == [10]
 
 
 def test_one_upstream_of_two_servers_keeps_the_tries_of_each(tmp_path: Path) -> None:
-    routing, _ = carried(tmp_path, a="""
+    routing, _ = carried(
+        tmp_path,
+        a="""
         server { server_name one; proxy_next_upstream error http_503; proxy_next_upstream_tries 3;
             location / { proxy_pass http://u; } location /b { proxy_pass http://u; proxy_next_upstream off; } }
         server { server_name two; proxy_next_upstream_timeout 2s; location / { proxy_pass http://u/; } }
         upstream u { server a:1; }
-    """)
+    """,
+    )
     one, two = routing.hosts
     assert [each.tries for each in one.locations] == [Tries(("error", "http_503"), 3), Tries((), 3)]
     assert two.locations[0].tries == Tries(within=2.0) and two.locations[0].target == Target("u", path="/")
 
 
 def test_if_and_variables_are_told_and_not_guessed(tmp_path: Path) -> None:
-    routing, lines = carried(tmp_path, a="""
+    routing, lines = carried(
+        tmp_path,
+        a="""
         server { listen 80 http2; if ($host = x) { return 301 /; } rewrite ^/a /b; set $x 1;
             location /a { if ($arg_x) { proxy_pass http://evil; } proxy_pass http://$pool; }
             location /b { proxy_pass http://pre$pool; } location /c { proxy_pass http://u/$1; } location ~ ^/d { proxy_pass http://u/x; }
             location /e { proxy_pass $whole; } location /f { proxy_pass https://1.2.3.4; } location ~ (( { return 404; }
             location /g { return 301 http://x/; } location /h { try_files $uri @q; } location @q { proxy_pass http://u; } location = /i { location /i/j { return 200; } } }
         upstream u { server a:1; }
-    """)
+    """,
+    )
     made = {each.pattern: each for each in routing.hosts[0].locations}
     assert made["/a"].target == Target(variable="pool") and "evil" not in routing.pools
     assert all(made[path].target is None for path in ("/b", "/c", "^/d", "/e", "/g", "/h")) and "((" not in made
@@ -200,18 +232,24 @@
 
 
 def test_limits_maps_and_splits_are_carried(tmp_path: Path) -> None:
-    routing, lines = carried(tmp_path, a="""
+    routing, lines = carried(
+        tmp_path,
+        a="""
         limit_req_zone $remote_addr zone=r:10m rate=120r/m; limit_conn_zone $host zone=c:1m;
         map $http_host $p { hostnames; default u; *.x v; ~(bad w; ~^n v; a b c; }
         split_clients $remote_addr $s { 60% u; 0.5% v; 50% v; * u; }
         server { limit_conn c 5; location / { proxy_pass http://$p; limit_req zone=r burst=4; limit_req zone=none; } location /k { proxy_pass http://$s; } }
         upstream u { server a:1; } upstream v { server b:1; }
-    """)
+    """,
+    )
     first, second = routing.hosts[0].locations
     assert first.limits == (Limit("$remote_addr", 2.0, 4),) and second.limits == (Limit("$host", at_once=5),)
     assert routing.choices["p"] == Choice("$http_host", (("*.x", "v"), ("~^n", "v")), "u", True)
     assert routing.splits["s"] == Split("$remote_addr", ((6000, "u"), (50, "v")), "u")
-    assert said(lines, "limit_req zone=none") == [("not", "there is no zone 'none' before it")] and said(lines, "50%")[0][0] == "not"
+    assert (
+        said(lines, "limit_req zone=none") == [("not", "there is no zone 'none' before it")]
+        and said(lines, "50%")[0][0] == "not"
+    )
     assert said(lines, "~(bad")[0][0] == "not" and said(lines, "a b c") == [("not", "not known here")]
 
 
@@ -227,13 +265,23 @@
     Server, st.sampled_from(["a:1", "10.0.0.1:80", "b.c:99"]), st.integers(1, 9), st.booleans(), st.booleans(), st.integers(0, 5), st.integers(0, 4),
     st.sampled_from([10.0, 2.0, 0.5]), st.sampled_from([0.0, 30.0]),
 )  # fmt: skip
-patterns = st.sampled_from(["/", "/a", "/a b", r"\.php$", r"^/d{2}/\d+", r"^/x\"y", "/é;", r"^/a\\b", r"\n", "/#x", r"a\\"])
+patterns = st.sampled_from(
+    ["/", "/a", "/a b", r"\.php$", r"^/d{2}/\d+", r"^/x\"y", "/é;", r"^/a\\b", r"\n", "/#x", r"a\\"]
+)
 
 
 def tree(depth: int) -> st.SearchStrategy[tuple[Location, ...]]:
     inside = tree(depth - 1) if depth else st.just(())
 
-    def made(kind: Any, pattern: str, target: Target | None, status: int, most: int, limits: tuple[Limit, ...], within: tuple[Location, ...]) -> Location:
+    def made(
+        kind: Any,
+        pattern: str,
+        target: Target | None,
+        status: int,
+        most: int,
+        limits: tuple[Limit, ...],
+        within: tuple[Location, ...],
+    ) -> Location:
         if kind.startswith("regex") and target is not None:
             target = Target(target.pool, target.variable)
         if kind == "exact":
@@ -268,9 +316,19 @@
         limits = own.limits or (around.limits if around else ())
         most = own.tries.most or (around.tries.most if around else 0)
         made = Location(own.kind, own.pattern, own.target, own.status, Tries(most=most), limits)
-        return Location(made.kind, made.pattern, made.target, made.status, made.tries, made.limits, tuple(down(each, made) for each in own.within))
-
-    hosts = tuple(Host(h.names, h.listen, h.default, tuple(down(each, None) for each in h.locations)) for h in routing.hosts)
+        return Location(
+            made.kind,
+            made.pattern,
+            made.target,
+            made.status,
+            made.tries,
+            made.limits,
+            tuple(down(each, made) for each in own.within),
+        )
+
+    hosts = tuple(
+        Host(h.names, h.listen, h.default, tuple(down(each, None) for each in h.locations)) for h in routing.hosts
+    )
     return Routing(routing.pools, hosts, routing.choices, routing.splits)
 
 
@@ -284,7 +342,9 @@
 
 @given(routings)
 @settings(max_examples=80, deadline=None)
-def test_what_is_written_as_records_is_read_as_the_same(tmp_path_factory: pytest.TempPathFactory, routing: Routing) -> None:
+def test_what_is_written_as_records_is_read_as_the_same(
+    tmp_path_factory: pytest.TempPathFactory, routing: Routing
+) -> None:
     path = tmp_path_factory.mktemp("rec") / "a.rec"
     path.write_text(text(routing), encoding="utf-8")
     assert read(path) == routing
@@ -314,10 +374,17 @@
 
 
 def test_the_commands(tmp_path: Path) -> None:
-    (tmp_path / "a.conf").write_text("upstream u { server a:1; }\nserver { server_name x; location / { proxy_pass http://u/z/; fancy on; } }")
+    (tmp_path / "a.conf").write_text(
+        "upstream u { server a:1; }\nserver { server_name x; location / { proxy_pass http://u/z/; fancy on; } }"
+    )
     out = tmp_path / "a.rec"
     run = CliRunner().invoke
-    assert run(main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(out), "--report", str(tmp_path / "r")]).exit_code == 0
+    assert (
+        run(
+            main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(out), "--report", str(tmp_path / "r")]
+        ).exit_code
+        == 0
+    )
     assert "a.conf:2: fancy on: NOT carried" in (tmp_path / "r").read_text()
     assert run(main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(out), "--strict"]).exit_code == 1
     told = run(main, ["route", str(out), "x", "/q?a=1"])
@@ -325,7 +392,10 @@
     assert "proxy_pass http://u/z/;" in run(main, ["export", "nginx", str(out)]).output
     before = out.read_text()
     (tmp_path / "a.conf").write_text("upstream u { server a:1; ")
-    assert run(main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(out)]).exit_code == 2 and out.read_text() == before
+    assert (
+        run(main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(out)]).exit_code == 2
+        and out.read_text() == before
+    )
     assert run(main, ["import", "nginx", str(tmp_path / "none.conf")]).exit_code == 2
 
 
@@ -364,7 +434,9 @@
                 location /few {{ proxy_pass http://one; limit_req zone=r burst=2 nodelay; }}
                 location /slow {{ proxy_pass http://one; limit_conn c 1; }}
             }}""")
-        done = CliRunner().invoke(main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(tmp_path / "a.rec"), "--strict"])
+        done = CliRunner().invoke(
+            main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(tmp_path / "a.rec"), "--strict"]
+        )
         assert done.exit_code == 0, done.output
         standin = Standin({"port": ports[3], "routing": str(tmp_path / "a.rec"), "record": str(tmp_path / "r.jsonl")})
         task = asyncio.create_task(standin.run())
@@ -392,7 +464,11 @@
 
 def test_the_plain_model_and_the_compiled_one_agree_at_size() -> None:
     chance = Random(4)
-    level = [at("prefix", f"/{n % 97}/{n}") for n in range(600)] + [at("regex", f"^/r{n}/") for n in range(300)] + [at("regex", r"\.x$")]
+    level = (
+        [at("prefix", f"/{n % 97}/{n}") for n in range(600)]
+        + [at("regex", f"^/r{n}/") for n in range(300)]
+        + [at("regex", r"\.x$")]
+    )
     one, two = Compiled(level), Plain(level)
     for _ in range(300):
         n = chance.randrange(700)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from onyxhead.interface import Listed, News
+from onyxhead.policy.inputs import Endpoint, WatchEvent
 from tests.rig import COLD_TIME, GRACE, MOST_WAITING, SECOND, UNSERVED, Rig, deployment, ready
 
 BEAT = 1_000
@@ -19,16 +19,16 @@
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
-        self.told: dict[str, list[tuple[int, Listed]]] = {}
+        self.told: dict[str, list[tuple[int, Endpoint]]] = {}
         self.bare: dict[int, int] = {}
         self.pushed: dict[tuple[int, str], int] = {}
         self.most = 0
 
-    def tell(self, entry: Listed) -> None:
+    def tell(self, entry: Endpoint) -> None:
         self.told.setdefault(entry.backend, []).append((self.rig.now, entry))
 
-    def warmth(self, entry: Listed) -> float:
-        age = (self.rig.now - entry.started) / COLD_TIME if entry.started else 1.0
+    def warmth(self, entry: Endpoint) -> float:
+        age = (self.rig.now - entry.started_at) / COLD_TIME if entry.started_at else 1.0
         return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * max(0.0, age))
 
     def check(self, slowdown: float, even: bool) -> None:
@@ -107,21 +107,21 @@
     def change(self) -> None:
         name, now = self.chance.choice(self.names), self.models[0].rig.now
         entry = self.listed[name]
-        others = sum(other.ready and not other.started for other in self.listed.values())
+        others = sum(other.ready and not other.started_at for other in self.listed.values())
         if entry.ready and others > len(self.names) / 2:
             entry = entry._replace(ready=False, draining=self.chance.random() < 0.5)
         else:
-            entry = entry._replace(ready=True, draining=False, started=now)
+            entry = entry._replace(ready=True, draining=False, started_at=now)
         self.listed[name] = entry
         for model in self.models:
-            news = self.chance.choice((News.CHANGES, News.CHANGES, News.WHOLE))
-            entries = self.listed.values() if news is News.WHOLE else [entry]
+            news = self.chance.choice((WatchEvent.DELTA, WatchEvent.DELTA, WatchEvent.SNAPSHOT))
+            entries = self.listed.values() if news is WatchEvent.SNAPSHOT else [entry]
             model.rig.hear(*entries, news=news)
             model.tell(entry)
 
     def beat(self, slowdown: float) -> None:
         for model in self.models:
-            model.rig.pace = model.rig.start.channel.lines_per_s / slowdown
+            model.rig.pace = model.rig.start.channel.lines_per_second / slowdown
             if self.chance.random() < 0.05:
                 usual = (self.chance.randint(0, 30), self.chance.randint(500, 3000))
                 for name in self.names:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -34,9 +34,7 @@
 groups: {read: {prefix: "/r", latency_budget: 500ms}}
 standing: {b1: {address: "127.0.0.1:9001", zone: "north"}}
 """
-BACKENDS = [
-    {"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north", "state": "ready"} for n in range(1, 4)
-]
+BACKENDS = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north", "state": "ready"} for n in range(1, 4)]
 
 
 def list_of(folder: Path, version: int, backends: list[dict[str, Any]]) -> None:
@@ -191,7 +189,7 @@
         agent = await running.agent("p1", port_of(controller))
         await until(lambda: agent.swaps and len(shown(tmp_path, "p1")) == 3)
         number = controller.house.number("p1")
-        from onyxhead.interface import TableChange
+        from onyxhead.policy.decisions import TableChange
 
         (one,) = controller.house.books.messages(90, [TableChange(0, (("b1", 0.5),))])
         controller.house.books.views[number] = agent.keeper.view
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,7 +10,7 @@
 from onyxhead.fronts.streams.messages import InvalidMessage, Known, Said
 from onyxhead.fronts.streams.orders import Encoder, Level, Orders, Rows, rejected
 from onyxhead.fronts.streams.resp import MOST, MOST_WORDS, FramingError, Machine, Words, framed
-from onyxhead.interface import Load
+from onyxhead.policy.inputs import LoadReport
 
 KNOWN = Known({"lookup": 0, "order": 1}, {"a": 0, "b": 1}, 20, {"s-1": None})
 
@@ -86,9 +86,9 @@
     assert read("attach proxy 17 zone a weight 21.5 fresh 1") == (Said.JOINS, (17, 0, 21.5, True))
     assert read("done proxy 17 mark 905 took_ms 310.44") == (Said.APPLIED, (17, 905, 3104))
     tries = "upstream_stats zone a server s-1 tries 212 failed 3 mean_ms 41.7 span_ms 1000.0"
-    assert read(tries) == (Said.TRIES, ("s-1", 0, 212, 3, 417, 10_000, Load()))
+    assert read(tries) == (Said.TRIES, ("s-1", 0, 212, 3, 417, 10_000, LoadReport()))
     told = read(tries + " load queue:7,util:0.61,latency_ms:20.5")
-    assert told == (Said.TRIES, ("s-1", 0, 212, 3, 417, 10_000, Load(0.61, 205)))
+    assert told == (Said.TRIES, ("s-1", 0, 212, 3, 417, 10_000, LoadReport(0.61, 205)))
     flows = "client_stats proxy 17 class order tries 19 failed 0 span_ms 1000.0"
     assert read(flows) == (Said.FLOWS, (17, 1, 19, 0, 10_000))
     assert read(flows + " more 1") == read(flows)
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -9,7 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-import onyxhead.interface as say
+from onyxhead.policy.decisions import TableAssignment, TableChange, Withdrawal
+from onyxhead.policy.inputs import AdmissionMode
 from onyxhead.tables.orders import Books, Message, Place, fold
 from onyxhead.tables.view import Malformed, View, nested, read_patch
 from tests.fleetrig import line
@@ -66,16 +67,16 @@
 
 
 def books() -> Books:
-    made = Books(("read", "write"), say.Throttle.SHARE, 6.0)
+    made = Books(("read", "write"), AdmissionMode.FRACTION, 6.0)
     made.places = {f"b{n}": Place(f"127.0.0.1:{9000 + n}", "north") for n in range(5)}
     return made
 
 
 def test_an_assignment_sends_the_whole_table_once_and_counts_its_lines() -> None:
     own = books()
-    own.messages(0, [say.TableChange(0, (("b0", 1.0), ("b1", 0.5)))])
+    own.messages(0, [TableChange(0, (("b0", 1.0), ("b1", 0.5)))])
     own.join(7, View.of({("standing", "b4"): line("b4")}))
-    (message,) = own.messages(1, [say.Shutout("b1", True), say.Assignment(7, 0, ())])
+    (message,) = own.messages(1, [Withdrawal("b1", True), TableAssignment(7, 0, ())])
     assert message.whole and message.lines == 6 + 1 + (1 + 2 + 1) + 1
     assert message.result.kind("tables", "t0", "lines")["b1"]["weight"] == 500_000
     assert message.result.kind("withdrawn") == {"b1": True} and not message.result.kind("standing")
@@ -83,12 +84,12 @@
 
 def test_a_change_goes_to_users_of_its_table_only_and_a_withdrawal_to_all() -> None:
     own = books()
-    own.messages(0, [say.TableChange(0, (("b0", 1.0), ("b1", 1.0)))])
+    own.messages(0, [TableChange(0, (("b0", 1.0), ("b1", 1.0)))])
     own.join(1, View.EMPTY)
     own.join(2, View.of({("standing", "b0"): line("b0")}))
-    own.messages(1, [say.Assignment(1, 0, ())])
-    assert [m.proxy for m in own.messages(2, [say.TableChange(0, (("b2", 0.1),))])] == [1]
-    shut = own.messages(3, [say.Shutout("b0", True)])
+    own.messages(1, [TableAssignment(1, 0, ())])
+    assert [m.proxy for m in own.messages(2, [TableChange(0, (("b2", 0.1),))])] == [1]
+    shut = own.messages(3, [Withdrawal("b0", True)])
     assert [m.proxy for m in shut] == [1, 2] and all(m.urgent and not m.whole for m in shut)
     assert shut[1].document() == {"withdrawn": {"b0": True}}
     assert own.views[2] == View.of({("standing", "b0"): line("b0"), ("withdrawn", "b0"): True})
@@ -111,7 +112,7 @@
 def test_a_small_weight_never_becomes_no_line_and_zero_takes_it_away() -> None:
     own = books()
     own.join(1, View.EMPTY)
-    own.messages(1, [say.TableChange(0, (("b0", 1e-9),)), say.Assignment(1, 0, ())])
+    own.messages(1, [TableChange(0, (("b0", 1e-9),)), TableAssignment(1, 0, ())])
     assert own.views[1].kind("tables", "t0", "lines")["b0"]["weight"] == 1
-    own.messages(2, [say.TableChange(0, (("b0", 0.0),))])
+    own.messages(2, [TableChange(0, (("b0", 0.0),))])
     assert not own.views[1].kind("tables", "t0", "lines")
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -58,7 +58,9 @@
 
 
 PUSHES = [
-    *head(5.0, "PATCH", "turn=1, lines=60, at=20000", "{}"), *head(6.0, "PATCH", "turn=2, lines=60, at=40000", "{}")]
+    *head(5.0, "PATCH", "turn=1, lines=60, at=20000", "{}"),
+    *head(6.0, "PATCH", "turn=2, lines=60, at=40000", "{}"),
+]
 
 
 @pytest.mark.parametrize(
@@ -107,9 +109,14 @@
 
 
 def test_an_order_taken_twice_and_one_of_an_older_controller_are_found(tmp_path: Path) -> None:
-    assert verdict(tmp_path, *PUSHES[:2], *head(7.0, "PATCH", "turn=1, lines=60, at=20000", "{}"))["doubled_orders"] == 1
+    assert (
+        verdict(tmp_path, *PUSHES[:2], *head(7.0, "PATCH", "turn=1, lines=60, at=20000", "{}"))["doubled_orders"] == 1
+    )
     late = head(8.0, "PATCH", "turn=9, lines=1, at=70000", "{}")
-    older = [e | {"data": base64.b64encode(base64.b64decode(e["data"]).replace(b"token: 1", b"token: 0")).decode()} for e in late]
+    older = [
+        e | {"data": base64.b64encode(base64.b64decode(e["data"]).replace(b"token: 1", b"token: 0")).decode()}
+        for e in late
+    ]
     assert verdict(tmp_path, *PUSHES[:2], *older)["doubled_orders"] == 1
 
 
@@ -119,7 +126,10 @@
 
 
 def test_a_wrong_table_that_is_not_undone_everywhere_is_found() -> None:
-    script = [{"t": 5.0, "what": "wrong", "backends": ["b1"]}, {"t": 7.0, "what": "undo", "controller": "c0", "version": 3, "done": True}]
+    script = [
+        {"t": 5.0, "what": "wrong", "backends": ["b1"]},
+        {"t": 7.0, "what": "undo", "controller": "c0", "version": 3, "done": True},
+    ]
     right = [pushed("p0", 1.0, True, 1_000_000), pushed("p0", 5.5, False, 20_000), pushed("p0", 7.4, False, 900_000)]
     assert restored(script, right) == (pytest.approx(0.4), 0)
     assert restored(script, [*right, pushed("p0", 9.0, False, 20_000)])[1] == 1
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -97,6 +97,6 @@
 
 
 def test_a_fault_of_the_module_is_told_in_the_wires_word(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("onyxhead.brain.Brain.proxy_left", lambda *_: 1 / 0)
+    monkeypatch.setattr("onyxhead.policy.balancer.BalancingPolicy.on_proxy_left", lambda *_: 1 / 0)
     out = replies(batch(BEGIN.strip(), "STREAM_DOWN 3"))
     assert "BUG ZeroDivisionError: division by zero" in out[0]
