--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -54,7 +54,7 @@
                 began = time.perf_counter()
                 change()  # type: ignore[no-untyped-call]
                 await fan.until(lambda: name in house.books.withdrawn)
-                turn = house.brain.turn
+                turn = house.brain.round_number
                 await fan.until(lambda: all(done[0] >= turn for done in list(house.applied.values())))
                 times.append(time.perf_counter() - began)
                 await asyncio.sleep(1.2)
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -146,7 +146,7 @@
             fleet.drain(drained)
             told = list(house.joined)
             await until(lambda: f"b{drained}" in house.books.withdrawn)
-            turn = house.brain.turn
+            turn = house.brain.round_number
             await until(lambda: all(house.applied.get(n, (turn,))[0] >= turn for n in told))
             withdrawals.append(time.perf_counter() - began)
             sent, paced = len(told), (house.channel.limits.message_overhead + 2) * len(told) / fleet.pace
--- a/onyxhead/controller/house.py
+++ b/onyxhead/controller/house.py
@@ -299,7 +299,7 @@
             reached.add(message.proxy)
             self._send(now, message)
         # While tables are held some get no message; the module must not wait for answers that can't come.
-        for proxy in [proxy for proxy in self.brain.spent if turn and proxy not in reached]:
+        for proxy in [proxy for proxy in self.brain.round_recipients if turn and proxy not in reached]:
             self.brain.on_acknowledgement(now, proxy, turn, 0)
         self._remember(now, ", ".join(self.causes) or "time")
         if turn:
--- a/onyxhead/node/host.py
+++ b/onyxhead/node/host.py
@@ -238,7 +238,7 @@
                 self._bind(proxy, table, groups, updates.setdefault(proxy, PendingUpdate()))
             case AcknowledgementRequest(turn, _):
                 # Whoever the module counts a message for gets one, also where it only asks for an answer.
-                for proxy in self.brain.spent:
+                for proxy in self.brain.round_recipients:
                     if proxy in self.joined:
                         updates.setdefault(proxy, PendingUpdate())
                 return turn
@@ -300,23 +300,23 @@
 
     def figures(self) -> dict[str, float]:
         """What the module believes, for the log: read only."""
-        brain = self.brain
+        policy = self.brain.statistics()
         return {
             "joined": len(self.joined),
             "bound": sum(1 for known in self.joined.values() if known.bound),
             "silent": sum(known.silent for known in self.joined.values()),
             "ready": sum(entry.ready for entry in self.listed.values()),
             "names": len(self.listed),
-            "backends": len(brain.backends),
+            "backends": policy.known_backends,
             "shut": len(self.shut),
-            "waiting": round(sum(sent[2] for sent in brain.unanswered)),
-            "unanswered": len(brain.unanswered),
-            "asked": round(sum(sum(proxy.rates) for proxy in brain.proxies.values()), 1),
-            "attempts": round(brain.attempts, 1),
-            "failed": round(brain.failed, 3),
-            "late": round(brain.late, 3),
-            "let_in": round(brain.let_in, 3),
-            "cells": brain.cells,
+            "waiting": round(policy.queued_lines),
+            "unanswered": policy.unacknowledged_messages,
+            "asked": round(policy.request_rate, 1),
+            "attempts": round(policy.attempt_rate, 1),
+            "failed": round(policy.failure_fraction, 3),
+            "late": round(policy.late_fraction, 3),
+            "let_in": round(policy.admitted_fraction, 3),
+            "cells": policy.subset_count,
         }
 
 
--- a/onyxhead/policy/balancer.py
+++ b/onyxhead/policy/balancer.py
@@ -10,7 +10,8 @@
 import math
 import random
 from collections import defaultdict, deque
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
+from typing import NamedTuple
 
 from onyxhead.policy.decisions import (
     AcknowledgementRequest,
@@ -152,6 +153,20 @@
         return self.cell == proxy.cell % self.of and self.home in (None, proxy.zone)
 
 
+class PolicyStatistics(NamedTuple):
+    """What the policy measures, for logs and metrics; rates are per second, fractions are from 0 to 1."""
+
+    known_backends: int
+    queued_lines: float
+    unacknowledged_messages: int
+    request_rate: float
+    attempt_rate: float
+    failure_fraction: float
+    late_fraction: float
+    admitted_fraction: float
+    subset_count: int
+
+
 class BalancingPolicy:
     def __init__(self, start: Deployment, seed: int, now: int) -> None:
         self.vary = random.Random(seed).uniform
@@ -301,6 +316,29 @@
 
     # What is decided
 
+    @property
+    def round_number(self) -> int:
+        """The number of the last round that sent messages, 0 before the first."""
+        return self.turn
+
+    @property
+    def round_recipients(self) -> Mapping[int, float]:
+        """The proxies that get a message of the current round, with the lines that each message costs."""
+        return self.spent
+
+    def statistics(self) -> PolicyStatistics:
+        return PolicyStatistics(
+            known_backends=len(self.backends),
+            queued_lines=sum(sent[2] for sent in self.unanswered),
+            unacknowledged_messages=len(self.unanswered),
+            request_rate=sum(sum(proxy.rates) for proxy in self.proxies.values()),
+            attempt_rate=self.attempts,
+            failure_fraction=self.failed,
+            late_fraction=self.late,
+            admitted_fraction=self.let_in,
+            subset_count=self.cells,
+        )
+
     def warming_backends(self, now: int) -> list[tuple[str, int, float, float]]:
         """Cold backends, their starts, the usual flows of their weight, and what would come unheld."""
         usual = [(b, self.unit * b.weight) for b in self._up() if self._warmth(b, now) < 1]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -97,7 +97,7 @@
         for proxy, stream, orders in work.orders:
             assert self.streams[proxy] == stream
             # Lines that the module did not count are those that end a shut-out from an earlier stream.
-            counted = self.host.brain.spent[proxy] - self.host.brain.head + 1
+            counted = self.host.brain.round_recipients[proxy] - self.host.brain.head + 1
             assert orders.lines <= counted + len(orders.back)
             self.muxes[proxy].obey(orders)
             told.append((proxy, orders))
@@ -120,7 +120,7 @@
 
 def orders_missing(host: Host, told: list[tuple[int, Orders]]) -> set[int]:
     reached = {proxy for proxy, _ in told}
-    return {proxy for proxy in host.brain.spent if proxy in host.joined} - reached
+    return {proxy for proxy in host.brain.round_recipients if proxy in host.joined} - reached
 
 
 def fleet(*names: str, started: int = 0) -> list[Endpoint]:
@@ -174,7 +174,10 @@
     day.run(1, answering=False)
     last = day.muxes[1].turns[-1]
     assert day.host.applied(day.now, 1, day.streams[1], last, 5)
-    assert not day.host.applied(day.now, 1, day.streams[1], last, 5) and not day.host.brain.unanswered
+    assert (
+        not day.host.applied(day.now, 1, day.streams[1], last, 5)
+        and not day.host.brain.statistics().unacknowledged_messages
+    )
 
 
 def test_a_silent_stream_holds_no_room_and_may_speak_again() -> None:
@@ -184,12 +187,14 @@
     day.run(1, answering=False)
     day.now += SILENCE + 10_000
     # Nobody has answered anything since: the channel may be slow, and a slow channel is no silence.
-    assert day.host.brain.unanswered and not day.host.detect_silent(day.now)
+    assert day.host.brain.statistics().unacknowledged_messages and not day.host.detect_silent(day.now)
     day.join(2)
     day.run(1, answering=False)
     day.answer(2)
     assert (
-        day.host.detect_silent(day.now) == [1] and not day.host.brain.unanswered and not day.host.detect_silent(day.now)
+        day.host.detect_silent(day.now) == [1]
+        and not day.host.brain.statistics().unacknowledged_messages
+        and not day.host.detect_silent(day.now)
     )
     day.host.left(day.now, 2, day.streams.pop(2))
     day.host.list_heard(day.now, WatchEvent.DELTA, [rig.draining("s2")])
@@ -254,7 +259,7 @@
                 day.host.detect_silent(day.now)
             day.act()
         day.run(25)
-        assert (day.host.brain.cells > 1) == (backends > 8)
+        assert (day.host.brain.statistics().subset_count > 1) == (backends > 8)
         tables = day.host.tables
         for proxy in day.streams:
             mux, known = day.muxes[proxy], day.host.joined[proxy]
@@ -278,7 +283,7 @@
         day.host.list_heard(day.now, WatchEvent.DELTA, [*fleet(f"s{n}", started=day.now), rig.draining(f"s{n - 2}")])
         day.run(1.2)
         day.host.list_heard(day.now, WatchEvent.DELTA, [rig.gone(f"s{n - 2}")])
-    assert len(day.host.brain.backends) < 30 and len(day.host.listed) <= 61 and len(day.host.shut) <= 61
+    assert day.host.brain.statistics().known_backends < 30 and len(day.host.listed) <= 61 and len(day.host.shut) <= 61
     assert all(set(rows) == set(day.host.tables[0]) for rows in (mux.rows[0] for mux in day.muxes.values()))
     # A late word of a forgotten one brings nothing back, and its name alone makes it no trusted backend.
     day.host.tries(day.now, "s5", 0, 50, 0, 500, 10_000, LoadReport())
