--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -59,9 +59,11 @@
                 times.append(time.perf_counter() - began)
                 await asyncio.sleep(1.2)
     return {
-        "agents": count, "edits a second, checked": round(per_second),
-        "commit to last swap, ms": quantiles(by_commit), "list file to last swap, ms": quantiles(by_file),
-    }  # fmt: skip
+        "agents": count,
+        "edits a second, checked": round(per_second),
+        "commit to last swap, ms": quantiles(by_commit),
+        "list file to last swap, ms": quantiles(by_file),
+    }
 
 
 def commit(desk: Any, edit: Any) -> None:
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -160,12 +160,14 @@
     body = json.dumps({"withdrawn": {"b1": True}}).encode().ljust(420)
     bare = [await writes(sent, body) for _ in range(rounds)]
     return {
-        "agents": count, "joins in each round": joining, "reports taken in a second": round(came),
+        "agents": count,
+        "joins in each round": joining,
+        "reports taken in a second": round(came),
         "withdrawal, list written to last answer, ms": quantiles(withdrawals),
         "of it the stated pace, ms": round(paced * 1000, 1),
         "a turn's change, first order to last answer, ms": quantiles(changes),
         "bare writes and answers of the same bytes, ms": quantiles(bare),
-    }  # fmt: skip
+    }
 
 
 def taken(daemon: Daemon) -> int:
@@ -181,11 +183,13 @@
 def publish(folder: Path, version: int, backends: int, gone: set[int]) -> None:
     entries = [
         {
-            "id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "z",
+            "id": f"b{n}",
+            "address": f"127.0.0.1:{9000 + n}",
+            "zone": "z",
             "state": "draining" if n in gone else "ready",
         }
         for n in range(backends)
-    ]  # fmt: skip
+    ]
     beside = folder / "list.tmp"
     beside.write_text(json.dumps({"version": version, "backends": entries}))
     beside.rename(folder / "list.json")
--- a/benchmarks/intake.py
+++ b/benchmarks/intake.py
@@ -126,11 +126,14 @@
         last_second = int(now)
         await asyncio.sleep(max(0.0, 0.1 - (time.monotonic() - began)))
     return {
-        "error": quantiles(off), "mean_error": round(sum(off) / max(1, len(off)), 4),
+        "error": quantiles(off),
+        "mean_error": round(sum(off) / max(1, len(off)), 4),
         "mean_error_moving_average": round(sum(plain) / max(1, len(plain)), 4),
         "mean_error_last_header": round(sum(before) / max(1, len(before)), 4),
-        "delay_after_jumps_s": quantiles(delays), "answer_s": quantiles(took), "counts": told["counts"],
-    }  # fmt: skip
+        "delay_after_jumps_s": quantiles(delays),
+        "answer_s": quantiles(took),
+        "counts": told["counts"],
+    }
 
 
 def once(rate: float, count: int, processes: int, senders: int, seconds: float, budget: int) -> dict[str, Any]:
@@ -139,9 +142,17 @@
     with tempfile.TemporaryDirectory(dir="/dev/shm" if os.access("/dev/shm", os.W_OK) else None) as folder:
         path = Path(folder)
         listed = [
-            {"id": f"b{n}", "address": f"127.0.0.1:{20_000 + n}", "zone": "z", "kind": "std", "state": "ready",
-             "weight": 1.0, "started": 0.0} for n in range(count)
-        ]  # fmt: skip
+            {
+                "id": f"b{n}",
+                "address": f"127.0.0.1:{20_000 + n}",
+                "zone": "z",
+                "kind": "std",
+                "state": "ready",
+                "weight": 1.0,
+                "started": 0.0,
+            }
+            for n in range(count)
+        ]
         (path / "list.json").write_text(json.dumps({"version": 1, "backends": listed}))
         own = f', listen: "127.0.0.1:{listen}"' if processes else ""
         (path / "c.rec").write_text(SETTINGS % (port, processes, budget, own))
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -46,8 +46,10 @@
         slow = (time.perf_counter() - began) / len(some)
         assert same == len(some)
         found[str(count)] = {
-            "flow_us": round(fast * 1e6, 2), "plain_us": round(slow * 1e6, 1), "compiling_s": round(made, 3),
-        }  # fmt: skip
+            "flow_us": round(fast * 1e6, 2),
+            "plain_us": round(slow * 1e6, 1),
+            "compiling_s": round(made, 3),
+        }
     count = int(args[0]) if args else 20_000
     routing = Routing({"p": Pool("p", (Server("a:1"),))}, (Host(("x",), locations=tuple(level(count))),))
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/swaps.py
+++ b/benchmarks/swaps.py
@@ -23,9 +23,24 @@
     with tempfile.TemporaryDirectory(dir=args[1] if len(args) > 1 else None) as name:
         folder = Path(name)
         settings = Agent(
-            "p", "z", ("127.0.0.1", 1), None, folder / "files", folder / "state", (), 1.0, ROUTES, 1.2, {}, None, 3.0,
-            0.1, 1 << 24, None, Log("error", "json"),
-        )  # fmt: skip
+            "p",
+            "z",
+            ("127.0.0.1", 1),
+            None,
+            folder / "files",
+            folder / "state",
+            (),
+            1.0,
+            ROUTES,
+            1.2,
+            {},
+            None,
+            3.0,
+            0.1,
+            1 << 24,
+            None,
+            Log("error", "json"),
+        )
         tree = Tree(settings)
         keeper = Keeper(View.EMPTY)
         keeper.listen_to("s")
@@ -56,9 +71,11 @@
 def apply(tree: Tree, keeper: Keeper, document: Any, whole: bool) -> None:
     body = canonical(document)
     headers = {
-        STREAM: "s", "if-match": keeper.view.tag, "content-digest": content_digest(body),
+        STREAM: "s",
+        "if-match": keeper.view.tag,
+        "content-digest": content_digest(body),
         "content-type": JSON if whole else MERGE_PATCH,
-    }  # fmt: skip
+    }
     taken = keeper.take(Request("PUT" if whole else "PATCH", "/v1/view", headers, body))
     assert isinstance(taken, Taken), taken
     tree.put(taken.view)
--- a/onyxhead/agent/daemon.py
+++ b/onyxhead/agent/daemon.py
@@ -281,12 +281,15 @@
         """The name of the controller that took it. Raises SentOn, Fenced, OSError and what else may fail."""
         view = self.keeper.view
         body = {
-            "zone": self.settings.zone, "usual": self.settings.usual,
+            "zone": self.settings.zone,
+            "usual": self.settings.usual,
             "standing": not any(path[0] == "bindings" for path in view.leaves),
-            "held": view.document(), "push": "{}:{}".format(*self.push),
-            "token": self.keeper.fence.held, "insist": insist,
+            "held": view.document(),
+            "push": "{}:{}".format(*self.push),
+            "token": self.keeper.fence.held,
+            "insist": insist,
             "silence": self.settings.silence,
-        }  # fmt: skip
+        }
         request = answer(200, body)
         target = f"/v1/proxies/{self.settings.name}"
         # What an older stream still brings is refused from here on, so that nothing changes what was just told.
--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -577,9 +577,15 @@
     @AS_JSON
     @IDENTITY
     def act(
-        names: tuple[str, ...], addresses: tuple[str, ...], fleet_file: Path | None, within: float, number: str | None,
-        dry_run: bool, as_json: bool, identity: Path | None,
-    ) -> None:  # fmt: skip
+        names: tuple[str, ...],
+        addresses: tuple[str, ...],
+        fleet_file: Path | None,
+        within: float,
+        number: str | None,
+        dry_run: bool,
+        as_json: bool,
+        identity: Path | None,
+    ) -> None:
         import getpass
         import secrets
 
@@ -594,12 +600,14 @@
         else:
             rows = [
                 {
-                    "member": each.member, "status": "not known" if each.status == "unknown" else each.status,
-                    "changed": each.told.get("changed", []), "channel_s": each.told.get("channel_s", "-"),
+                    "member": each.member,
+                    "status": "not known" if each.status == "unknown" else each.status,
+                    "changed": each.told.get("changed", []),
+                    "channel_s": each.told.get("channel_s", "-"),
                     "why": each.why,
                 }
                 for each in outcomes
-            ]  # fmt: skip
+            ]
             show_rows(f"{verb} {' '.join(names)}{' (only tried)' if dry_run else ''}", rows)
             if any(each.status == "unknown" for each in outcomes):
                 click.echo(f"not known everywhere; send it again with --id {number}", err=True)
@@ -635,9 +643,10 @@
         told = asyncio.run(states(controllers, target, min(TIMEOUT, within), tls))
         silent = sorted(name for name, state in told.items() if state is None)
         left = {
-            name: state for name, state in told.items()
+            name: state
+            for name, state in told.items()
             if state is not None and (state["behind"] or not all(own["out"] for own in state["backends"].values()))
-        }  # fmt: skip
+        }
         if not silent and not left:
             click.echo("out everywhere")
             return
--- a/onyxhead/console/rows.py
+++ b/onyxhead/console/rows.py
@@ -47,10 +47,17 @@
             if state.get("trial")
             else str(state["version"])
         )
-        rows.append((
-            name, f"{own.age:.0f} s", str(state["epoch"]), f"{state['list']['version']}", str(len(state["proxies"])),
-            f"{channel['waiting']:.0f}/{channel['most']:.0f}", held,
-        ))  # fmt: skip
+        rows.append(
+            (
+                name,
+                f"{own.age:.0f} s",
+                str(state["epoch"]),
+                f"{state['list']['version']}",
+                str(len(state["proxies"])),
+                f"{channel['waiting']:.0f}/{channel['most']:.0f}",
+                held,
+            )
+        )
     return rows
 
 
--- a/onyxhead/controller/alliance.py
+++ b/onyxhead/controller/alliance.py
@@ -38,9 +38,15 @@
         # A later start must win over an earlier one of the same name, also on an empty or a restored disk.
         boot = f"{int(time.time() * 1000):015d}.{secrets.token_hex(3)}"
         membership = Membership(
-            daemon.settings.name, boot, tuple(settings.members), Random(boot), now,
-            settings.period, settings.timeout, settings.suspicion,
-        )  # fmt: skip
+            daemon.settings.name,
+            boot,
+            tuple(settings.members),
+            Random(boot),
+            now,
+            settings.period,
+            settings.timeout,
+            settings.suspicion,
+        )
         members = {name: Member(name, each.zone, each.pace) for name, each in settings.members.items()}
         self.coalition = Coalition(membership, members, now, settings.settle)
         self.odd: set[str] = set()
@@ -119,9 +125,11 @@
         seconds = 2 * self.settings.timeout / TENTHS
         try:
             told = await ask_once(
-                member.address, Request("POST", PATH, request.headers, request.body), seconds,
+                member.address,
+                Request("POST", PATH, request.headers, request.body),
+                seconds,
                 keys.client if keys is not None else None,
-            )  # fmt: skip
+            )
             given = told.json()
             self._take(given["packets"], given.get("news"), packet.to)
         except (OSError, Fault, TimeoutError, ValueError, KeyError, TypeError):
@@ -164,9 +172,11 @@
         last = self.daemon.follower.last
         house = self.daemon.house
         return {
-            "proxies": self.own(), "withdrawn": sorted(house.books.withdrawn), "list": last.version if last else 0,
+            "proxies": self.own(),
+            "withdrawn": sorted(house.books.withdrawn),
+            "list": last.version if last else 0,
             "budget": self.budget.word().plain(),
-        }  # fmt: skip
+        }
 
     # What operators ask
 
--- a/onyxhead/controller/configuration/datastores.py
+++ b/onyxhead/controller/configuration/datastores.py
@@ -110,9 +110,15 @@
     # Commits
 
     def commit(
-        self, session: int, user: str, now: float, confirmed: bool = False, timeout: int = CONFIRM_TIMEOUT,
-        persist: str = "", persist_id: str = "",
-    ) -> Commit:  # fmt: skip
+        self,
+        session: int,
+        user: str,
+        now: float,
+        confirmed: bool = False,
+        timeout: int = CONFIRM_TIMEOUT,
+        persist: str = "",
+        persist_id: str = "",
+    ) -> Commit:
         """The commit to write down; nothing has changed until `done`. Raises Problem."""
         for name in ("running", "candidate"):
             self.may_write(session, name)
--- a/onyxhead/controller/configuration/desk.py
+++ b/onyxhead/controller/configuration/desk.py
@@ -87,9 +87,14 @@
         self.hands.audit(user, session, f"edit {name}", "done")
 
     def commit(
-        self, user: str, session: int, confirmed: bool = False, timeout: int = CONFIRM_TIMEOUT, persist: str = "",
+        self,
+        user: str,
+        session: int,
+        confirmed: bool = False,
+        timeout: int = CONFIRM_TIMEOUT,
+        persist: str = "",
         persist_id: str = "",
-    ) -> Commit:  # fmt: skip
+    ) -> Commit:
         """Raises Problem, with nothing changed."""
         now = self.hands.wall()
         made = self.stores.commit(session, user, now, confirmed, timeout, persist, persist_id)
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -24,10 +24,12 @@
             "most-waiting": int(start.channel.max_queued_lines),
         },
         "guards": {
-            "drain-grace": start.safety.drain_grace, "unserved-limit": start.safety.unserved_limit,
-            "cold-time": start.safety.warmup_time, "overload-factor": figure(start.safety.overload_factor),
+            "drain-grace": start.safety.drain_grace,
+            "unserved-limit": start.safety.unserved_limit,
+            "cold-time": start.safety.warmup_time,
+            "overload-factor": figure(start.safety.overload_factor),
         },
-    }  # fmt: skip
+    }
     backends = []
     for name, (weight, out) in sorted(settings.overrides.items()):
         backends.append(
@@ -38,10 +40,15 @@
 
 def _group(group: TrafficGroup, zones: tuple[str, ...]) -> Tree:
     made: Tree = {
-        "name": group.name, "utility": figure(group.utility), "latency-budget": group.latency_budget,
-        "expiry": group.timeout, "repeats": group.retry_safety.value, "dedup-reach": group.deduplication_scope,
-        "dedup-window": group.deduplication_window, "home-zone-only": group.home_zone_only,
-    }  # fmt: skip
+        "name": group.name,
+        "utility": figure(group.utility),
+        "latency-budget": group.latency_budget,
+        "expiry": group.timeout,
+        "repeats": group.retry_safety.value,
+        "dedup-reach": group.deduplication_scope,
+        "dedup-window": group.deduplication_window,
+        "home-zone-only": group.home_zone_only,
+    }
     return made | ({"zone": sorted(zones[zone] for zone in group.allowed_zones)} if group.allowed_zones else {})
 
 
@@ -71,7 +78,7 @@
                 given.get("dedup-window", 0),
                 zones,
                 given.get("home-zone-only", False),
-            )  # fmt: skip
+            )
         )
     return start._replace(
         groups=tuple(groups),
@@ -79,10 +86,12 @@
             lines_per_second=float(channel.get("pace", 1000)), max_queued_lines=float(channel.get("most-waiting", 2000))
         ),
         safety=start.safety._replace(
-            drain_grace=guards.get("drain-grace", 20_000), unserved_limit=guards.get("unserved-limit", 30_000),
-            warmup_time=guards.get("cold-time", 150_000), overload_factor=float(guards.get("overload-factor", 3)),
+            drain_grace=guards.get("drain-grace", 20_000),
+            unserved_limit=guards.get("unserved-limit", 30_000),
+            warmup_time=guards.get("cold-time", 150_000),
+            overload_factor=float(guards.get("overload-factor", 3)),
         ),
-    )  # fmt: skip
+    )
 
 
 def overlaid(roster: Roster, tree: Tree) -> Roster:
@@ -102,11 +111,15 @@
     groups = {}
     for given in tree["group"]:
         groups[given["name"]] = {
-            "utility": Raw(given.get("utility", "1.0")), "latency_budget": _span(given["latency-budget"]),
-            "expiry": _span(given["expiry"]), "repeats": given["repeats"],
-            "dedup_reach": given.get("dedup-reach", "all"), "dedup_window": _span(given.get("dedup-window", 0)),
-            "home_zone_only": given.get("home-zone-only", False), "prefix": prefixes.get(given["name"], "/"),
-        } | ({"zones": given["zone"]} if "zone" in given else {})  # fmt: skip
+            "utility": Raw(given.get("utility", "1.0")),
+            "latency_budget": _span(given["latency-budget"]),
+            "expiry": _span(given["expiry"]),
+            "repeats": given["repeats"],
+            "dedup_reach": given.get("dedup-reach", "all"),
+            "dedup_window": _span(given.get("dedup-window", 0)),
+            "home_zone_only": given.get("home-zone-only", False),
+            "prefix": prefixes.get(given["name"], "/"),
+        } | ({"zones": given["zone"]} if "zone" in given else {})
     backends = {
         each["id"]: ({"weight": Raw(each["weight"])} if "weight" in each else {})
         | ({"drained": True} if each.get("drained") else {})
@@ -115,7 +128,8 @@
     parts = {
         "groups": groups,
         "channel": {
-            "pace": Raw(f"{channel.get('pace', '1000.0')}/s"), "most_waiting": channel.get("most-waiting", 2000),
+            "pace": Raw(f"{channel.get('pace', '1000.0')}/s"),
+            "most_waiting": channel.get("most-waiting", 2000),
         },
         "guards": {
             "drain_grace": _span(guards.get("drain-grace", 20_000)),
@@ -124,7 +138,7 @@
             "overload_factor": Raw(guards.get("overload-factor", "3.0")),
         },
         "backends": backends,
-    }  # fmt: skip
+    }
     return "".join(f"{name}: {_written(value, 0)}\n" for name, value in parts.items())
 
 
--- a/onyxhead/controller/daemon.py
+++ b/onyxhead/controller/daemon.py
@@ -314,11 +314,13 @@
         now, cold = self.clock.now(), self.house.start.safety.warmup_time
         backends = tuple(
             effects.Backend(
-                entry.id, entry.zone, entry.state == "ready",
+                entry.id,
+                entry.zone,
+                entry.state == "ready",
                 not entry.started or now - self.clock.of_wall(entry.started) >= cold,
             )
             for entry in (self.raw.entries if self.raw else ())
-        )  # fmt: skip
+        )
         channel = self.house.channel
         return Facts(backends, len(self.house.joined), channel.waiting, channel.limits.message_overhead)
 
@@ -352,9 +354,10 @@
         """How far drains have come: which of the backends proxies may still use, as far as their answers prove."""
         house = self.house
         behind = sorted(
-            known.name for number, known in house.joined.items()
+            known.name
+            for number, known in house.joined.items()
             if (view := house.books.views.get(number)) is not None and house.applied.get(number, (0, ""))[1] != view.tag
-        )  # fmt: skip
+        )
         backends = {}
         for name in selected(names, [Backend(b, p.zone, "") for b, p in house.books.places.items()]):
             entry = house.listed.get(name)
--- a/onyxhead/controller/office.py
+++ b/onyxhead/controller/office.py
@@ -81,11 +81,14 @@
     ]
     backends = [
         {
-            "id": name, "address": own["address"], "zone": own["zone"], "ready": own["ready"],
+            "id": name,
+            "address": own["address"],
+            "zone": own["zone"],
+            "ready": own["ready"],
             "withdrawn": own["withdrawn"],
         }
         for name, own in known["backends"].items()
-    ]  # fmt: skip
+    ]
     channel = {"waiting": round(known["channel"]["waiting"]), "peak": round(known["channel"]["peak"])}
     made: Tree = {"epoch": known["epoch"], "channel": channel}
     return made | ({"proxy": proxies} if proxies else {}) | ({"backend": backends} if backends else {})
--- a/onyxhead/controller/reception.py
+++ b/onyxhead/controller/reception.py
@@ -101,16 +101,23 @@
         settings, tls = self.settings, self.daemon.settings.tls
         assert settings.listen is not None
         given = {
-            "listen": settings.listen, "every": settings.every, "seed": number,
+            "listen": settings.listen,
+            "every": settings.every,
+            "seed": number,
             "budget": settings.budget,
             "tls": [str(each) if each else None for each in (tls.certificate, tls.key, tls.authorities, tls.revoked)]
-            if tls else None,
-        }  # fmt: skip
+            if tls
+            else None,
+        }
         while True:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "onyxhead.controller.receiver", json.dumps(given),
-                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-            )  # fmt: skip
+                sys.executable,
+                "-m",
+                "onyxhead.controller.receiver",
+                json.dumps(given),
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+            )
             self.begun += 1
             log.info("receiver", number=number, pid=process.pid)
             try:
@@ -146,7 +153,9 @@
             if (figures := view.figures(now, name)) is not None:
                 backends[name] = figures.plain()
         return {
-            "counts": dict(self.counts) | dict(view.counts), "shed_most": dict(self.shed.most_common(10)),
+            "counts": dict(self.counts) | dict(view.counts),
+            "shed_most": dict(self.shed.most_common(10)),
             "receivers": self.begun - self.ended,
-            "series": self.courses.failing if self.courses is not None else None, "backends": backends,
-        }  # fmt: skip
+            "series": self.courses.failing if self.courses is not None else None,
+            "backends": backends,
+        }
--- a/onyxhead/controller/roster.py
+++ b/onyxhead/controller/roster.py
@@ -73,9 +73,14 @@
         return value
 
     entry = Entry(
-        id=told("id", str), address=told("address", str), zone=told("zone", str), kind=told("kind", str, ""),
-        state=told("state", str, "ready"), weight=told("weight", float, 1.0), started=told("started", float, 0.0),
-    )  # fmt: skip
+        id=told("id", str),
+        address=told("address", str),
+        zone=told("zone", str),
+        kind=told("kind", str, ""),
+        state=told("state", str, "ready"),
+        weight=told("weight", float, 1.0),
+        started=told("started", float, 0.0),
+    )
     if not entry.id or entry.state not in STATES:
         raise Unlisted(f"backend {place}: no id, or a state other than {' and '.join(STATES)}")
     if not 0 < entry.weight <= MOST_WEIGHT or not 0 <= entry.started < 1e11:
--- a/onyxhead/controller/ways.py
+++ b/onyxhead/controller/ways.py
@@ -71,9 +71,12 @@
 
 def _version(version: Version, now: int) -> dict[str, Any]:
     return {
-        "version": version.number, "epoch": version.epoch, "age_s": round((now - version.at) / 10_000, 1),
-        "cause": version.cause, "tag": version.tag[:16],
-    }  # fmt: skip
+        "version": version.number,
+        "epoch": version.epoch,
+        "age_s": round((now - version.at) / 10_000, 1),
+        "cause": version.cause,
+        "tag": version.tag[:16],
+    }
 
 
 def _tables(version: Version) -> dict[str, dict[str, int]]:
--- a/onyxhead/fleet/membership.py
+++ b/onyxhead/fleet/membership.py
@@ -107,9 +107,16 @@
     """`period` between two pings, `timeout` for a direct answer, `suspicion` until a silent member counts as dead."""
 
     def __init__(
-        self, own: str, boot: str, others: tuple[str, ...], chance: Random, now: int,
-        period: int = SECOND // 5, timeout: int = SECOND // 10, suspicion: int = SECOND,
-    ) -> None:  # fmt: skip
+        self,
+        own: str,
+        boot: str,
+        others: tuple[str, ...],
+        chance: Random,
+        now: int,
+        period: int = SECOND // 5,
+        timeout: int = SECOND // 10,
+        suspicion: int = SECOND,
+    ) -> None:
         self.own, self.boot, self.chance = own, boot, chance
         self.period, self.timeout, self.suspicion = period, timeout, suspicion
         self.incarnation, self.status = 0, Status.ALIVE
--- a/onyxhead/fronts/files/envoy.py
+++ b/onyxhead/fronts/files/envoy.py
@@ -92,7 +92,10 @@
         always = {"default_value": {"numerator": 100, "denominator": "HUNDRED"}}
         limit = {
             "@type": f"{TYPES}envoy.extensions.filters.http.local_ratelimit.v3.LocalRateLimit",
-            "stat_prefix": route.group, "token_bucket": bucket, "filter_enabled": always, "filter_enforced": always,
-        }  # fmt: skip
+            "stat_prefix": route.group,
+            "token_bucket": bucket,
+            "filter_enabled": always,
+            "filter_enforced": always,
+        }
         found["typed_per_filter_config"] = {RATE_LIMIT: limit}
     return found
--- a/onyxhead/fronts/netconf/server.py
+++ b/onyxhead/fronts/netconf/server.py
@@ -57,9 +57,14 @@
             except (asyncssh.KeyImportError, ValueError) as error:
                 raise OSError(f"host_key: {error}") from None
             self.ssh = await asyncssh.create_server(
-                lambda: _Users(own), *own.ssh, server_host_keys=[key], process_factory=self._ssh, encoding=None,
-                allow_pty=False, agent_forwarding=False,
-            )  # fmt: skip
+                lambda: _Users(own),
+                *own.ssh,
+                server_host_keys=[key],
+                process_factory=self._ssh,
+                encoding=None,
+                allow_pty=False,
+                agent_forwarding=False,
+            )
             log.info("netconf over ssh", port=self.ssh.get_port())
         if own.tls is not None and context is not None:
             self.tls = await asyncio.start_server(self._tls, *own.tls, ssl=context, reuse_port=True)
--- a/onyxhead/fronts/netconf/session.py
+++ b/onyxhead/fronts/netconf/session.py
@@ -319,12 +319,22 @@
 
 
 OPERATIONS: dict[str, Callable[[Session, Any], list[Any]]] = {
-    "get": Session._get, "get-config": Session._get_config, "edit-config": Session._edit_config,
-    "copy-config": Session._copy_config, "delete-config": Session._delete_config, "lock": Session._lock,
-    "unlock": Session._unlock, "commit": Session._commit, "cancel-commit": Session._cancel_commit,
-    "discard-changes": Session._discard, "validate": Session._validate, "close-session": Session._close,
-    "kill-session": Session._kill, "get-schema": Session._get_schema, "create-subscription": Session._subscribe,
-}  # fmt: skip
+    "get": Session._get,
+    "get-config": Session._get_config,
+    "edit-config": Session._edit_config,
+    "copy-config": Session._copy_config,
+    "delete-config": Session._delete_config,
+    "lock": Session._lock,
+    "unlock": Session._unlock,
+    "commit": Session._commit,
+    "cancel-commit": Session._cancel_commit,
+    "discard-changes": Session._discard,
+    "validate": Session._validate,
+    "close-session": Session._close,
+    "kill-session": Session._kill,
+    "get-schema": Session._get_schema,
+    "create-subscription": Session._subscribe,
+}
 
 
 def _datastore(asked: Any, role: str) -> str:  # noqa: ANN401
--- a/onyxhead/intake/picture.py
+++ b/onyxhead/intake/picture.py
@@ -150,7 +150,7 @@
         return [
             Sums(*key, r[0], r[1], tuple(r[2:4]), tuple(r[4:6]), tuple(r[6:8]), tuple(r[8:10]), _thinned(r[10]))
             for key, r in self.rows.items()
-        ]  # fmt: skip
+        ]
 
 
 def _thinned(latencies: list[tuple[float, float]]) -> tuple[tuple[float, float], ...]:
@@ -164,11 +164,20 @@
     for each in parts:
         key = (each.backend, each.boot)
         held = found.get(key)
-        found[key] = each if held is None else Sums(
-            *key, max(held.at, each.at), held.reports + each.reports, _plus(held.busy, each.busy),
-            _plus(held.queue, each.queue), _plus(held.rate, each.rate), _plus(held.errors, each.errors),
-            tuple(sorted((*held.latencies, *each.latencies))),
-        )  # fmt: skip
+        found[key] = (
+            each
+            if held is None
+            else Sums(
+                *key,
+                max(held.at, each.at),
+                held.reports + each.reports,
+                _plus(held.busy, each.busy),
+                _plus(held.queue, each.queue),
+                _plus(held.rate, each.rate),
+                _plus(held.errors, each.errors),
+                tuple(sorted((*held.latencies, *each.latencies))),
+            )
+        )
     return [found[key] for key in sorted(found)]
 
 
@@ -324,9 +333,12 @@
             fresh = now - known.heard_at < 5 * SECOND
             mean = known.time / known.good if known.good else 0.0
             heard[backend] = Heard(
-                self.kinds[backend], busy.value if busy and fresh else None, queue.value if queue and fresh else None,
-                known.good, mean,
-            )  # fmt: skip
+                self.kinds[backend],
+                busy.value if busy and fresh else None,
+                queue.value if queue and fresh else None,
+                known.good,
+                mean,
+            )
             known.good, known.time = 0, 0.0
         beliefs = self.truth.weigh(heard)
         for backend, belief in beliefs.items():
@@ -365,9 +377,19 @@
         rate = known.rate.figure() or known.met_rate.level.figure()
         latency = known.latency.merged(now)
         return Figures(
-            rate, busy, said, known.queue.figure(), known.loss.figure(), band(latency, 0.5), band(latency, 0.99),
-            known.met_rate.level.figure(), speed, belief.trust, belief.why, now - known.heard_at,
-        )  # fmt: skip
+            rate,
+            busy,
+            said,
+            known.queue.figure(),
+            known.loss.figure(),
+            band(latency, 0.5),
+            band(latency, 0.99),
+            known.met_rate.level.figure(),
+            speed,
+            belief.trust,
+            belief.why,
+            now - known.heard_at,
+        )
 
     def _young(self, now: int, backend: str) -> Known | None:
         """The backend, if it was heard lately enough to act on."""
--- a/onyxhead/intake/report.py
+++ b/onyxhead/intake/report.py
@@ -98,11 +98,18 @@
         return None
     load, named = loose.load, loose.load.get("named_metrics")
     named = named if isinstance(named, dict) else {}
-    return Envelope(loose.backend, loose.boot, loose.at, OrcaLoadReport(
-        _figure(load.get("cpu_utilization"), FULL), _figure(load.get("application_utilization"), FULL),
-        _figure(load.get("rps_fractional"), MOST_RATE), _figure(load.get("eps"), MOST_RATE),
-        Named(_figure(named.get("queue"), MOST_QUEUE), _figure(named.get("latency_ms"), MOST_LATENCY_MS)),
-    ))  # fmt: skip
+    return Envelope(
+        loose.backend,
+        loose.boot,
+        loose.at,
+        OrcaLoadReport(
+            _figure(load.get("cpu_utilization"), FULL),
+            _figure(load.get("application_utilization"), FULL),
+            _figure(load.get("rps_fractional"), MOST_RATE),
+            _figure(load.get("eps"), MOST_RATE),
+            Named(_figure(named.get("queue"), MOST_QUEUE), _figure(named.get("latency_ms"), MOST_LATENCY_MS)),
+        ),
+    )
 
 
 def _figure(value: object, most: float) -> float | None:
--- a/onyxhead/keys/authority.py
+++ b/onyxhead/keys/authority.py
@@ -175,9 +175,16 @@
 
 def _usage(authority: bool) -> x509.KeyUsage:
     return x509.KeyUsage(
-        digital_signature=not authority, content_commitment=False, key_encipherment=False, data_encipherment=False,
-        key_agreement=False, key_cert_sign=authority, crl_sign=authority, encipher_only=False, decipher_only=False,
-    )  # fmt: skip
+        digital_signature=not authority,
+        content_commitment=False,
+        key_encipherment=False,
+        data_encipherment=False,
+        key_agreement=False,
+        key_cert_sign=authority,
+        crl_sign=authority,
+        encipher_only=False,
+        decipher_only=False,
+    )
 
 
 def _private(key: ec.EllipticCurvePrivateKey) -> bytes:
--- a/onyxhead/node/start.py
+++ b/onyxhead/node/start.py
@@ -88,9 +88,19 @@
         raise Unfit(f"settings: {type(error).__name__}: {error}") from None
     groups = tuple(group.name for group in start.groups)
     return Start(
-        given["name"], address(given["listen"], "listen"), address(given["discovery"], "discovery"), seed, sockets,
-        given.get("known"), start, groups, zones, kinds, reports, gap,
-    )  # fmt: skip
+        given["name"],
+        address(given["listen"], "listen"),
+        address(given["discovery"], "discovery"),
+        seed,
+        sockets,
+        given.get("known"),
+        start,
+        groups,
+        zones,
+        kinds,
+        reports,
+        gap,
+    )
 
 
 def address(text: str, what: str) -> Address:
--- a/onyxhead/policy/balancer.py
+++ b/onyxhead/policy/balancer.py
@@ -138,8 +138,16 @@
 
 
 class Table:
-    def __init__(self, number: int, plan: Table | None, zones: frozenset[int] | None, home: int | None,
-                 groups: list[int], cell: int = 0, of: int = 1) -> None:  # fmt: skip
+    def __init__(
+        self,
+        number: int,
+        plan: Table | None,
+        zones: frozenset[int] | None,
+        home: int | None,
+        groups: list[int],
+        cell: int = 0,
+        of: int = 1,
+    ) -> None:
         self.number, self.zones, self.home, self.groups, self.cell = number, zones, home, groups, cell
         self.plan, self.of = plan or self, of  # so many cells share out what the plan's one holds
         self.gates: dict[int, float] = {}
@@ -398,8 +406,10 @@
     def _holding(self, due: list[Backend], proxies: list[Proxy]) -> dict[str, list[Proxy]]:
         # Asked at each pull while withdrawals wait: once for all whose lines are in the same tables.
         held = {b.id: tuple(t for t in self._taking(b) if b.lines[t.number]) for b in due}
-        users = {tables: [p for p in proxies if not p.bound or any(t.serves(p) for t in tables)]
-                 for tables in set(held.values())}  # fmt: skip
+        users = {
+            tables: [p for p in proxies if not p.bound or any(t.serves(p) for t in tables)]
+            for tables in set(held.values())
+        }
         return {name: users[tables] for name, tables in held.items()}
 
     def _assign(self, now: int) -> Iterator[Decision]:
--- a/onyxhead/records/json_schema.py
+++ b/onyxhead/records/json_schema.py
@@ -9,8 +9,11 @@
 
 from onyxhead.records.syntax import Both, Either, Limit, ListOf, Literal, Pattern, Reference, Struct, Term, parse
 
-UNITS = {"duration": r"^-?[0-9]+(\.[0-9]+)?(us|ms|s|m|h|d)$", "rate": r"^-?[0-9]+(\.[0-9]+)?/(ms|s|min|m|h)$",
-         "size": r"^[0-9]+(\.[0-9]+)?(B|kB|MB|GB|KiB|MiB|GiB)$"}  # fmt: skip
+UNITS = {
+    "duration": r"^-?[0-9]+(\.[0-9]+)?(us|ms|s|m|h|d)$",
+    "rate": r"^-?[0-9]+(\.[0-9]+)?/(ms|s|min|m|h)$",
+    "size": r"^[0-9]+(\.[0-9]+)?(B|kB|MB|GB|KiB|MiB|GiB)$",
+}
 PLAIN = {"string": "string", "int": "integer", "number": "number", "bool": "boolean"}
 BOUNDS = {">=": "minimum", "<=": "maximum", ">": "exclusiveMinimum", "<": "exclusiveMaximum"}
 
--- a/onyxhead/records/meaning.py
+++ b/onyxhead/records/meaning.py
@@ -29,9 +29,15 @@
 KINDS = ("string", "int", "number", "bool", "duration", "rate", "size", "any")
 COMPARES = {">=": operator.ge, "<=": operator.le, ">": operator.gt, "<": operator.lt}
 UNITS = {
-    "duration": "a time such as 1500ms", "rate": "a rate such as 900/s", "size": "a size such as 8MiB",
-    "string": "a string", "int": "a whole number", "number": "a number", "bool": "true or false", "any": "a value",
-}  # fmt: skip
+    "duration": "a time such as 1500ms",
+    "rate": "a rate such as 900/s",
+    "size": "a size such as 8MiB",
+    "string": "a string",
+    "int": "a whole number",
+    "number": "a number",
+    "bool": "true or false",
+    "any": "a value",
+}
 
 
 class Scope:
--- a/onyxhead/records/syntax.py
+++ b/onyxhead/records/syntax.py
@@ -242,9 +242,19 @@
 
 
 EXPECTED = {
-    "COLON": "':'", "RBRACE": "'}'", "RSQB": "']'", "RPAR": "')'", "COMMA": "','", "NAME": "a name",
-    "STRING": "a string", "LBRACE": "'{'", "LSQB": "'['", "$END": "the end of the file", "VBAR": "'|'", "MATCH": "'=~'",
-}  # fmt: skip
+    "COLON": "':'",
+    "RBRACE": "'}'",
+    "RSQB": "']'",
+    "RPAR": "')'",
+    "COMMA": "','",
+    "NAME": "a name",
+    "STRING": "a string",
+    "LBRACE": "'{'",
+    "LSQB": "'['",
+    "$END": "the end of the file",
+    "VBAR": "'|'",
+    "MATCH": "'=~'",
+}
 
 
 def parse(text: str, file: str) -> File:
--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -258,7 +258,7 @@
                 group["dedup_window"],
                 own,
                 group["home_zone_only"],
-            )  # fmt: skip
+            )
         )
     channel, guards, tries = found["channel"], found["guards"], found["tries"]
     least = 4 * (channel["head"] + 1)
@@ -278,12 +278,24 @@
         proxy_count=found["proxies"],
         groups=tuple(groups),
         channel=ChannelLimits(
-            channel["pace"], float(channel["head"]), float(channel["most_waiting"]), channel["transit"],
-            max(channel["transit"], channel["slowest_transit"]), channel["messages_cap"], channel["messages_span"],
+            channel["pace"],
+            float(channel["head"]),
+            float(channel["most_waiting"]),
+            channel["transit"],
+            max(channel["transit"], channel["slowest_transit"]),
+            channel["messages_cap"],
+            channel["messages_span"],
         ),
         safety=SafetyLimits(
-            guards["unserved_limit"], guards["drain_grace"], guards["only_draining_binds"], guards["cold_share"],
-            guards["cold_time"], guards["overload_factor"], guards["fall_time"], guards["refusal_may_have_run"], 0,
+            guards["unserved_limit"],
+            guards["drain_grace"],
+            guards["only_draining_binds"],
+            guards["cold_share"],
+            guards["cold_time"],
+            guards["overload_factor"],
+            guards["fall_time"],
+            guards["refusal_may_have_run"],
+            0,
         ),
         admission_mode=throttles[found["throttle"]],
         default_retry_mode=tries["usual"],
@@ -292,7 +304,7 @@
         report_interval=found["report_every"],
         health_checks_allowed=found["probes"]["allowed"],
         subscription_required=found["discovery"]["subscribe"],
-    )  # fmt: skip
+    )
     given, addresses, here = found["discovery"], _Addresses(found, faults), path.parent
     file = here / given["file"] if "file" in given else None
     server = addresses.read(given["server"], "discovery", "server") if "server" in given else None
@@ -318,12 +330,25 @@
     if faults:
         raise Faulty(faults)
     return Controller(
-        found["name"], listen, here / found["state"], found["seed"],
-        tuple(group.name for group in groups), zones, start, channel["patience"],
-        Discovery(file, server, _seconds(given["every"])), _seconds(found["list_good_for"]),
-        Probes(probes["path"], _seconds(probes["timeout"]), probes["at_once"]), Log(**found["log"]), overrides,
-        prefixes, front, _tls(found, here), fleet, intake,
-    )  # fmt: skip
+        found["name"],
+        listen,
+        here / found["state"],
+        found["seed"],
+        tuple(group.name for group in groups),
+        zones,
+        start,
+        channel["patience"],
+        Discovery(file, server, _seconds(given["every"])),
+        _seconds(found["list_good_for"]),
+        Probes(probes["path"], _seconds(probes["timeout"]), probes["at_once"]),
+        Log(**found["log"]),
+        overrides,
+        prefixes,
+        front,
+        _tls(found, here),
+        fleet,
+        intake,
+    )
 
 
 def _fleet(given: Found, addresses: _Addresses) -> Fleet:
@@ -345,11 +370,15 @@
 def _netconf(given: Found, here: Path, addresses: _Addresses) -> Netconf:
     rules = tuple(
         Rule(
-            each["name"], tuple(each["groups"]), each.get("path"), each.get("rpc"), tuple(each["operations"]),
+            each["name"],
+            tuple(each["groups"]),
+            each.get("path"),
+            each.get("rpc"),
+            tuple(each["operations"]),
             each["action"] == "permit",
         )
         for each in given["rules"]
-    )  # fmt: skip
+    )
     users = {name: User(tuple(own["keys"]), tuple(own["groups"])) for name, own in given["users"].items()}
     host_key = here / given["host_key"] if "host_key" in given else None
     ssh = addresses.read(given["ssh"], "netconf", "ssh", free=True) if "ssh" in given else None
@@ -382,9 +411,22 @@
         raise Faulty(faults)
     here, reload = path.parent, found.get("reload")
     return Agent(
-        found["name"], found["zone"], listen, advertise, here / found["files"], here / found["state"], controllers,
-        found["usual"], tuple(routes), found["stretch"], standing, stats, _seconds(found["silence"]),
-        _seconds(found["redial"]), found["most_body"],
-        Reload(here / reload["pid_file"], reload["signal"]) if reload else None, Log(**found["log"]),
+        found["name"],
+        found["zone"],
+        listen,
+        advertise,
+        here / found["files"],
+        here / found["state"],
+        controllers,
+        found["usual"],
+        tuple(routes),
+        found["stretch"],
+        standing,
+        stats,
+        _seconds(found["silence"]),
+        _seconds(found["redial"]),
+        found["most_body"],
+        Reload(here / reload["pid_file"], reload["signal"]) if reload else None,
+        Log(**found["log"]),
         _tls(found, here),
-    )  # fmt: skip
+    )
--- a/onyxhead/store/store.py
+++ b/onyxhead/store/store.py
@@ -49,9 +49,15 @@
 """.replace("value) strict", "value any) strict")
 
 NOT_ITS_FAULT = {
-    sqlite3.SQLITE_CANTOPEN, sqlite3.SQLITE_FULL, sqlite3.SQLITE_READONLY, sqlite3.SQLITE_IOERR,
-    sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED, sqlite3.SQLITE_PERM, sqlite3.SQLITE_NOMEM,
-}  # fmt: skip
+    sqlite3.SQLITE_CANTOPEN,
+    sqlite3.SQLITE_FULL,
+    sqlite3.SQLITE_READONLY,
+    sqlite3.SQLITE_IOERR,
+    sqlite3.SQLITE_BUSY,
+    sqlite3.SQLITE_LOCKED,
+    sqlite3.SQLITE_PERM,
+    sqlite3.SQLITE_NOMEM,
+}
 """What the disk or another process may do to a file that is whole."""
 
 Write = tuple[str, tuple[Any, ...]]
@@ -172,8 +178,13 @@
         self._put(
             "insert into proxies values (?, ?, ?, ?, ?, ?) on conflict (name) do update set"
             " zone = excluded.zone, tag = excluded.tag, turn = excluded.turn, seen = excluded.seen",
-            name, number, zone, tag, turn, self.wall(),
-        )  # fmt: skip
+            name,
+            number,
+            zone,
+            tag,
+            turn,
+            self.wall(),
+        )
 
     def withdrew(self, backend: str, shut: bool) -> None:
         if shut:
@@ -185,8 +196,9 @@
         row = self.wall(), epoch, turn, json.dumps(list(causes)), json.dumps(decisions)
         self._put(
             "insert into orders (at, epoch, turn, causes, decisions, digest) values (?, ?, ?, ?, ?, ?)",
-            *row, _record(*row),
-        )  # fmt: skip
+            *row,
+            _record(*row),
+        )
         if turn % COMPACT_EVERY == 0:
             self._put(f"delete from orders where number <= (select max(number) - {ORDERS_KEPT} from orders)")
 
--- a/onyxhead/trial/run.py
+++ b/onyxhead/trial/run.py
@@ -24,13 +24,37 @@
 
 ZONES = ("north", "south", "east")
 GROUPS = (
-    {"name": "look-up", "prefix": "/look-up", "share": 0.6, "work": 0.012, "budget": 0.5, "expiry": 1.5,
-     "utility": 1.0, "repeats": "retriable"},
-    {"name": "report", "prefix": "/report", "share": 0.3, "work": 0.018, "budget": 0.7, "expiry": 2.0,
-     "utility": 2.0, "repeats": "deduped"},
-    {"name": "book", "prefix": "/book", "share": 0.1, "work": 0.012, "budget": 0.7, "expiry": 2.0,
-     "utility": 3.0, "repeats": "non-retriable"},
-)  # fmt: skip
+    {
+        "name": "look-up",
+        "prefix": "/look-up",
+        "share": 0.6,
+        "work": 0.012,
+        "budget": 0.5,
+        "expiry": 1.5,
+        "utility": 1.0,
+        "repeats": "retriable",
+    },
+    {
+        "name": "report",
+        "prefix": "/report",
+        "share": 0.3,
+        "work": 0.018,
+        "budget": 0.7,
+        "expiry": 2.0,
+        "utility": 2.0,
+        "repeats": "deduped",
+    },
+    {
+        "name": "book",
+        "prefix": "/book",
+        "share": 0.1,
+        "work": 0.012,
+        "budget": 0.7,
+        "expiry": 2.0,
+        "utility": 3.0,
+        "repeats": "non-retriable",
+    },
+)
 GRACE, UNSERVED, COLD, FALL, FACTOR, COLD_SHARE, WINDOW = 1.5, 2.0, 6.0, 1.5, 3.0, 0.25, 3.0
 PACE, MOST_WAITING = 2500, 4000
 
@@ -115,48 +139,79 @@
         push = self.link("", name, "", zone, port)
         standing = self.chance.sample(list(self.listed.values()), 3)
         settings = {
-            "kind": "agent", "name": name, "zone": zone, "listen": f"127.0.0.1:{port}",
-            "advertise": f"127.0.0.1:{push}", "files": name, "state": f"{name}-state",
-            "stats": f"127.0.0.1:{flows}", "controllers": [f"127.0.0.1:{each}" for each in reached],
+            "kind": "agent",
+            "name": name,
+            "zone": zone,
+            "listen": f"127.0.0.1:{port}",
+            "advertise": f"127.0.0.1:{push}",
+            "files": name,
+            "state": f"{name}-state",
+            "stats": f"127.0.0.1:{flows}",
+            "controllers": [f"127.0.0.1:{each}" for each in reached],
             "standing": {e["id"]: {"address": e["address"], "zone": e["zone"]} for e in standing},
             "usual": Raw(f"{self.size.rate / self.size.proxies:.1f}/s"),
-            "silence": Raw("2s"), "redial": Raw("150ms"),
+            "silence": Raw("2s"),
+            "redial": Raw("150ms"),
             "groups": {g["name"]: {"prefix": g["prefix"], "latency_budget": ms(g["budget"])} for g in GROUPS},
-        }  # fmt: skip
+        }
         self.folder.joinpath(f"{name}.rec").write_text(top(settings))
 
     def controller_settings(self, name: str, zone: str, port: int) -> str:
         groups = {
             g["name"]: {
-                "prefix": g["prefix"], "utility": g["utility"], "latency_budget": ms(g["budget"]),
-                "expiry": ms(g["expiry"]), "repeats": g["repeats"], "dedup_reach": "zone", "dedup_window": ms(WINDOW),
+                "prefix": g["prefix"],
+                "utility": g["utility"],
+                "latency_budget": ms(g["budget"]),
+                "expiry": ms(g["expiry"]),
+                "repeats": g["repeats"],
+                "dedup_reach": "zone",
+                "dedup_window": ms(WINDOW),
             }
             for g in GROUPS
-        }  # fmt: skip
+        }
         fellows = {
             other: {
-                "zone": own, "pace": Raw(f"{PACE}/s"),
+                "zone": own,
+                "pace": Raw(f"{PACE}/s"),
                 "address": f"127.0.0.1:{target if other == name else self.link(name, other, zone, own, target)}",
             }
             for other, (own, target) in self.controllers.items()
-        }  # fmt: skip
+        }
         beats = {"period": ms(0.2), "timeout": ms(0.15), "suspicion": ms(0.8), "settle": ms(2)}
         shared = {"fleet": {"members": fellows, **beats}} if self.size.shared else {}
         source = {"file": "list.json"} if self.watched else {"server": f"127.0.0.1:{self.discovery}"}
-        return top({
-            "kind": "controller", "name": name, "zone": zone, "zones": list(ZONES), "listen": f"127.0.0.1:{port}",
-            "state": f"{name}-state", "seed": self.seed % 1000, "controllers": self.size.controllers,
-            "proxies": self.size.proxies, "groups": groups, "tries": {"usual": 1},
-            "channel": {
-                "pace": Raw(f"{PACE}/s"), "most_waiting": MOST_WAITING, "transit": ms(0.01),
-                "slowest_transit": ms(0.1),
-            },
-            "guards": {
-                "unserved_limit": ms(UNSERVED), "drain_grace": ms(GRACE), "cold_share": COLD_SHARE,
-                "cold_time": ms(COLD), "overload_factor": FACTOR, "fall_time": ms(FALL),
-            },
-            "discovery": source | {"every": ms(0.05)}, "probes": {"timeout": ms(0.25)}, **shared,
-        })  # fmt: skip
+        return top(
+            {
+                "kind": "controller",
+                "name": name,
+                "zone": zone,
+                "zones": list(ZONES),
+                "listen": f"127.0.0.1:{port}",
+                "state": f"{name}-state",
+                "seed": self.seed % 1000,
+                "controllers": self.size.controllers,
+                "proxies": self.size.proxies,
+                "groups": groups,
+                "tries": {"usual": 1},
+                "channel": {
+                    "pace": Raw(f"{PACE}/s"),
+                    "most_waiting": MOST_WAITING,
+                    "transit": ms(0.01),
+                    "slowest_transit": ms(0.1),
+                },
+                "guards": {
+                    "unserved_limit": ms(UNSERVED),
+                    "drain_grace": ms(GRACE),
+                    "cold_share": COLD_SHARE,
+                    "cold_time": ms(COLD),
+                    "overload_factor": FACTOR,
+                    "fall_time": ms(FALL),
+                },
+                "discovery": source | {"every": ms(0.05)},
+                "probes": {"timeout": ms(0.25)},
+                **shared,
+            }
+        )
 
     def serve(self, name: str) -> None:
         verb = "serve" if name in self.controllers else "agent"
@@ -208,18 +263,33 @@
         self.start_backend(name, port, zone, cold)
         started = round(time.time(), 3) if cold else 0.0
         self.listed[name] = {
-            "id": name, "address": f"127.0.0.1:{port}", "zone": zone, "kind": "std", "state": "ready",
-            "weight": 1.0, "started": started,
-        }  # fmt: skip
+            "id": name,
+            "address": f"127.0.0.1:{port}",
+            "zone": zone,
+            "kind": "std",
+            "state": "ready",
+            "weight": 1.0,
+            "started": started,
+        }
         return name
 
     def start_backend(self, name: str, port: int, zone: str, cold: bool) -> None:
         given = {
-            "name": name, "port": port, "zone": zone, "cores": 2, "speed": 1.0, "cold": cold, "queue": 60,
-            "cold_share": COLD_SHARE, "cold_time": COLD, "factor": FACTOR, "fall_time": FALL, "connections": 400,
+            "name": name,
+            "port": port,
+            "zone": zone,
+            "cores": 2,
+            "speed": 1.0,
+            "cold": cold,
+            "queue": 60,
+            "cold_share": COLD_SHARE,
+            "cold_time": COLD,
+            "factor": FACTOR,
+            "fall_time": FALL,
+            "connections": 400,
             "dedup": {g["name"]: {"window": WINDOW} for g in GROUPS if g["repeats"] == "deduped"},
             "marks": str(self.folder / "marks"),
-        }  # fmt: skip
+        }
         self.stand_in("backend", name, given)
 
     def publish(self) -> None:
@@ -270,8 +340,12 @@
     finally:
         fleet.end()
     figures = {
-        "drain_grace": GRACE, "unserved_limit": UNSERVED, "cold_time": COLD, "most_waiting": MOST_WAITING, "pace": PACE,
-    }  # fmt: skip
+        "drain_grace": GRACE,
+        "unserved_limit": UNSERVED,
+        "cold_time": COLD,
+        "most_waiting": MOST_WAITING,
+        "pace": PACE,
+    }
     verdict = judge(folder / "record", figures, {str(g["name"]): str(g["repeats"]) for g in GROUPS}, seed)
     if keep is not None:
         shutil.copytree(folder, keep, dirs_exist_ok=True)
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -35,9 +35,13 @@
     """What goes over the wire for a message, and nothing else of it."""
     body, digest = Encoder().body(message)
     headers = {
-        STREAM: stream, ORDER: order_field(message.turn, message.lines, at), "content-digest": digest,
-        "if-match": message.base, "onyxhead-result": message.result.tag, "content-type": JSON if message.whole else MERGE_PATCH,
-    }  # fmt: skip
+        STREAM: stream,
+        ORDER: order_field(message.turn, message.lines, at),
+        "content-digest": digest,
+        "if-match": message.base,
+        "onyxhead-result": message.result.tag,
+        "content-type": JSON if message.whole else MERGE_PATCH,
+    }
     return Request("PUT" if message.whole else "PATCH", "/v1/view", headers, body)
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -39,12 +39,21 @@
 
 def deployment(*groups: TrafficGroup, **other: object) -> Deployment:
     return Deployment(
-        zone=0, zone_count=3, controller_count=1, proxy_count=4, groups=groups or (group(),),
+        zone=0,
+        zone_count=3,
+        controller_count=1,
+        proxy_count=4,
+        groups=groups or (group(),),
         channel=ChannelLimits(500.0, 6.0, MOST_WAITING, 2000, 5000, 0, 0),
         safety=SafetyLimits(UNSERVED, GRACE, False, 0.2, COLD_TIME, 3.0, 15_000, False, 10 * SECOND),
-        admission_mode=AdmissionMode.FRACTION, default_retry_mode=1, attempt_timeout_factor=1.0, proxy_ejection_failures=0, report_interval=SECOND,
-        health_checks_allowed=False, subscription_required=False,
-    )._replace(**other)  # fmt: skip
+        admission_mode=AdmissionMode.FRACTION,
+        default_retry_mode=1,
+        attempt_timeout_factor=1.0,
+        proxy_ejection_failures=0,
+        report_interval=SECOND,
+        health_checks_allowed=False,
+        subscription_required=False,
+    )._replace(**other)
 
 
 def ready(backend: str, started: int = 0, zone: int = 0, kind: int = 0) -> Endpoint:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -56,12 +56,16 @@
 @pytest.mark.parametrize(
     ("how", "status"),
     [
-        (lambda r: changed(r, onyxhead_stream="older"), 409), (lambda r: changed(r, if_match='"0"'), 412),
-        (lambda r: changed(r, if_match=""), 428), (lambda r: changed(r, content_type="text/plain"), 415),
-        (lambda r: changed(r, content_digest="sha-512=:x:"), 400), (lambda r: r._replace(method="POST"), 405),
-        (lambda r: r._replace(body=r.body[:-1]), 400), (lambda r: r._replace(body=b"\0" + r.body), 400),
+        (lambda r: changed(r, onyxhead_stream="older"), 409),
+        (lambda r: changed(r, if_match='"0"'), 412),
+        (lambda r: changed(r, if_match=""), 428),
+        (lambda r: changed(r, content_type="text/plain"), 415),
+        (lambda r: changed(r, content_digest="sha-512=:x:"), 400),
+        (lambda r: r._replace(method="POST"), 405),
+        (lambda r: r._replace(body=r.body[:-1]), 400),
+        (lambda r: r._replace(body=b"\0" + r.body), 400),
     ],
-)  # fmt: skip
+)
 def test_an_order_that_does_not_fit_is_refused_and_nothing_changes(how: Any, status: int) -> None:
     keeper, made = orders()
     before = keeper.view
@@ -112,9 +116,24 @@
 
 def settings(folder: Path) -> Agent:
     return Agent(
-        "p1", "north", ("127.0.0.1", 1), None, folder / "files", folder / "state", (("127.0.0.1", 2),), 1.0, ROUTES,
-        1.2, {}, None, 3.0, 0.1, 1 << 20, None, Log("info", "json"),
-    )  # fmt: skip
+        "p1",
+        "north",
+        ("127.0.0.1", 1),
+        None,
+        folder / "files",
+        folder / "state",
+        (("127.0.0.1", 2),),
+        1.0,
+        ROUTES,
+        1.2,
+        {},
+        None,
+        3.0,
+        0.1,
+        1 << 20,
+        None,
+        Log("info", "json"),
+    )
 
 
 CALLS = ("open", "write", "fsync", "rename")
@@ -239,11 +258,14 @@
     level = {"rate": rate, "tries": tries} if rate is not None else {"share": share, "tries": tries}
     return View.of(
         {
-            ("bindings", "read"): "1.0", ("tables", "1.0", "lines", "b1"): line("b1", 250_000),
-            ("tables", "1.0", "lines", "b2"): line("b2"), ("tables", "1.0", "levels", "read"): level,
-            ("withdrawn", "b2"): True, ("standing", "b3"): line("b3"),
+            ("bindings", "read"): "1.0",
+            ("tables", "1.0", "lines", "b1"): line("b1", 250_000),
+            ("tables", "1.0", "lines", "b2"): line("b2"),
+            ("tables", "1.0", "levels", "read"): level,
+            ("withdrawn", "b2"): True,
+            ("standing", "b3"): line("b3"),
         }
-    )  # fmt: skip
+    )
 
 
 def test_endpoints_say_weights_withdrawals_and_levels() -> None:
@@ -251,8 +273,9 @@
     read, write = document["resources"]
     ends = [end for locality in read["endpoints"] for end in locality["lb_endpoints"]]
     assert {(e["load_balancing_weight"], e["health_status"]) for e in ends} == {
-        (250_000, "HEALTHY"), (1_000_000, "DRAINING"),
-    }  # fmt: skip
+        (250_000, "HEALTHY"),
+        (1_000_000, "DRAINING"),
+    }
     assert read["policy"]["drop_overloads"][0]["drop_percentage"]["numerator"] == 750_000
     ports = [e["endpoint"]["address"]["socket_address"]["port_value"] for e in write["endpoints"][0]["lb_endpoints"]]
     assert ports == [9003] and "policy" not in write
@@ -262,11 +285,12 @@
 @pytest.mark.parametrize(
     ("tries", "policy"),
     [
-        (0, None), (1, ("connect-failure,refused-stream", 1, None)),
+        (0, None),
+        (1, ("connect-failure,refused-stream", 1, None)),
         (2, ("5xx,reset,connect-failure,refused-stream", 1, "0.6000s")),
         (3, ("5xx,reset,connect-failure,refused-stream", 2, "0.6000s")),
     ],
-)  # fmt: skip
+)
 def test_routes_say_further_tries(tries: int, policy: Any) -> None:
     document = json.loads(envoy.route_table(view(tries=tries), ROUTES, 1.2))
     action = document["resources"][0]["virtual_hosts"][0]["routes"][0]["route"]
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -400,8 +400,10 @@
 
 def test_probes_come_twice_as_often_only_where_they_tell_how_long_answers_take() -> None:
     telling, other = fleet(4, 1, health_checks_allowed=True), fleet(4, 1, health_checks_allowed=True)
-    probes = [sum(isinstance(made, HealthCheckRequest) for made in told(rig, 8, **kept))
-              for rig, kept in ((telling, {}), (other, {"all": 0}))]  # fmt: skip
+    probes = [
+        sum(isinstance(made, HealthCheckRequest) for made in told(rig, 8, **kept))
+        for rig, kept in ((telling, {}), (other, {"all": 0}))
+    ]
     assert probes[0] >= 1.4 * probes[1] > 0
 
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -91,10 +91,18 @@
     assert fresh.lend() == []
 
 
-@pytest.mark.parametrize("plain", [None, {}, {"lacks": [], "loans": [[1, 2]]}, {"lacks": [["b", -1, 1]], "loans": []},
-                                   {"lacks": [["b", 1, float("nan")]], "loans": []},
-                                   {"lacks": [], "loans": [["a", 1, "b", "c", 1, -3.0]]},
-                                   {"lacks": [["b", n, 1] for n in range(20_000)], "loans": []}])  # fmt: skip
+@pytest.mark.parametrize(
+    "plain",
+    [
+        None,
+        {},
+        {"lacks": [], "loans": [[1, 2]]},
+        {"lacks": [["b", -1, 1]], "loans": []},
+        {"lacks": [["b", 1, float("nan")]], "loans": []},
+        {"lacks": [], "loans": [["a", 1, "b", "c", 1, -3.0]]},
+        {"lacks": [["b", n, 1] for n in range(20_000)], "loans": []},
+    ],
+)
 def test_what_is_no_word_is_refused(plain: Any) -> None:
     with pytest.raises(Odd):
         read(plain)
@@ -152,8 +160,10 @@
                 self.lend(name)
                 self.flying.append((name, other, json.loads(json.dumps(member.word().plain()))))
                 if (taker := self.members[other]) is not None and self.chance.random() < 0.7:
-                    taker.strained({life: Strain(self.parts[other], 0.0) for life in self.lives} | {
-                        life: strain for life, strain in taker.strains.items() if life in self.lives})  # fmt: skip
+                    taker.strained(
+                        {life: Strain(self.parts[other], 0.0) for life in self.lives}
+                        | {life: strain for life, strain in taker.strains.items() if life in self.lives}
+                    )
                     taker.told(name, read(copy.deepcopy(member.word().plain())))
 
     def over(self) -> float:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -21,10 +21,17 @@
 
 def state(**more: Any) -> dict[str, Any]:
     usual: dict[str, Any] = {
-        "epoch": 2, "list": {"version": 7, "age_s": 1.0}, "channel": {"waiting": 10.0, "most": 2000.0, "peak": 20.0}, "store": {"failing": "", "dropped": 0},
-        "version": 12, "held": None, "trial": None, "proxies": {"p1": {"zone": "north", "joined_for_s": 9.0, "bound": True, "turn": 4, "tag": '"t"'}},
-        "backends": {"b1": LINE, "b2": LINE | {"withdrawn": True, "ready": False}}, "operators": {},
-    }  # fmt: skip
+        "epoch": 2,
+        "list": {"version": 7, "age_s": 1.0},
+        "channel": {"waiting": 10.0, "most": 2000.0, "peak": 20.0},
+        "store": {"failing": "", "dropped": 0},
+        "version": 12,
+        "held": None,
+        "trial": None,
+        "proxies": {"p1": {"zone": "north", "joined_for_s": 9.0, "bound": True, "turn": 4, "tag": '"t"'}},
+        "backends": {"b1": LINE, "b2": LINE | {"withdrawn": True, "ready": False}},
+        "operators": {},
+    }
     return usual | more
 
 
@@ -77,12 +84,28 @@
 
 
 def test_alarms_name_what_presses_on_a_rule() -> None:
-    bad = state(channel={"waiting": 1900.0, "most": 2000.0, "peak": 1900.0}, store={"failing": "disk full", "dropped": 3}, held=9, list={"version": 1, "age_s": None},
-                backends={"b1": LINE | {"ready": False}}, proxies={"p1": {"zone": "n", "joined_for_s": 9.0, "bound": False, "turn": 0, "tag": ""}}, operators={"drained": ["b1"], "cordoned": []})  # fmt: skip
+    bad = state(
+        channel={"waiting": 1900.0, "most": 2000.0, "peak": 1900.0},
+        store={"failing": "disk full", "dropped": 3},
+        held=9,
+        list={"version": 1, "age_s": None},
+        backends={"b1": LINE | {"ready": False}},
+        proxies={"p1": {"zone": "n", "joined_for_s": 9.0, "bound": False, "turn": 0, "tag": ""}},
+        operators={"drained": ["b1"], "cordoned": []},
+    )
     found = rows.alarms(told(c1=Told(bad, [], None, 1.0), c2=Told(state(), [], None, 1.0)))
     texts = " | ".join(f"{each.grave:d} {each.where} {each.text}" for each in found)
-    for wanted in ("1 c1 1900 of 2000 lines wait (rule 5)", "1 c1 its store takes nothing", "1 c1 no backend is in (rule 1)", "0 c1 heard a list never", "0 c1 tables are held",
-                   "0 c1 1 proxies wait", "0 c1 drained by an operator: b1", "0 p1 counted by c1 and c2", "0 c1 3 records"):  # fmt: skip
+    for wanted in (
+        "1 c1 1900 of 2000 lines wait (rule 5)",
+        "1 c1 its store takes nothing",
+        "1 c1 no backend is in (rule 1)",
+        "0 c1 heard a list never",
+        "0 c1 tables are held",
+        "0 c1 1 proxies wait",
+        "0 c1 drained by an operator: b1",
+        "0 p1 counted by c1 and c2",
+        "0 c1 3 records",
+    ):
         assert wanted in texts, texts
     assert [each.grave for each in found] == sorted((each.grave for each in found), reverse=True)
 
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -75,12 +75,19 @@
 @pytest.mark.parametrize(
     "given",
     [
-        body(B1)[:-9], b"", b"[]", body(B1, B1 | {"id": "b2"}), body(B1, B1 | {"address": "h:81"}),
-        body(B1 | {"state": "odd"}), body(B1 | {"weight": -1}), body(B1 | {"address": "x"}),
+        body(B1)[:-9],
+        b"",
+        b"[]",
+        body(B1, B1 | {"id": "b2"}),
+        body(B1, B1 | {"address": "h:81"}),
+        body(B1 | {"state": "odd"}),
+        body(B1 | {"weight": -1}),
+        body(B1 | {"address": "x"}),
         body(B1 | {"started": "x"}),
-        b'{"version": "1", "backends": []}', body(B1 | {"weight": 1e9}),
+        b'{"version": "1", "backends": []}',
+        body(B1 | {"weight": 1e9}),
     ],
-)  # fmt: skip
+)
 def test_a_list_that_is_half_written_or_contradicts_itself_is_not_followed(given: bytes) -> None:
     with pytest.raises(Unlisted):
         read(given)
@@ -106,8 +113,9 @@
     assert first is not None and first.kind is WatchEvent.SNAPSHOT and {e.started_at for e in first.listed} == {0}
     news = own.follow(Roster(2, (entry("b2"), entry("b3"), entry("b4", zone="moon"))))
     assert news is not None and [(e.backend, e.ready, e.started_at) for e in news.listed] == [
-        ("b3", True, 50 * SECOND), ("b1", False, 0),
-    ]  # fmt: skip
+        ("b3", True, 50 * SECOND),
+        ("b1", False, 0),
+    ]
     assert "moon" in news.notes[0] and own.follow(Roster(2, own.last.entries if own.last else ())) is None
 
 
@@ -166,8 +174,9 @@
 
 def test_load_headers_in_both_forms() -> None:
     assert load_report({"endpoint-load-metrics": "TEXT cpu_utilization=0.3,named_metrics.queue=4"}) == {
-        "cpu_utilization": 0.3, "queue": 4.0,
-    }  # fmt: skip
+        "cpu_utilization": 0.3,
+        "queue": 4.0,
+    }
     form = 'JSON {"cpu_utilization": 0.5, "named_metrics": {"queue": 2}, "eps": NaN}'
     assert load_report({"endpoint-load-metrics": form}) == {"cpu_utilization": 0.5, "queue": 2.0}
     assert load_report({"endpoint-load-metrics": "JSON {"}) == {} == load_report({})
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -32,15 +32,27 @@
 
 def test_orders_become_events_with_their_causes() -> None:
     own = records(
-        orders=(order(5, ["withdraw", "b1"], ["lines", 0, {"b2": 0.1, "b3": 1.0}]), order(9, ["readmit", "b1"], ["level", 0, [1], 0.5, 1], causes=("p1 joined", "p2 left: broke")),
-                order(12, ["withdraw", "b9"], sound=False)),
-        lists=((NOW + 4, 7),), audit=((NOW + 6, "ann", "drain b1", "applied"),),
-    )  # fmt: skip
+        orders=(
+            order(5, ["withdraw", "b1"], ["lines", 0, {"b2": 0.1, "b3": 1.0}]),
+            order(9, ["readmit", "b1"], ["level", 0, [1], 0.5, 1], causes=("p1 joined", "p2 left: broke")),
+            order(12, ["withdraw", "b9"], sound=False),
+        ),
+        lists=((NOW + 4, 7),),
+        audit=((NOW + 6, "ann", "drain b1", "applied"),),
+    )
     told = [(round(each.at - NOW), each.kind, each.who) for each in events([own], NOW, NOW + 50)]
     assert told == [
-        (0, "life", ()), (4, "list", ()), (5, "weights", ("b2", "b3")), (5, "withdrawn", ("b1",)), (6, "operator", ()), (9, "joined", ("p1",)), (9, "left", ("p2",)),
-        (9, "level", ()), (9, "readmitted", ("b1",)), (12, "damaged", ()),
-    ]  # fmt: skip
+        (0, "life", ()),
+        (4, "list", ()),
+        (5, "weights", ("b2", "b3")),
+        (5, "withdrawn", ("b1",)),
+        (6, "operator", ()),
+        (9, "joined", ("p1",)),
+        (9, "left", ("p2",)),
+        (9, "level", ()),
+        (9, "readmitted", ("b1",)),
+        (12, "damaged", ()),
+    ]
     assert not any("b9" in each.text for each in events([own], NOW, NOW + 50))
 
 
@@ -51,8 +63,10 @@
     )
     found = gaps([own], NOW, NOW + 100)
     assert [(round(gap.since - NOW), gap.until and round(gap.until - NOW), gap.why) for gap in found] == [
-        (0, 10, "nothing is recorded before"), (30, 50, "it was down"), (90, None, "nothing is recorded after"),
-    ]  # fmt: skip
+        (0, 10, "nothing is recorded before"),
+        (30, 50, "it was down"),
+        (90, None, "nothing is recorded after"),
+    ]
     made = [(round(s.since - NOW), round(s.until - NOW), s.state) for s in courses([own], NOW, NOW + 100)["b1"]["c1"]]
     assert made == [
         (0, 12, "not known"),
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -37,10 +37,19 @@
 # What can be taken
 
 
-@pytest.mark.parametrize("load", [
-    {"cpu_utilization": -0.1}, {"cpu_utilization": 7}, {"cpu_utilization": 1e300}, {"cpu_utilization": "x"},
-    {"rps_fractional": -5}, {"rps_fractional": 1e30}, {"eps": True}, {"named_metrics": {"queue": -1, "latency_ms": 1e9}},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "load",
+    [
+        {"cpu_utilization": -0.1},
+        {"cpu_utilization": 7},
+        {"cpu_utilization": 1e300},
+        {"cpu_utilization": "x"},
+        {"rps_fractional": -5},
+        {"rps_fractional": 1e30},
+        {"eps": True},
+        {"named_metrics": {"queue": -1, "latency_ms": 1e9}},
+    ],
+)
 def test_figures_that_can_not_be_are_left_out_and_the_rest_is_taken(load: dict[str, Any]) -> None:
     odd = report("b1", START, cpu_utilization=0.5, rps_fractional=10.0)
     odd["load"] |= load
@@ -393,10 +402,16 @@
                 continue
             at = self.now + self.clock[name]
             told = [
-                report(name, at - 90 * n, self.boots[name], latency=self.chance.expovariate(1 / 20), rps_fractional=1000 * busy,
-                       cpu_utilization=max(0.0, min(1.0, busy + self.chance.gauss(0, 0.05))))
+                report(
+                    name,
+                    at - 90 * n,
+                    self.boots[name],
+                    latency=self.chance.expovariate(1 / 20),
+                    rps_fractional=1000 * busy,
+                    cpu_utilization=max(0.0, min(1.0, busy + self.chance.gauss(0, 0.05))),
+                )
                 for n in range(per_body)
-            ]  # fmt: skip
+            ]
             self.decoder.offer(name, body(*told), self.now)
         self.view.absorb(self.now, self.decoder.work(self.now, self.budget))
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -127,9 +127,12 @@
 
 def test_what_the_authority_can_not_do_is_said(tmp_path: Path, authority: Authority) -> None:
     for work in (
-        lambda: authority.issue("a/b", "agent"), lambda: authority.issue("x", "king"), lambda: authority.renew("none"),
-        lambda: authority.revoke("none"), lambda: Authority(tmp_path / "nowhere").issue("x", "agent"),
-    ):  # fmt: skip
+        lambda: authority.issue("a/b", "agent"),
+        lambda: authority.issue("x", "king"),
+        lambda: authority.renew("none"),
+        lambda: authority.revoke("none"),
+        lambda: Authority(tmp_path / "nowhere").issue("x", "agent"),
+    ):
         with pytest.raises(Unissued):
             work()
     assert (authority.folder / "c1.key").stat().st_mode & 0o077 == 0
@@ -239,10 +242,15 @@
 
     def connect(port: int, name: str) -> Any:
         return manager.connect_tls(
-            host="127.0.0.1", port=port, keyfile=str(folder / f"{name}.key"), certfile=str(folder / f"{name}.crt"),
-            ca_certs=str(folder / "authorities.pem"), server_hostname="c1", timeout=5,
+            host="127.0.0.1",
+            port=port,
+            keyfile=str(folder / f"{name}.key"),
+            certfile=str(folder / f"{name}.crt"),
+            ca_certs=str(folder / "authorities.pem"),
+            server_hostname="c1",
+            timeout=5,
             protocol=ssl.PROTOCOL_TLS_CLIENT,
-        )  # fmt: skip
+        )
 
     async def work(running: Running) -> None:
         users = '{olga: {groups: ["ops"]}}'
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -57,13 +57,15 @@
 @pytest.mark.parametrize(
     ("known", "word"),
     [
-        ("test_it.py::test_red | a cause\n", "line 1: wants"), ("\ntest_it.py::test_red | | issue 5\n", "line 2: wants"),
-        ("test_it.py | a cause | issue 5\n", "is no test"), ("test_no.py::test_red | a cause | issue 5\n", "is no test"),
+        ("test_it.py::test_red | a cause\n", "line 1: wants"),
+        ("\ntest_it.py::test_red | | issue 5\n", "line 2: wants"),
+        ("test_it.py | a cause | issue 5\n", "is no test"),
+        ("test_no.py::test_red | a cause | issue 5\n", "is no test"),
         ("test_it.py::test_none | a cause | issue 5\n", "does not exist"),
         ("test_it.py::test_red | a | 5\ntest_it.py::test_red | a | 5\n", "listed twice"),
         ("".join(f"test_it.py::test_{n} | a cause | issue 5\n" for n in range(4)), "3 are the most"),
     ],
-)  # fmt: skip
+)
 def test_whatever_is_odd_in_it_ends_the_run(known: str, word: str, tmp_path: Path) -> None:
     code, told = run(tmp_path, known)
     assert code not in (0, 1) and word in told and "passed" not in told
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -90,10 +90,13 @@
     scalars,
     lambda inner: st.one_of(
         st.lists(inner, max_size=3).map(lambda each: "[" + " , ".join(each) + "]"),
-        st.dictionaries(names, inner, max_size=3).map(lambda each: "{" + "\n".join(f"{k}:{v}" for k, v in each.items()) + "}"),
+        st.dictionaries(names, inner, max_size=3).map(
+            lambda each: "{" + "\n".join(f"{k}:{v}" for k, v in each.items()) + "}"
+        ),
         st.tuples(inner, inner).map(lambda each: f"*{each[0]}|({each[1]})"),
-    ), max_leaves=8,
-)  # fmt: skip
+    ),
+    max_leaves=8,
+)
 spaces = st.sampled_from([" ", "\n", "\n\n\n", "\t", "  // note\n", "\r\n"])
 
 
@@ -134,18 +137,30 @@
 # Changes of meaning
 
 
-@pytest.mark.parametrize(("old", "new", "told"), [
-    ("drain_grace: 2s", "drain_grace: 1500ms", "guards drain grace: 2 s -> 1.5 s  (rule 3)"),
-    ("drain_grace: 2s", "drain_grace: 2000ms", ""),
-    ("pace: 900/s", "pace: 54000/m", ""),
-    ("pace: 900/s", "pace: 800/s", "channel pace: 900/s -> 800/s  (rule 3, 5)"),
-    ('repeats: "retriable"', 'repeats: "non-retriable"', "groups read repeats: retriable -> non-retriable  (rule 2)"),
-    ('["north", "south"]', '["north", "south", "east"]', "zones gains east  (rule 1)"),
-    ("cold_time: 15s", "", ""), ("cold_time: 15s", "cold_time: 20s", "guards cold time: 15 s -> 20 s  (rule 4)"),
-    ("most_waiting: 2000", "most_waiting: 1999", "channel most waiting: 2000 -> 1999  (rule 5)"),
-    ("latency_budget: 500ms", "latency_budget: 400ms", "groups read latency budget: 500 ms -> 400 ms"),
-    ('    write: {prefix: "/w", latency_budget: 700ms, expiry: 2s, repeats: "deduped", dedup_window: 3s}', "", "groups loses write"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("old", "new", "told"),
+    [
+        ("drain_grace: 2s", "drain_grace: 1500ms", "guards drain grace: 2 s -> 1.5 s  (rule 3)"),
+        ("drain_grace: 2s", "drain_grace: 2000ms", ""),
+        ("pace: 900/s", "pace: 54000/m", ""),
+        ("pace: 900/s", "pace: 800/s", "channel pace: 900/s -> 800/s  (rule 3, 5)"),
+        (
+            'repeats: "retriable"',
+            'repeats: "non-retriable"',
+            "groups read repeats: retriable -> non-retriable  (rule 2)",
+        ),
+        ('["north", "south"]', '["north", "south", "east"]', "zones gains east  (rule 1)"),
+        ("cold_time: 15s", "", ""),
+        ("cold_time: 15s", "cold_time: 20s", "guards cold time: 15 s -> 20 s  (rule 4)"),
+        ("most_waiting: 2000", "most_waiting: 1999", "channel most waiting: 2000 -> 1999  (rule 5)"),
+        ("latency_budget: 500ms", "latency_budget: 400ms", "groups read latency budget: 500 ms -> 400 ms"),
+        (
+            '    write: {prefix: "/w", latency_budget: 700ms, expiry: 2s, repeats: "deduped", dedup_window: 3s}',
+            "",
+            "groups loses write",
+        ),
+    ],
+)
 def test_changes_of_meaning_are_told_with_the_rules_they_press_on(
     tmp_path: Path, old: str, new: str, told: str
 ) -> None:
@@ -221,16 +236,37 @@
 
 
 BY_HAND = [
-    ('name: "c1"', 'nam: "c1"', "unknown field 'nam'; did you mean 'name'?"), ('zone: "north"', "zone: 5", "zone"), ("500ms", "500", "latency_budget"),
-    ("500ms", "500/s", "latency_budget"), ("900/s", "900ms", "pace"), ("900/s", '"900"', "pace"), ("2000", "2000.5", "most_waiting"), ("2000", "5", "most_waiting"),
-    ('"retriable"', '"retryable"', "did you mean 'retriable'?"), ('prefix: "/r"', 'prefix: "r"', "prefix"), ("drain_grace: 2s", "drain_grace: 1ms", "drain_grace"),
-    ("groups: {", "groups: [", "does not fit"), ("}\nchannel", "\nchannel", "does not fit"), ('"127.0.0.1:7000"', '"127.0.0.1"', "listen"),
-    ("cold_time: 15s", "cold_time: 15s, cold_time: 16s", "cold_time"), (", expiry: 1s", "", "expiry"), ('zones: ["north", "south"]', "zones: []", "zones"),
-    ("latency_budget", "latency_buget", "latency_budget"), ("15s}", "15s, wat: true}", "unknown field 'wat'"), ('state: "state"', 'state: state', "made of itself"),
-    ("file:", "fil:", "fil"), ('{file: "list.json"}', "{}", "discovery"), ("2s, cold", "2 s, cold", "does not fit"), ('"north", zones', '"north\n, zones', "does not end"), ('"c1"', "'c1'", "does not fit"),
-    ("guards:", "guards.x:", "does not fit"), ("expiry: 2s", "expiry: 2h", "expiry"), ("most_waiting: 2000", "most_waiting: two", "two"), ("pace: 900/s", "pace: -1/s", "pace"),
+    ('name: "c1"', 'nam: "c1"', "unknown field 'nam'; did you mean 'name'?"),
+    ('zone: "north"', "zone: 5", "zone"),
+    ("500ms", "500", "latency_budget"),
+    ("500ms", "500/s", "latency_budget"),
+    ("900/s", "900ms", "pace"),
+    ("900/s", '"900"', "pace"),
+    ("2000", "2000.5", "most_waiting"),
+    ("2000", "5", "most_waiting"),
+    ('"retriable"', '"retryable"', "did you mean 'retriable'?"),
+    ('prefix: "/r"', 'prefix: "r"', "prefix"),
+    ("drain_grace: 2s", "drain_grace: 1ms", "drain_grace"),
+    ("groups: {", "groups: [", "does not fit"),
+    ("}\nchannel", "\nchannel", "does not fit"),
+    ('"127.0.0.1:7000"', '"127.0.0.1"', "listen"),
+    ("cold_time: 15s", "cold_time: 15s, cold_time: 16s", "cold_time"),
+    (", expiry: 1s", "", "expiry"),
+    ('zones: ["north", "south"]', "zones: []", "zones"),
+    ("latency_budget", "latency_buget", "latency_budget"),
+    ("15s}", "15s, wat: true}", "unknown field 'wat'"),
+    ('state: "state"', "state: state", "made of itself"),
+    ("file:", "fil:", "fil"),
+    ('{file: "list.json"}', "{}", "discovery"),
+    ("2s, cold", "2 s, cold", "does not fit"),
+    ('"north", zones', '"north\n, zones', "does not end"),
+    ('"c1"', "'c1'", "does not fit"),
+    ("guards:", "guards.x:", "does not fit"),
+    ("expiry: 2s", "expiry: 2h", "expiry"),
+    ("most_waiting: 2000", "most_waiting: two", "two"),
+    ("pace: 900/s", "pace: -1/s", "pace"),
     ('"north", "south"', '"north", 7', "zones"),
-]  # fmt: skip
+]
 
 
 @pytest.mark.parametrize(("old", "new", "told"), BY_HAND, ids=range(len(BY_HAND)))
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -63,8 +63,17 @@
 
 @pytest.mark.parametrize(
     "data",
-    [b"x", b"\n#0\nabc", b"\n#-1\n", b"\n#99999999999\n", b"\n#4294967295\n", b"\n##\n", b"\n#3\nabcX", b"\n#" + b"1" * 30],
-)  # fmt: skip
+    [
+        b"x",
+        b"\n#0\nabc",
+        b"\n#-1\n",
+        b"\n#99999999999\n",
+        b"\n#4294967295\n",
+        b"\n##\n",
+        b"\n#3\nabcX",
+        b"\n#" + b"1" * 30,
+    ],
+)
 def test_chunk_heads_that_lie_end_the_session(data: bytes) -> None:
     own = Framing()
     own.chunked = True
@@ -84,10 +93,16 @@
 @pytest.mark.parametrize(
     "message",
     [
-        b"<a", b"", b"<a></b>", b'<!DOCTYPE a [<!ENTITY x "y">]><a>&x;</a>', b"<a>" * 80 + b"</a>" * 80,
-        b'<!DOCTYPE a SYSTEM "file:///etc/hostname"><a/>', b"<a>&undefined;</a>", b"<a>" + b"<b/>" * 700_000 + b"</a>",
+        b"<a",
+        b"",
+        b"<a></b>",
+        b'<!DOCTYPE a [<!ENTITY x "y">]><a>&x;</a>',
+        b"<a>" * 80 + b"</a>" * 80,
+        b'<!DOCTYPE a SYSTEM "file:///etc/hostname"><a/>',
+        b"<a>&undefined;</a>",
+        b"<a>" + b"<b/>" * 700_000 + b"</a>",
     ],
-)  # fmt: skip
+)
 def test_xml_that_is_not_taken(message: bytes) -> None:
     with pytest.raises(xml.NotXml):
         xml.parse(message)
@@ -127,13 +142,17 @@
 @pytest.mark.parametrize(
     ("text", "default", "tag"),
     [
-        (backend("b9", "delete"), "merge", "data-missing"), ("<group nc:operation='create'><name>read</name></group>", "merge", "data-exists"),
-        ("<backend/>", "merge", "missing-element"), ("<odd/>", "merge", "unknown-element"), (backend("b9"), "none", "data-missing"),
-        ("<channel><pace>fast</pace></channel>", "merge", "invalid-value"), ("<channel nc:operation='x'/>", "merge", "bad-attribute"),
+        (backend("b9", "delete"), "merge", "data-missing"),
+        ("<group nc:operation='create'><name>read</name></group>", "merge", "data-exists"),
+        ("<backend/>", "merge", "missing-element"),
+        ("<odd/>", "merge", "unknown-element"),
+        (backend("b9"), "none", "data-missing"),
+        ("<channel><pace>fast</pace></channel>", "merge", "invalid-value"),
+        ("<channel nc:operation='x'/>", "merge", "bad-attribute"),
         ("<channel><pace nc:operation='create'>1</pace></channel>", "merge", "data-exists"),
         ("<channel><most-waiting>5</most-waiting></channel>", "merge", "invalid-value"),
     ],
-)  # fmt: skip
+)
 def test_edits_that_do_not_fit_are_told_by_the_tag_of_the_rfc(text: str, default: str, tag: str) -> None:
     with pytest.raises(Problem) as caught:
         schema.check(after(text, default))
@@ -151,8 +170,10 @@
 def test_changes_name_what_an_edit_does() -> None:
     two = after(backend("b1", "", "<weight>2</weight>") + "<channel><pace>7</pace></channel>")
     assert list(changes(TREE, two, "/fleet")) == [
-        ("create", "/fleet/backend/id"), ("create", "/fleet/backend/weight"), ("update", "/fleet/channel/pace"),
-    ]  # fmt: skip
+        ("create", "/fleet/backend/id"),
+        ("create", "/fleet/backend/weight"),
+        ("update", "/fleet/channel/pace"),
+    ]
 
 
 # Datastores against a plain model
@@ -296,7 +317,7 @@
         (TREE | {"channel": {"most-waiting": 50}}, facts(waiting=60.0), "rule 5"),
         (TREE | {"group": []}, facts(), "no traffic group"),
     ],
-)  # fmt: skip
+)
 def test_an_edit_that_would_break_a_rule_by_itself_is_refused(tree: Tree, known: Facts, words: str) -> None:
     with pytest.raises(Problem, match=words.replace("(", r"\(").replace(")", r"\)")):
         judge(TREE, tree, known)
@@ -369,9 +390,14 @@
         return call
 
     hands = Hands(
-        facts, step(disk.append), lambda _: None, step(lambda tree, _: acted.append(tree)), dict, time.time,
+        facts,
+        step(disk.append),
+        lambda _: None,
+        step(lambda tree, _: acted.append(tree)),
+        dict,
+        time.time,
         lambda *_: None,
-    )  # fmt: skip
+    )
     rule = Rule("all", ("*",), None, None, ("*",), True)
     desk = Desk(Datastores(schema.config(), list(disk), schema.check), Access({}, (rule,)), hands)
     desk.edit("u", 1, "candidate", edit(backend("b1", "", "<drained>true</drained>")), "merge", "set")
@@ -427,16 +453,24 @@
 @pytest.mark.parametrize(
     ("body", "tag"),
     [
-        ("<get-config><source><odd/></source></get-config>", "invalid-value"), ("<get-config/>", "missing-element"),
-        ("<what/>", "operation-not-supported"), ("<unlock><target><running/></target></unlock>", "operation-failed"),
-        ("<kill-session><session-id>77</session-id></kill-session>", "invalid-value"), ("", "malformed-message"),
+        ("<get-config><source><odd/></source></get-config>", "invalid-value"),
+        ("<get-config/>", "missing-element"),
+        ("<what/>", "operation-not-supported"),
+        ("<unlock><target><running/></target></unlock>", "operation-failed"),
+        ("<kill-session><session-id>77</session-id></kill-session>", "invalid-value"),
+        ("", "malformed-message"),
         ("<edit-config><target><running/></target><config/></edit-config>", "operation-not-supported"),
-        ("<commit><persist-id>x</persist-id></commit>", "invalid-value"), ("<cancel-commit/>", "operation-failed"),
+        ("<commit><persist-id>x</persist-id></commit>", "invalid-value"),
+        ("<cancel-commit/>", "operation-failed"),
         ("<edit-config><target><candidate/></target></edit-config>", "missing-element"),
-        ('<get><filter type="odd"/></get>', "bad-attribute"), ('<get><filter type="xpath" select="//["/></get>', "invalid-value"),
-        ('<edit-config><target><candidate/></target><config><x xmlns="urn:x"/></config></edit-config>', "unknown-namespace"),
+        ('<get><filter type="odd"/></get>', "bad-attribute"),
+        ('<get><filter type="xpath" select="//["/></get>', "invalid-value"),
+        (
+            '<edit-config><target><candidate/></target><config><x xmlns="urn:x"/></config></edit-config>',
+            "unknown-namespace",
+        ),
     ],
-)  # fmt: skip
+)
 def test_faults_are_answered_with_the_tags_of_the_rfc_and_the_session_goes_on(body: str, tag: str) -> None:
     session, sent = greeted()
     assert f"<error-tag>{tag}</error-tag>" in rpc(session, sent, body)
@@ -541,9 +575,15 @@
 
     def connect(port: int, user: str = "op") -> Any:
         return manager.connect(
-            host="127.0.0.1", port=port, username=user, key_filename=str(tmp_path / "user"), hostkey_verify=False,
-            allow_agent=False, look_for_keys=False, timeout=10,
-        )  # fmt: skip
+            host="127.0.0.1",
+            port=port,
+            username=user,
+            key_filename=str(tmp_path / "user"),
+            hostkey_verify=False,
+            allow_agent=False,
+            look_for_keys=False,
+            timeout=10,
+        )
 
     async def work(running: Running) -> None:
         running.more = RULES % (public, public)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -32,15 +32,34 @@
 from tests import rig
 
 SETTINGS: dict[str, Any] = {
-    "balancers": 2, "zone": 0, "zones": ["a", "b"], "discovery": "automatic", "hostTypes": ["k1"], "roundNs": 4000000,
+    "balancers": 2,
+    "zone": 0,
+    "zones": ["a", "b"],
+    "discovery": "automatic",
+    "hostTypes": ["k1"],
+    "roundNs": 4000000,
     "bounds": {"probes": True},
     "extra": {
-        "agents": 40, "classOwnZone": [False, False], "egressPerS": 900.0, "perMessage": 6.0, "mostWaiting": 1800.0,
-        "pushDelayNs": 264000000, "lateMostNs": 660000000, "unservedMaxNs": 3100000000, "throttleBy": "rps",
-        "baseMode": 0, "tryFactor": 1.2, "cycleNs": 1000000000, "updateCap": 0, "messagesOverNs": 10000000000,
+        "agents": 40,
+        "classOwnZone": [False, False],
+        "egressPerS": 900.0,
+        "perMessage": 6.0,
+        "mostWaiting": 1800.0,
+        "pushDelayNs": 264000000,
+        "lateMostNs": 660000000,
+        "unservedMaxNs": 3100000000,
+        "throttleBy": "rps",
+        "baseMode": 0,
+        "tryFactor": 1.2,
+        "cycleNs": 1000000000,
+        "updateCap": 0,
+        "messagesOverNs": 10000000000,
     },
     "guarantees": {
-        "drainGraceNs": 2900000000, "coldFrom": 0.2, "coldNs": 15000000000, "overloadFactor": 3.0,
+        "drainGraceNs": 2900000000,
+        "coldFrom": 0.2,
+        "coldNs": 15000000000,
+        "overloadFactor": 3.0,
         "fallNs": 1500000000,
     },
     "report": {"fields": ["pending", "svc_ms"], "via": "on_probe"},
@@ -48,7 +67,7 @@
         {"aimNs": 750000000, "credit": 1.0, "deadlineNs": 2500000000, "effect": "pure", "name": "look"},
         {"aimNs": 1000000000, "credit": 2.0, "deadlineNs": 3000000000, "effect": "token", "name": "order"},
     ],
-}  # fmt: skip
+}
 BEGIN = 1_000_000
 
 
@@ -297,12 +316,16 @@
 @pytest.mark.parametrize(
     ("body", "word"),
     [
-        ("{", "half written"), ("[]", "not an object"), (json.dumps(config(seed="x")), "hex"),
-        (json.dumps(config(settings=1)), "settings"), (json.dumps(config(limits={"sockets": 3})), "sockets"),
-        (json.dumps(config(settings=SETTINGS | {"services": 1})), "settings"), (json.dumps(config(listen="x")), "host:port"),
+        ("{", "half written"),
+        ("[]", "not an object"),
+        (json.dumps(config(seed="x")), "hex"),
+        (json.dumps(config(settings=1)), "settings"),
+        (json.dumps(config(limits={"sockets": 3})), "sockets"),
+        (json.dumps(config(settings=SETTINGS | {"services": 1})), "settings"),
+        (json.dumps(config(listen="x")), "host:port"),
         (json.dumps(config(settings={k: v for k, v in SETTINGS.items() if k != "hostTypes"})), "hostTypes"),
     ],
-)  # fmt: skip
+)
 def test_an_unfit_configuration_is_named(body: str, word: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(body)
@@ -355,8 +378,16 @@
 # Lists
 
 NAMES = Names({"a": 0, "b": 1}, {"k1": 0}, lambda seconds: round(seconds * 10_000))
-MEMBER = {"id": "s-1", "host_port": "10.1.0.18:9000", "locality": "b", "flavor": "k1", "cell": 3, "phase": "SERVING",
-          "size": 1.5, "up_since_ms": 61_500}  # fmt: skip
+MEMBER = {
+    "id": "s-1",
+    "host_port": "10.1.0.18:9000",
+    "locality": "b",
+    "flavor": "k1",
+    "cell": 3,
+    "phase": "SERVING",
+    "size": 1.5,
+    "up_since_ms": 61_500,
+}
 
 
 def body(*members: object, **other: object) -> bytes:
@@ -377,13 +408,32 @@
 @pytest.mark.parametrize(
     "spoilt",
     [
-        b"{", b"[]", body(MEMBER)[:-9], body(7), body(MEMBER, MEMBER), body(revision="x"), body(members=None),
-        *(body(MEMBER | {name: bad}) for name, bad in (
-            ("id", ""), ("id", "s:1"), ("id", 5), ("host_port", "10.1.0.18"), ("host_port", None), ("locality", "z"),
-            ("phase", "NEW"), ("size", -1), ("size", "x"), ("size", True), ("up_since_ms", 1e30), ("up_since_ms", None),
-        )),
+        b"{",
+        b"[]",
+        body(MEMBER)[:-9],
+        body(7),
+        body(MEMBER, MEMBER),
+        body(revision="x"),
+        body(members=None),
+        *(
+            body(MEMBER | {name: bad})
+            for name, bad in (
+                ("id", ""),
+                ("id", "s:1"),
+                ("id", 5),
+                ("host_port", "10.1.0.18"),
+                ("host_port", None),
+                ("locality", "z"),
+                ("phase", "NEW"),
+                ("size", -1),
+                ("size", "x"),
+                ("size", True),
+                ("up_since_ms", 1e30),
+                ("up_since_ms", None),
+            )
+        ),
     ],
-)  # fmt: skip
+)
 def test_a_list_that_can_not_be_followed_is_refused_whole(spoilt: bytes) -> None:
     with pytest.raises(InvalidListing):
         parse(spoilt, NAMES)
@@ -526,9 +576,13 @@
     file.write_text(json.dumps(given))
     told = {"BALANCER_NAME": "n0", "BALANCER_LISTEN": given["listen"], "BALANCER_DISCOVERY": given["discovery"]}
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "onyxhead.node", env=os.environ | told | {"BALANCER_CONFIG": str(file)},
-        stderr=asyncio.subprocess.PIPE, limit=1 << 20,
-    )  # fmt: skip
+        sys.executable,
+        "-m",
+        "onyxhead.node",
+        env=os.environ | told | {"BALANCER_CONFIG": str(file)},
+        stderr=asyncio.subprocess.PIPE,
+        limit=1 << 20,
+    )
     node = Running(process, port, file, platform)
     try:
         async with asyncio.timeout(60):
@@ -567,12 +621,20 @@
 
 
 BAD = [
-    b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", b"\x00\x97\xff", b"*1\r\n$999999999\r\n", b"*2\r\n$3\r\nabc\r\n$5000\r\n" + b"x" * 5000,
-    framed(b"attach proxy 4000 zone a weight 1 fresh 1".split(b" ")), framed(b"attach proxy 1 zone zz weight 1 fresh 1".split(b" ")),
-    framed(b"telemetry zone zz".split(b" ")), framed(b"client_stats proxy 1 class look tries 1 failed 0 span_ms 1".split(b" ")),
-    framed(b"done proxy 1 mark 1 took_ms 1".split(b" ")), framed(b"assign rows s-1:1".split(b" ")), framed([b"hb"]) * 40 + b"*",
-    b"*3\r\n$6\r\nattach", b"",
-]  # fmt: skip
+    b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+    b"\x00\x97\xff",
+    b"*1\r\n$999999999\r\n",
+    b"*2\r\n$3\r\nabc\r\n$5000\r\n" + b"x" * 5000,
+    framed(b"attach proxy 4000 zone a weight 1 fresh 1".split(b" ")),
+    framed(b"attach proxy 1 zone zz weight 1 fresh 1".split(b" ")),
+    framed(b"telemetry zone zz".split(b" ")),
+    framed(b"client_stats proxy 1 class look tries 1 failed 0 span_ms 1".split(b" ")),
+    framed(b"done proxy 1 mark 1 took_ms 1".split(b" ")),
+    framed(b"assign rows s-1:1".split(b" ")),
+    framed([b"hb"]) * 40 + b"*",
+    b"*3\r\n$6\r\nattach",
+    b"",
+]
 
 
 def test_bad_clients_get_a_close_or_a_reject_and_the_good_ones_notice_nothing(tmp_path: Path) -> None:
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -36,18 +36,37 @@
     return standing.run(asked(verb, *names, **more), TREE, ALL, FACTS)
 
 
-@pytest.mark.parametrize(("selectors", "found"), [
-    (["b1"], "b1"), (["b[01]"], "b0 b1"), (["zone=south"], "b4 b5 b6 b7"), (["zone=north&kind=std"], "b1 b3"), (["b7", "b1*"], "b1 b7"), (["x*"], ""),
-    (["zone=so*&b5"], "b5"), (["kind="], ""),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("selectors", "found"),
+    [
+        (["b1"], "b1"),
+        (["b[01]"], "b0 b1"),
+        (["zone=south"], "b4 b5 b6 b7"),
+        (["zone=north&kind=std"], "b1 b3"),
+        (["b7", "b1*"], "b1 b7"),
+        (["x*"], ""),
+        (["zone=so*&b5"], "b5"),
+        (["kind="], ""),
+    ],
+)
 def test_selectors(selectors: list[str], found: str) -> None:
     assert " ".join(selected(selectors, ALL)) == found
 
 
-@pytest.mark.parametrize("given", [
-    None, [], {}, {"id": "a b", "verb": "drain", "names": ["b"]}, {"id": "1", "verb": "explode", "names": ["b"]}, {"id": "1", "verb": "drain", "names": []},
-    {"id": "1", "verb": "drain", "names": "b1"}, {"id": "1", "verb": "drain", "names": ["b"], "dry_run": 1}, {"id": 1, "verb": "drain", "names": ["b"]},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "given",
+    [
+        None,
+        [],
+        {},
+        {"id": "a b", "verb": "drain", "names": ["b"]},
+        {"id": "1", "verb": "explode", "names": ["b"]},
+        {"id": "1", "verb": "drain", "names": []},
+        {"id": "1", "verb": "drain", "names": "b1"},
+        {"id": "1", "verb": "drain", "names": ["b"], "dry_run": 1},
+        {"id": 1, "verb": "drain", "names": ["b"]},
+    ],
+)
 def test_what_is_no_command_is_refused(given: Any) -> None:
     with pytest.raises(Odd):
         Command.read(given)
@@ -93,9 +112,17 @@
     own = Standing()
     run(own, "cordon", "b1", "b2")
     serving = {"b1": 5.0}
-    assert [held_out(own, "b1", 5.0, serving), held_out(own, "b1", 9.0, serving), held_out(own, "b2", 0.0, serving), held_out(own, "b3", 0.0, serving)] == [
-        False, True, True, False,
-    ]  # fmt: skip
+    assert [
+        held_out(own, "b1", 5.0, serving),
+        held_out(own, "b1", 9.0, serving),
+        held_out(own, "b2", 0.0, serving),
+        held_out(own, "b3", 0.0, serving),
+    ] == [
+        False,
+        True,
+        True,
+        False,
+    ]
     run(own, "uncordon", "b*", number="2")
     assert not held_out(own, "b2", 0.0, serving)
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -43,8 +43,14 @@
 
 def test_defaults_are_taken_and_units_become_one() -> None:
     assert meaning(GOOD) == {
-        "name": "x", "parts": {}, "zones": ["a"], "either": {"file": "f"}, "wait": 20_000, "mode": "soft", "share": 0.5,
-    }  # fmt: skip
+        "name": "x",
+        "parts": {},
+        "zones": ["a"],
+        "either": {"file": "f"},
+        "wait": 20_000,
+        "mode": "soft",
+        "share": 0.5,
+    }
     for text, tenths in (("1500ms", 15_000), ("0.5s", 5000), ("1m", 600_000), ("100000us", 1000)):
         assert meaning(f"{GOOD} wait: {text}")["wait"] == tenths
     assert [meaning(f"{GOOD} pace: {text}")["pace"] for text in ("90/s", "120/min", "2/ms")] == [90.0, 2.0, 2000.0]
@@ -59,30 +65,41 @@
     got = meaning(f'{GOOD} #Big: {{big: 2MiB, ...}}, parts: {{one: #Big}}, parts: {{one: {{count: 3}}, "t-2": {{}}}}')
     assert got["parts"] == {"one": {"big": 2097152, "count": 3}, "t-2": {"count": 1}}
     assert meaning('#n: "x", name: #n, parts: {}, zones: ["b", "z"], either: {server: "s"}')["either"] == {
-        "server": "s", "port": 80,
-    }  # fmt: skip
+        "server": "s",
+        "port": 80,
+    }
 
 
 @pytest.mark.parametrize(
     ("text", "wanted"),
     [
         (f"{GOOD}wait: 2", "f:2:7: wait: 2 is not 2s or a time such as 1500ms"),
-        (f"{GOOD}wait: 2h", "wait"), (f"{GOOD}wait: 5ms", "wait"),
+        (f"{GOOD}wait: 2h", "wait"),
+        (f"{GOOD}wait: 5ms", "wait"),
         (f"{GOOD}pace: 3s", "f:2:7: pace: 3s where a rate such as 900/s is wanted"),
-        (f"{GOOD}mode: \"sott\"", "did you mean 'soft'?"), (f"{GOOD}moed: 1", "did you mean 'mode'?"),
-        (f"{GOOD}share: 1.5", "f:2:8: share"), (f'{GOOD}name: "y"', 'name: "y" conflicts with "x" at f:1:7'),
-        (f"{GOOD}parts: 3", "does not go with"), (f"{GOOD}parts: {{a: {{count: 0}}}}", "count"),
+        (f'{GOOD}mode: "sott"', "did you mean 'soft'?"),
+        (f"{GOOD}moed: 1", "did you mean 'mode'?"),
+        (f"{GOOD}share: 1.5", "f:2:8: share"),
+        (f'{GOOD}name: "y"', 'name: "y" conflicts with "x" at f:1:7'),
+        (f"{GOOD}parts: 3", "does not go with"),
+        (f"{GOOD}parts: {{a: {{count: 0}}}}", "count"),
         (f"{GOOD}parts: {{a: {{coutn: 1}}}}", "unknown field 'coutn'; did you mean 'count'?"),
-        (f"{GOOD}mode: hard", "nothing is called 'hard'"), (f"{GOOD}a.b: 1", "does not fit"),
+        (f"{GOOD}mode: hard", "nothing is called 'hard'"),
+        (f"{GOOD}a.b: 1", "does not fit"),
         (GOOD.replace('name: "x"', 'name: "X"'), "does not match"),
         (GOOD.replace('name: "x", ', ""), "'name' is missing"),
-        (GOOD.replace('["a"]', "[]"), "zones"), (GOOD.replace('["a"]', '["c"]'), 'zones: "c" is not'),
-        (f'{GOOD}name: "unended', "does not end on its line"), (f"{GOOD}parts: {{", "the end of the file"),
-        (f"{GOOD}wait: 0.00001s", "no whole number of tenths"), ("\x00", "does not fit"),
-        (f"{GOOD}#a: #b, #b: #a, wait: #a", "is made of itself"), ("a: " + "[" * 500, "nested more than"),
-        (f"{GOOD}mode: *\"soft\" | *\"hard\"", "more than one default"), (f'{GOOD}name: =~"("', "no pattern"),
+        (GOOD.replace('["a"]', "[]"), "zones"),
+        (GOOD.replace('["a"]', '["c"]'), 'zones: "c" is not'),
+        (f'{GOOD}name: "unended', "does not end on its line"),
+        (f"{GOOD}parts: {{", "the end of the file"),
+        (f"{GOOD}wait: 0.00001s", "no whole number of tenths"),
+        ("\x00", "does not fit"),
+        (f"{GOOD}#a: #b, #b: #a, wait: #a", "is made of itself"),
+        ("a: " + "[" * 500, "nested more than"),
+        (f'{GOOD}mode: *"soft" | *"hard"', "more than one default"),
+        (f'{GOOD}name: =~"("', "no pattern"),
     ],
-)  # fmt: skip
+)
 def test_faults_name_their_place_and_what_was_wanted(text: str, wanted: str) -> None:
     told = faults(text)
     assert any(wanted in fault for fault in told), told
@@ -120,13 +137,14 @@
     [
         ('zone: "n"', 'zone: "x"', ":1:13: zone 'x' is not one of zones"),
         ("expiry: 2s", "expiry: 0.5s", ":2:28: latency_budget of r is longer than its expiry"),
-        ('"retriable"', '"deduped"', "needs a dedup_window"), ('"127.0.0.1:70"', '"127.0.0.1:99999"', ":1:43: "),
+        ('"retriable"', '"deduped"', "needs a dedup_window"),
+        ('"127.0.0.1:70"', '"127.0.0.1:99999"', ":1:43: "),
         ("expiry: 2s", 'expiry: 2s, zones: ["q"]', "zone 'q' of r"),
         ("groups: {r: {", "groups: {}, #g: {r: {", "no traffic"),
         ('{file: "l"}', '{fiel: "l"}', "unknown field 'fiel'"),
         ("discovery", "channel: {head: 900, most_waiting: 99}\ndiscovery", "no room"),
     ],
-)  # fmt: skip
+)
 def test_settings_that_contradict_themselves_are_faults(tmp_path: Path, old: str, new: str, wanted: str) -> None:
     path = tmp_path / "c.rec"
     path.write_text(CONTROLLER)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -33,18 +33,39 @@
 
 
 SAMPLE = [
-    at("prefix", "/"), at("exact", "/"), at("prefix", "/docs/"), at("prefix-first", "/img/"),
-    at("regex-caseless", r"\.(gif|png)$"), at("regex", "^/docs/v1"), at("regex", "^/doc"),
+    at("prefix", "/"),
+    at("exact", "/"),
+    at("prefix", "/docs/"),
+    at("prefix-first", "/img/"),
+    at("regex-caseless", r"\.(gif|png)$"),
+    at("regex", "^/docs/v1"),
+    at("regex", "^/doc"),
     at("prefix", "/app", at("prefix", "/app/in"), at("regex", r"\.js$"), at("exact", "/app/home")),
     at("prefix-first", "/deep", at("prefix", "/deep/er", at("exact", "/deep/er/x")), at("regex", "z$")),
-]  # fmt: skip
-
-
-@pytest.mark.parametrize(("path", "pattern"), [
-    ("/", "/"), ("/x", "/"), ("/docs/a", "^/doc"), ("/docs/v1/a", "^/docs/v1"), ("/img/a.gif", "/img/"), ("/a.GIF", r"\.(gif|png)$"),
-    ("/app/in/a", "/app/in"), ("/app/in/a.js", r"\.js$"), ("/app/home", "/app/home"), ("/app/in/a.png", r"\.(gif|png)$"), ("/application", "/app"),
-    ("/deep/er/x", "/deep/er/x"), ("/deep/a.gif", "/deep"), ("/deep/er/a.gif", "/deep/er"), ("/deep/er/z", "z$"), ("/DOCS/", "/"),
-])  # fmt: skip
+]
+
+
+@pytest.mark.parametrize(
+    ("path", "pattern"),
+    [
+        ("/", "/"),
+        ("/x", "/"),
+        ("/docs/a", "^/doc"),
+        ("/docs/v1/a", "^/docs/v1"),
+        ("/img/a.gif", "/img/"),
+        ("/a.GIF", r"\.(gif|png)$"),
+        ("/app/in/a", "/app/in"),
+        ("/app/in/a.js", r"\.js$"),
+        ("/app/home", "/app/home"),
+        ("/app/in/a.png", r"\.(gif|png)$"),
+        ("/application", "/app"),
+        ("/deep/er/x", "/deep/er/x"),
+        ("/deep/a.gif", "/deep"),
+        ("/deep/er/a.gif", "/deep/er"),
+        ("/deep/er/z", "z$"),
+        ("/DOCS/", "/"),
+    ],
+)
 def test_overlapping_nested_and_regex_locations_are_decided_as_published(path: str, pattern: str) -> None:
     for way in (Plain(SAMPLE), Compiled(SAMPLE)):
         found = way.find(path)
@@ -62,9 +83,17 @@
 def locations(depth: int) -> st.SearchStrategy[list[Location]]:
     inside = locations(depth - 1) if depth else st.just([])
     return st.lists(
-        st.builds(lambda kind, word, regex, within: Location(kind, regex if kind.startswith("regex") else "/" + word, Target("p"), within=tuple(within)),
-                  kinds, words, regexes, inside), max_size=6,
-    )  # fmt: skip
+        st.builds(
+            lambda kind, word, regex, within: Location(
+                kind, regex if kind.startswith("regex") else "/" + word, Target("p"), within=tuple(within)
+            ),
+            kinds,
+            words,
+            regexes,
+            inside,
+        ),
+        max_size=6,
+    )
 
 
 @given(locations(2), st.lists(st.text("abAB/.", max_size=7), min_size=1, max_size=8))
@@ -85,24 +114,57 @@
         assert one is two or (same and one.pattern == two.pattern)  # type: ignore[union-attr]
 
 
-@pytest.mark.parametrize(("pattern", "head"), [
-    ("^/api/v1", "/api/v1"), ("/api", ""), ("^/a|b", ""), ("(?i)^/a", ""), ("^/a+", "/"), (r"^/a\.b", "/a.b"), ("^", ""), ("^/é", ""), ("(", ""),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("pattern", "head"),
+    [
+        ("^/api/v1", "/api/v1"),
+        ("/api", ""),
+        ("^/a|b", ""),
+        ("(?i)^/a", ""),
+        ("^/a+", "/"),
+        (r"^/a\.b", "/a.b"),
+        ("^", ""),
+        ("^/é", ""),
+        ("(", ""),
+    ],
+)
 def test_only_text_that_must_begin_a_path_is_looked_up(pattern: str, head: str) -> None:
     assert literal_head(pattern) == head
 
 
-@pytest.mark.parametrize(("path", "plain"), [
-    ("/a/../b", "/b"), ("/a//b", "/a/b"), ("/%61/b?x=/../", "/a/b"), ("/../..", "/"), ("/a/./", "/a/"), ("/a/b/..", "/a/"), ("/", "/"), ("/a#b", "/a"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("path", "plain"),
+    [
+        ("/a/../b", "/b"),
+        ("/a//b", "/a/b"),
+        ("/%61/b?x=/../", "/a/b"),
+        ("/../..", "/"),
+        ("/a/./", "/a/"),
+        ("/a/b/..", "/a/"),
+        ("/", "/"),
+        ("/a#b", "/a"),
+    ],
+)
 def test_paths_are_made_plain_before_locations_see_them(path: str, plain: str) -> None:
     assert normal(path) == plain
 
 
-@pytest.mark.parametrize(("name", "found"), [
-    ("x.org", "x.org"), ("X.ORG:8080", "x.org"), ("a.x.org", "*.x.org"), ("a.b.x.org", "*.b.x.org"), ("www.any", "www.*"), ("y.net", ".y.net"),
-    ("q.y.net", ".y.net"), ("n12.zz", r"~^n\d+"), ("else", "_"), ("", "_"), ("x.org.", "x.org"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("name", "found"),
+    [
+        ("x.org", "x.org"),
+        ("X.ORG:8080", "x.org"),
+        ("a.x.org", "*.x.org"),
+        ("a.b.x.org", "*.b.x.org"),
+        ("www.any", "www.*"),
+        ("y.net", ".y.net"),
+        ("q.y.net", ".y.net"),
+        ("n12.zz", r"~^n\d+"),
+        ("else", "_"),
+        ("", "_"),
+        ("x.org.", "x.org"),
+    ],
+)
 def test_hosts_are_chosen_exact_then_wildcards_then_expressions_then_the_default(name: str, found: str) -> None:
     hosts = [
         Host((each,), default=each == "_")
@@ -169,9 +231,11 @@
     """,
     )
     assert routing.pools["u"].servers == (
-        Server("10.0.0.1:80", 5, max_fails=3, fail_timeout=90.0), Server("10.0.0.2:81", backup=True, max_connections=20),
-        Server("10.0.0.3:80", down=True, slow_start=0.5), Server("10.0.0.5:80"),
-    )  # fmt: skip
+        Server("10.0.0.1:80", 5, max_fails=3, fail_timeout=90.0),
+        Server("10.0.0.2:81", backup=True, max_connections=20),
+        Server("10.0.0.3:80", down=True, slow_start=0.5),
+        Server("10.0.0.5:80"),
+    )
     assert said(lines, "server 10.0.0.4") == [("not", "'0' is no number from 1 on")]
     assert said(lines, "server unix")[0][0] == "not" and said(lines, "server 10.0.0.5") == [
         ("changed", "without route=a")
@@ -212,18 +276,32 @@
     assert made["/a"].target == Target(variable="pool") and "evil" not in routing.pools
     assert all(made[path].target is None for path in ("/b", "/c", "^/d", "/e", "/g", "/h")) and "((" not in made
     assert routing.pools["1.2.3.4"].servers == (Server("1.2.3.4:443"),) and made["/i"].within == ()
-    for directive in ("if $host", "rewrite", "set", "if $arg_x", "proxy_pass http://pre$pool", "proxy_pass http://u/$1", "proxy_pass http://u/x",
-                      "proxy_pass $whole", "location ~ ((", "try_files", "location /i/j"):  # fmt: skip
+    for directive in (
+        "if $host",
+        "rewrite",
+        "set",
+        "if $arg_x",
+        "proxy_pass http://pre$pool",
+        "proxy_pass http://u/$1",
+        "proxy_pass http://u/x",
+        "proxy_pass $whole",
+        "location ~ ((",
+        "try_files",
+        "location /i/j",
+    ):
         assert said(lines, directive) and all(verdict == "not" for verdict, _ in said(lines, directive)), directive
     assert said(lines, "listen") == [("changed", "without http2")] and said(lines, "location @q")[0][0] == "changed"
 
 
 def test_includes_missing_repeated_and_in_circles(tmp_path: Path) -> None:
     routing, lines = carried(
-        tmp_path, a="http { include ups.conf; include ups.conf; include none.conf; server { include loc.conf; include deep.conf; } }",
-        ups="upstream u { server a:1; }", loc="location /x { proxy_pass http://u; }", deep="location /y { include loc.conf; }\ninclude circle.conf;",
+        tmp_path,
+        a="http { include ups.conf; include ups.conf; include none.conf; server { include loc.conf; include deep.conf; } }",
+        ups="upstream u { server a:1; }",
+        loc="location /x { proxy_pass http://u; }",
+        deep="location /y { include loc.conf; }\ninclude circle.conf;",
         circle="include deep.conf;",
-    )  # fmt: skip
+    )
     host = routing.hosts[0]
     assert [each.pattern for each in host.locations] == ["/x", "/y"] and host.locations[1].within[0].pattern == "/x"
     assert ("not", "there is an upstream 'u' already") in said(lines, "upstream u")
@@ -262,9 +340,16 @@
 
 name = st.from_regex(r"[a-z]{1,6}", fullmatch=True)
 servers = st.builds(
-    Server, st.sampled_from(["a:1", "10.0.0.1:80", "b.c:99"]), st.integers(1, 9), st.booleans(), st.booleans(), st.integers(0, 5), st.integers(0, 4),
-    st.sampled_from([10.0, 2.0, 0.5]), st.sampled_from([0.0, 30.0]),
-)  # fmt: skip
+    Server,
+    st.sampled_from(["a:1", "10.0.0.1:80", "b.c:99"]),
+    st.integers(1, 9),
+    st.booleans(),
+    st.booleans(),
+    st.integers(0, 5),
+    st.integers(0, 4),
+    st.sampled_from([10.0, 2.0, 0.5]),
+    st.sampled_from([0.0, 30.0]),
+)
 patterns = st.sampled_from(
     ["/", "/a", "/a b", r"\.php$", r"^/d{2}/\d+", r"^/x\"y", "/é;", r"^/a\\b", r"\n", "/#x", r"a\\"]
 )
@@ -293,20 +378,50 @@
     targets = st.sampled_from([None, Target("p"), Target("p", path="/z"), Target(variable="v")])
     limits = st.sampled_from([(), (Limit("$host", 2.0, 3),), (Limit("$host", at_once=3),)])
     return st.lists(
-        st.builds(made, st.sampled_from(["exact", "prefix", "prefix-first", "regex", "regex-caseless"]), patterns, targets,
-                  st.sampled_from([0, 404]), st.sampled_from([0, 0, 2]), limits, inside), max_size=3,
-    ).map(tuple)  # fmt: skip
+        st.builds(
+            made,
+            st.sampled_from(["exact", "prefix", "prefix-first", "regex", "regex-caseless"]),
+            patterns,
+            targets,
+            st.sampled_from([0, 404]),
+            st.sampled_from([0, 0, 2]),
+            limits,
+            inside,
+        ),
+        max_size=3,
+    ).map(tuple)
 
 
 routings = st.builds(
     lambda given_, method, hosts, cases: Routing(
-        {"p": Pool("p", tuple(s for s in given_ if not (s.backup and method in ("hash", "address-hash"))), method, "$uri" if method == "hash" else "", method == "hash", 4)},
-        tuple(hosts), {"v": Choice("$host", tuple(cases), "p")}, {"w": Split("$host", ((3300, "p"),), "q")},
+        {
+            "p": Pool(
+                "p",
+                tuple(s for s in given_ if not (s.backup and method in ("hash", "address-hash"))),
+                method,
+                "$uri" if method == "hash" else "",
+                method == "hash",
+                4,
+            )
+        },
+        tuple(hosts),
+        {"v": Choice("$host", tuple(cases), "p")},
+        {"w": Split("$host", ((3300, "p"),), "q")},
+    ),
+    st.lists(servers, min_size=1, max_size=3),
+    st.sampled_from(["weights", "least-connections", "address-hash", "hash"]),
+    st.lists(
+        st.builds(
+            Host,
+            st.lists(name, max_size=2, unique=True).map(tuple),
+            st.sampled_from(["80", "127.0.0.1:81"]),
+            st.booleans(),
+            tree(1),
+        ),
+        max_size=2,
     ),
-    st.lists(servers, min_size=1, max_size=3), st.sampled_from(["weights", "least-connections", "address-hash", "hash"]),
-    st.lists(st.builds(Host, st.lists(name, max_size=2, unique=True).map(tuple), st.sampled_from(["80", "127.0.0.1:81"]), st.booleans(), tree(1)), max_size=2),
     st.lists(st.tuples(st.sampled_from(["a", "~^b c", "*.d"]), name), max_size=2, unique_by=lambda each: each[0]),
-)  # fmt: skip
+)
 
 
 def inherited(routing: Routing) -> Routing:
@@ -359,12 +474,16 @@
         quoted("a\nb")
 
 
-@pytest.mark.parametrize(("body", "told"), [
-    ('hosts: [{locations: [{pattern: "/", target: {pool: "u"}}]}]', "there is no pool 'u'"),
-    ('hosts: [{locations: [{kind: "regex", pattern: "((", status: 404}]}]', "no expression"),
-    ('hosts: [{locations: [{pattern: "/", target: {scheme: "https"}}]}]', "either a pool or a variable"),
-    ('pools: {u: {servers: [{address: "nope"}]}}', "address"), ('hosts: [{locations: [{pattern: "/", within: [{pattrn: "/a"}]}]}]', "pattern"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("body", "told"),
+    [
+        ('hosts: [{locations: [{pattern: "/", target: {pool: "u"}}]}]', "there is no pool 'u'"),
+        ('hosts: [{locations: [{kind: "regex", pattern: "((", status: 404}]}]', "no expression"),
+        ('hosts: [{locations: [{pattern: "/", target: {scheme: "https"}}]}]', "either a pool or a variable"),
+        ('pools: {u: {servers: [{address: "nope"}]}}', "address"),
+        ('hosts: [{locations: [{pattern: "/", within: [{pattrn: "/a"}]}]}]', "pattern"),
+    ],
+)
 def test_faults_in_routing_are_told_with_their_place(tmp_path: Path, body: str, told: str) -> None:
     path = tmp_path / "a.rec"
     path.write_text(body)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -238,14 +238,16 @@
 @pytest.mark.parametrize(
     ("reply", "kind"),
     [
-        (_slowly, Refused), (_silent, Refused), (_hang_up, OSError),
+        (_slowly, Refused),
+        (_silent, Refused),
+        (_hang_up, OSError),
         (_say(b"HTTP/1.1 412 No\r\netag: x\r\ncontent-length: 0\r\n\r\n"), Refused),
         (_say(b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"), Refused),
         (_say(b"HTTP/1.1 200 OK\r\n" + b"x-a: " + b"y" * 200_000), Refused),
         (_say(b"HTTP/1.1 204 OK\r\n" + b"x: y\r\n" * 20_000), Refused),
         (_say(b"SSH-2.0-x\r\n\r\n"), Refused),
     ],
-)  # fmt: skip
+)
 def test_an_agent_that_does_not_answer_as_agreed_is_refused_in_time(reply: Reply, kind: type[Exception]) -> None:
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -285,10 +287,16 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        join = answer(200, {
-            "zone": "north", "usual": 1.0, "standing": True, "push": f"127.0.0.1:{port}",
-            "held": {"withdrawn": {"b1": True}},
-        })  # fmt: skip
+        join = answer(
+            200,
+            {
+                "zone": "north",
+                "usual": 1.0,
+                "standing": True,
+                "push": f"127.0.0.1:{port}",
+                "held": {"withdrawn": {"b1": True}},
+            },
+        )
         request = Request("PUT", "/v1/proxies/liar", join.headers, join.body)
         for _ in range(3):
             response = await ask_once(("127.0.0.1", port_of(controller)), request, 1.0)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -53,10 +53,22 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"GET / HTTP/1.1\r\n", b"\x97\x00", b"+OK\r\n", b"*0\r\n", b"*-1\r\n", b"*%d\r\n" % (MOST_WORDS + 1), b"*1\r\n:5\r\n",
-        b"*1\r\n$-1\r\n", b"*1\r\n$+3\r\nabc\r\n", b"*1\r\n$3\r\nabcd\r\n", b"*999999999999", b"*1\r\n$99999999999", b"*1 \r\n", b"\r\n",
+        b"GET / HTTP/1.1\r\n",
+        b"\x97\x00",
+        b"+OK\r\n",
+        b"*0\r\n",
+        b"*-1\r\n",
+        b"*%d\r\n" % (MOST_WORDS + 1),
+        b"*1\r\n:5\r\n",
+        b"*1\r\n$-1\r\n",
+        b"*1\r\n$+3\r\nabc\r\n",
+        b"*1\r\n$3\r\nabcd\r\n",
+        b"*999999999999",
+        b"*1\r\n$99999999999",
+        b"*1 \r\n",
+        b"\r\n",
     ],
-)  # fmt: skip
+)
 def test_what_is_no_message_is_a_fault_that_stays(data: bytes) -> None:
     machine = Machine()
     good = framed([b"hb"])
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -53,14 +53,19 @@
 @pytest.mark.parametrize(
     "document",
     [
-        [], {"lines": {}}, {"withdrawn": {"b1": 1}}, {"tables": {"1": {"rows": {}}}}, {"bindings": {"g": ""}},
+        [],
+        {"lines": {}},
+        {"withdrawn": {"b1": 1}},
+        {"tables": {"1": {"rows": {}}}},
+        {"bindings": {"g": ""}},
         {"standing": {"b1": {"address": "127.0.0.1:80", "weight": 0, "zone": "a"}}},
         {"standing": {"b1": {"address": "a b:80", "weight": 1, "zone": "a"}}},
         {"standing": {"b1": {"address": "127.0.0.1:80", "weight": 1.5, "zone": "a"}}},
         {"tables": {"1": {"levels": {"g": {"share": 1.2, "tries": 0}}}}},
-        {"tables": {"1": {"levels": {"g": {"share": 1, "tries": 4}}}}}, {"tables": {"1": {"lines": True}}},
+        {"tables": {"1": {"levels": {"g": {"share": 1, "tries": 4}}}}},
+        {"tables": {"1": {"lines": True}}},
     ],
-)  # fmt: skip
+)
 def test_what_is_no_view_is_refused_whole(document: Any) -> None:
     with pytest.raises(Malformed):
         View.read(document)
--- a/tests/test_trial.py
+++ b/tests/test_trial.py
@@ -81,12 +81,17 @@
 @pytest.mark.parametrize(
     "events",
     [
-        [], [sent(t, 0, "bare") for t in (5.0, 5.9)], [sent(5.0, 0, "bare"), sent(5.5, 2), sent(6.2, 0, "bare")],
-        [effect("b1"), effect("b2", attempt="1")], [effect("b1", "r"), effect("b2", "r")],
-        [listed(5.0, "draining"), sent(5.9, 1), sent(7.0, 2)], [listed(5.0, "draining"), listed(5.5), sent(8.0, 1)],
-        PUSHES[:2], [listed(5.0, "draining"), sent(40.0, 1)],
+        [],
+        [sent(t, 0, "bare") for t in (5.0, 5.9)],
+        [sent(5.0, 0, "bare"), sent(5.5, 2), sent(6.2, 0, "bare")],
+        [effect("b1"), effect("b2", attempt="1")],
+        [effect("b1", "r"), effect("b2", "r")],
+        [listed(5.0, "draining"), sent(5.9, 1), sent(7.0, 2)],
+        [listed(5.0, "draining"), listed(5.5), sent(8.0, 1)],
+        PUSHES[:2],
+        [listed(5.0, "draining"), sent(40.0, 1)],
     ],
-)  # fmt: skip
+)
 def test_what_the_rules_allow_is_no_break(tmp_path: Path, events: list[Any]) -> None:
     found = verdict(tmp_path, *events)
     assert not broken(found) and found["service"] == 1.0 and found["joins"] == 1
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -13,20 +13,38 @@
 from onyxhead.wirehost.codec import WireError
 
 SETTINGS = {
-    "balancers": 1, "zone": 0, "zones": ["a", "b"], "discovery": "automatic", "unheard": {"of": 1},
+    "balancers": 1,
+    "zone": 0,
+    "zones": ["a", "b"],
+    "discovery": "automatic",
+    "unheard": {"of": 1},
     "bounds": {"probes": False},
     "extra": {
-        "agents": 2, "classOwnZone": [False], "egressPerS": 900.0, "perMessage": 6.0, "mostWaiting": 1800.0,
-        "pushDelayNs": 264000000, "lateMostNs": 660000000, "unservedMaxNs": 3100000000, "throttleBy": "ratio",
-        "baseMode": 1, "tryFactor": 1.2, "cycleNs": 1000000000, "updateCap": 0, "messagesOverNs": 10000000000,
+        "agents": 2,
+        "classOwnZone": [False],
+        "egressPerS": 900.0,
+        "perMessage": 6.0,
+        "mostWaiting": 1800.0,
+        "pushDelayNs": 264000000,
+        "lateMostNs": 660000000,
+        "unservedMaxNs": 3100000000,
+        "throttleBy": "ratio",
+        "baseMode": 1,
+        "tryFactor": 1.2,
+        "cycleNs": 1000000000,
+        "updateCap": 0,
+        "messagesOverNs": 10000000000,
     },
     "guarantees": {
-        "drainGraceNs": 2900000000, "coldFrom": 0.2, "coldNs": 15000000000, "overloadFactor": 3.0,
+        "drainGraceNs": 2900000000,
+        "coldFrom": 0.2,
+        "coldNs": 15000000000,
+        "overloadFactor": 3.0,
         "fallNs": 1500000000,
     },
     "report": {"fields": [], "via": "off"},
     "services": [{"aimNs": 75000000, "credit": 1.0, "deadlineNs": 250000000, "effect": "pure", "name": "s"}],
-}  # fmt: skip
+}
 BEGIN = f"""SELECT 0
 BEGIN 7 {json.dumps(SETTINGS)}
 DEFINE_LIST 0 2
