--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -732,7 +732,7 @@
 
     from onyxhead.incident import timeline
     from onyxhead.incident.page import page
-    from onyxhead.series.courses import Courses, Unknown
+    from onyxhead.series.time_series_store import TimeSeriesStore, UnknownSeriesError
     from onyxhead.store.store import Unusable, recorded
 
     def moment(text: str, end: float) -> float:
@@ -757,15 +757,15 @@
         rows = tuple(told["orders"]), tuple(told["lists"]), tuple(told["audit"])
         records.append(timeline.Records(folder.name, lives, *rows))
         if (folder / "series").is_dir():
-            kept = Courses(folder / "series")
+            kept = TimeSeriesStore(folder / "series")
             for name in kept.names():
                 if not any(fnmatch.fnmatchcase(name, wanted) for wanted in shown_courses):
                     continue
                 try:
                     course = kept.read(name, begin, end)
-                except Unknown:
+                except UnknownSeriesError:
                     continue
-                points = [(course["since"] + n * course["step"], value) for n, value in enumerate(course["figures"])]
+                points = [(course.since + n * course.step, value) for n, value in enumerate(course.values)]
                 curves[f"{name} ({folder.name})"] = points
     found = timeline.courses(records, begin, end)
     happened, missing = timeline.events(records, begin, end), timeline.gaps(records, begin, end)
--- a/onyxhead/controller/daemon.py
+++ b/onyxhead/controller/daemon.py
@@ -34,8 +34,7 @@
 from onyxhead.operate.standing import Backend, Command, Odd, Standing, held_out, selected
 from onyxhead.policy.decisions import AdmissionLevel, Decision, TableAssignment, TableChange, Withdrawal
 from onyxhead.policy.inputs import Deployment
-from onyxhead.series.courses import Courses
-from onyxhead.series.courses import Unknown as Missing
+from onyxhead.series.time_series_store import TimeSeriesStore, UnknownSeriesError
 from onyxhead.settings.load import Controller
 from onyxhead.store.store import Store, Unusable
 from onyxhead.tables.history import History, Unknown
@@ -552,15 +551,16 @@
                 return self._sums(name, request)
         return problem(404, "nothing here")
 
-    async def _course(self, courses: Courses, name: str, target: str) -> Response:
+    async def _course(self, courses: TimeSeriesStore, name: str, target: str) -> Response:
         if not name:
             return answer(200, await asyncio.to_thread(courses.names))
         asked = parse_qs(target.partition("?")[2])
         try:
             until = float(asked.get("until", [str(time.time())])[0])
             since = float(asked.get("since", [str(until - 3600)])[0])
-            return answer(200, await asyncio.to_thread(courses.read, name, since, until))
-        except Missing as error:
+            samples = await asyncio.to_thread(courses.read, name, since, until)
+            return answer(200, samples.to_json())
+        except UnknownSeriesError as error:
             return problem(404, str(error.args[0]))
         except ValueError as error:
             return problem(400, str(error))
--- a/onyxhead/controller/house.py
+++ b/onyxhead/controller/house.py
@@ -16,7 +16,7 @@
 from onyxhead.controller.roster import Followed
 from onyxhead.controller.sums import Gate, Gathered, Report
 from onyxhead.fleet.budget import Budget, Life, Loan, Strain
-from onyxhead.intake.picture import Picture
+from onyxhead.intake.load_estimator import LoadEstimator
 from onyxhead.policy.balancer import BalancingPolicy
 from onyxhead.policy.decisions import (
     AcknowledgementRequest,
@@ -123,7 +123,7 @@
                 self.fresh_versions.append((version, gone))
         self.pin: Pin | None = None
         self.canary: Canary | None = None
-        self.picture = Picture()
+        self.load_estimator = LoadEstimator()
         self.group_numbers = {name: place for place, name in enumerate(groups)}
 
     # What is heard
@@ -141,7 +141,7 @@
             self.by_address[place.address] = backend
         self.listed |= {entry.backend: entry for entry in news.listed}
         serving = [entry for entry in self.listed.values() if entry.ready or entry.draining]
-        self.picture.listed({entry.backend: str(entry.kind) for entry in serving})
+        self.load_estimator.on_endpoint_list({entry.backend: str(entry.kind) for entry in serving})
         self.brain.on_endpoint_update(now, news.kind, news.listed)
         self._cause(f"list: {len(news.listed)} {'entries' if news.kind is WatchEvent.SNAPSHOT else 'changes'}")
 
@@ -189,7 +189,7 @@
         self.applied.pop(proxy, None)
         self.brain.on_proxy_left(now, proxy)
         self.counts["breaks"] += 1
-        self.picture.left(known.name)
+        self.load_estimator.on_proxy_left(known.name)
         self._cause(f"{known.name} left{': ' + why if why else ''}")
 
     def answered(self, now: int, proxy: int, message: Message, tag: str, ordered: int) -> None:
@@ -253,16 +253,18 @@
             for zone, backend, own, load in met:
                 mean = round(own.time / (own.tries - own.bad)) if own.tries > own.bad else 0
                 span = own.span or self.start.report_interval
-                self.picture.met(now, backend, own.tries, own.bad, mean / 10, span, span // 2)
+                self.load_estimator.on_attempts(now, backend, own.tries, own.bad, mean / 10, span, span // 2)
                 # A word that agrees with what proxies met, and is young, tells more than the last answer's header.
-                if (busy := self.picture.busy(now, backend)) is not None:
+                if (busy := self.load_estimator.utilization(now, backend)) is not None:
                     load = load._replace(utilization=busy)
-                if (latency := self.picture.latency(now, backend)) is not None:
+                if (latency := self.load_estimator.response_time(now, backend)) is not None:
                     load = load._replace(latency=latency)
                 self.brain.on_attempt_statistics(now, backend, zone, own.tries, own.bad, mean, span, load)
             for proxy, group, came, span in flows:
                 if span > 0 and proxy in self.joined:
-                    self.picture.came(now, self.joined[proxy].name, self.groups[group], came * 10_000 / span)
+                    self.load_estimator.on_demand(
+                        now, self.joined[proxy].name, self.groups[group], came * 10_000 / span
+                    )
                 self.brain.on_request_rate(now, proxy, group, came, span)
         self._decide(now)
         if self.pin is not None and now >= self.pin.until:
--- a/onyxhead/controller/receiver.py
+++ b/onyxhead/controller/receiver.py
@@ -20,7 +20,8 @@
 from onyxhead.controller.clock import Clock
 from onyxhead.http.messages import Request, Response, answer, problem
 from onyxhead.http.server import Server
-from onyxhead.intake.picture import Decoder, Sums
+from onyxhead.intake.load_sums import LoadSums
+from onyxhead.intake.report_decoder import ReportDecoder
 from onyxhead.keys.rotate import Keys, Peer, Unusable, peer_of
 from onyxhead.settings.load import Tls
 
@@ -34,7 +35,7 @@
     """`counts` since the last one."""
 
     counts: dict[str, int]
-    sums: list[Sums]
+    sums: list[LoadSums]
 
 
 ENCODE, DECODE = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Frame)
@@ -44,7 +45,7 @@
     """The decoding path, in whatever process: requests in, sums out at each beat."""
 
     def __init__(self, seed: int, budget: int, keys: Keys | None, clock: Clock) -> None:
-        self.decoder, self.budget, self.keys, self.clock = Decoder(seed), budget, keys, clock
+        self.decoder, self.budget, self.keys, self.clock = ReportDecoder(seed), budget, keys, clock
         self.credit, self.at = 0.0, clock.now()
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> Response:
@@ -69,8 +70,8 @@
         # In bytes a second; a bite taken too large is paid back before the next one.
         self.credit = min(BITE * self.budget, self.credit + self.budget * (now - self.at) / 10_000)
         self.at = now
-        sums = self.decoder.work(now, round(self.credit)) if self.credit > 0 else []
-        self.credit -= self.decoder.used if self.credit > 0 else 0
+        sums = self.decoder.decode(now, round(self.credit)) if self.credit > 0 else []
+        self.credit -= self.decoder.bytes_decoded if self.credit > 0 else 0
         counts, self.decoder.counts = dict(self.decoder.counts), type(self.decoder.counts)()
         return Frame(counts, sums)
 
--- a/onyxhead/controller/reception.py
+++ b/onyxhead/controller/reception.py
@@ -17,8 +17,9 @@
 
 from onyxhead.controller.receiver import DECODE, HEAD, Frame, Taking
 from onyxhead.http.messages import Response
-from onyxhead.intake.picture import Sums, merged
-from onyxhead.series.courses import Courses
+from onyxhead.intake.load_sums import LoadSums, merge_load_sums
+from onyxhead.intake.report_decoder import SHED_BY_SENDER_PREFIX
+from onyxhead.series.time_series_store import TimeSeriesStore
 from onyxhead.settings.load import Intake
 
 if TYPE_CHECKING:
@@ -28,7 +29,6 @@
 WEIGH = 1.0
 COURSE = 10.0
 AGAIN = 0.5
-SHED = "shed of "
 MOST_SHED = 1_000
 log = structlog.get_logger()
 
@@ -39,8 +39,8 @@
         self.taking = Taking(daemon.settings.seed, settings.budget, None, daemon.clock)
         self.counts: Counter[str] = Counter()
         self.shed: Counter[str] = Counter()
-        self.waiting: list[Sums] = []
-        self.courses = Courses(settings.series) if settings.series is not None else None
+        self.waiting: list[LoadSums] = []
+        self.courses = TimeSeriesStore(settings.series) if settings.series is not None else None
         self.begun = self.ended = 0
 
     def take(self, sender: str, body: bytes) -> Response:
@@ -54,23 +54,28 @@
             await asyncio.sleep(self.settings.every)
             frame = self.taking.beat()
             self._count(frame)
-            # All that came since the last beat, from whomever, is one picture: none is judged on half of it.
-            sums, self.waiting = merged([*frame.sums, *self.waiting]), []
+            # All that came since the last beat, from whomever, is judged together: none is judged on half of it.
+            sums, self.waiting = merge_load_sums([*frame.sums, *self.waiting]), []
             now = self.daemon.clock.now()
-            self.daemon.house.picture.absorb(now, sums)
+            self.daemon.house.load_estimator.on_reports(now, sums)
             if now - weighed >= WEIGH * TENTHS:
                 weighed = now
-                self.daemon.house.picture.weigh(now)
-                for notice in self.daemon.house.picture.told_notices():
-                    log.info("changed", where=notice.where, what=notice.what, way=notice.way)
+                self.daemon.house.load_estimator.assess_credibility(now)
+                for change in self.daemon.house.load_estimator.drain_changes():
+                    log.info(
+                        "load shift detected",
+                        subject=change.subject,
+                        signal=change.signal.value,
+                        shift=change.shift.name.lower(),
+                    )
             if self.courses is not None and now - written >= COURSE * TENTHS:
                 written = now
                 await asyncio.to_thread(self.courses.write, time.time(), self._figures(now))
 
     def _count(self, frame: Frame) -> None:
         for name, count in frame.counts.items():
-            if name.startswith(SHED):
-                self.shed[name.removeprefix(SHED)] += count
+            if name.startswith(SHED_BY_SENDER_PREFIX):
+                self.shed[name.removeprefix(SHED_BY_SENDER_PREFIX)] += count
             else:
                 self.counts[name] += count
         if len(self.shed) > 2 * MOST_SHED:
@@ -79,17 +84,15 @@
 
     def _figures(self, now: int) -> dict[str, float]:
         house, found = self.daemon.house, {}
-        for backend in house.picture.known:
-            figures = house.picture.figures(now, backend)
-            if figures is None or figures.age > 2 * COURSE * TENTHS:
+        for backend in house.load_estimator.backends:
+            estimate = house.load_estimator.estimate(now, backend)
+            if estimate is None or estimate.age > 2 * COURSE * TENTHS:
                 continue
-            for name in ("rate", "busy", "queue", "loss", "p99"):
-                if (figure := getattr(figures, name)) is not None:
-                    found[f"{name}.{backend}"] = figure.value
-            found[f"trust.{backend}"] = figures.trust
-        for (proxy, group), trend in house.picture.demand.items():
-            if (level := trend.level.figure()) is not None and now - trend.at < 2 * COURSE * TENTHS:
-                found[f"flows.{proxy}/{group}"] = level.value
+            for name, value in estimate.time_series().items():
+                found[f"{name}.{backend}"] = value
+        for (proxy, group), trend in house.load_estimator.demand.items():
+            if (rate := trend.rate.estimate()) is not None and now - trend.measured_at < 2 * COURSE * TENTHS:
+                found[f"flows.{proxy}/{group}"] = rate.value
         found["channel.waiting"] = house.channel.waiting
         return found
 
@@ -134,19 +137,19 @@
 
     def brief(self) -> dict[str, Any]:
         """Busy shares only, for who asks often."""
-        picture = self.daemon.house.picture
-        figures = {name: picture.believed(name) for name in picture.known}
+        estimator = self.daemon.house.load_estimator
+        figures = {name: estimator.assumed_utilization(name) for name in estimator.backends}
         found = {name: {"value": own.value, "error": own.error} for name, own in figures.items() if own is not None}
         return {"counts": dict(self.counts), "busy": found}
 
     def state(self) -> dict[str, Any]:
-        now, view = self.daemon.clock.now(), self.daemon.house.picture
+        now, view = self.daemon.clock.now(), self.daemon.house.load_estimator
         backends = {}
-        for name in sorted(view.known):
-            if (figures := view.figures(now, name)) is not None:
-                backends[name] = figures.plain()
+        for name in sorted(view.backends):
+            if (estimate := view.estimate(now, name)) is not None:
+                backends[name] = estimate.to_json()
         return {
             "counts": dict(self.counts) | dict(view.counts), "shed_most": dict(self.shed.most_common(10)),
             "receivers": self.begun - self.ended,
-            "series": self.courses.failing if self.courses is not None else None, "backends": backends,
+            "series": self.courses.last_error if self.courses is not None else None, "backends": backends,
         }  # fmt: skip
--- a/onyxhead/intake/__init__.py
+++ b/onyxhead/intake/__init__.py
@@ -1,3 +1,4 @@
-"""A view of true load from more reports than can be weighed one by one: late, noisy, capped, and sometimes false.
+"""Estimates of the load of backends from their reports and from what proxies observe: late, noisy, incomplete or false.
 
-No I/O and no clock. Times are tenths of a millisecond."""
+No I/O and no clock: callers pass the time, in ticks (`onyxhead.time_units`).
+"""
--- /dev/null
+++ b/onyxhead/intake/decay.py
@@ -0,0 +1,8 @@
+"""Exponential decay of the weight of a sample with its age. No I/O."""
+
+from __future__ import annotations
+
+
+def decay_weight(age: int, half_life: int) -> float:
+    """Return the weight of a sample of this age, relative to a fresh one. Both times in ticks."""
+    return float(0.5 ** (age / half_life))
--- a/onyxhead/series/__init__.py
+++ b/onyxhead/series/__init__.py
@@ -1,1 +1,1 @@
-"""Courses over time on disk: bounded, coarser with age, gaps kept as gaps."""
+"""Time series on disk, for looking back: bounded, coarser with age, gaps kept as gaps."""
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -11,16 +11,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from onyxhead.intake.aging import Ages
-from onyxhead.intake.change import LEARNT, Change, threshold
-from onyxhead.intake.estimate import Level, Quantiles, Share, Trend
-from onyxhead.intake.picture import Decoder, Picture, Sums, merged
-from onyxhead.intake.report import Odd, read
-from onyxhead.intake.sampling import EACH, Sampler
-from onyxhead.intake.truth import Heard, Truth
-
-SECOND = 10_000
+from onyxhead.intake.change_detection import CALIBRATION_SAMPLES, CusumDetector, Shift, cusum_threshold
+from onyxhead.intake.clock_offset import ClockOffsetEstimator
+from onyxhead.intake.credibility import CredibilityModel, LoadObservation
+from onyxhead.intake.estimators import DecayingMean, DecayingProportion, LinearTrend
+from onyxhead.intake.fair_sampling import RESERVOIR_SIZE, FairSampler
+from onyxhead.intake.load_estimator import LoadEstimator, LoadSignal
+from onyxhead.intake.load_sums import LoadSums, WeightedSum, merge_load_sums
+from onyxhead.intake.orca_reports import MalformedReportError, decode_reports
+from onyxhead.intake.quantiles import SlidingQuantiles
+from onyxhead.intake.report_decoder import ReportDecoder
+from onyxhead.time_units import TICKS_PER_SECOND as SECOND
+
 START = 1_000 * SECOND
+NONE = WeightedSum(0.0, 0.0)
 
 
 def body(*reports: dict[str, Any]) -> bytes:
@@ -44,7 +48,7 @@
 def test_figures_that_can_not_be_are_left_out_and_the_rest_is_taken(load: dict[str, Any]) -> None:
     odd = report("b1", START, cpu_utilization=0.5, rps_fractional=10.0)
     odd["load"] |= load
-    told, faulty = read(body(odd, report("b2", START, cpu_utilization=0.4)))
+    told, faulty = decode_reports(body(odd, report("b2", START, cpu_utilization=0.4)))
     assert faulty == 1 and [each.backend for each in told] == ["b1", "b2"]
     kept = told[0].load
     for figure in (
@@ -59,8 +63,8 @@
 
 @pytest.mark.parametrize("text", [b"", b"{}", b"nan", b"[1, 2", b'"x"', b"\xff"])
 def test_what_is_no_list_is_refused(text: bytes) -> None:
-    with pytest.raises(Odd):
-        read(text)
+    with pytest.raises(MalformedReportError):
+        decode_reports(text)
 
 
 @pytest.mark.parametrize(
@@ -74,14 +78,14 @@
     ],
 )
 def test_a_part_that_is_none_costs_only_itself(part: str) -> None:
-    told, faulty = read(b"[" + part.encode() + b"," + body(report("b1", START))[1:])
+    told, faulty = decode_reports(b"[" + part.encode() + b"," + body(report("b1", START))[1:])
     assert [each.backend for each in told] == ["b1"] and faulty == 1
-    with pytest.raises(Odd):
-        read(b'[{"backend": "b", "boot": "1", "at": NaN, "load": {}}]')
+    with pytest.raises(MalformedReportError):
+        decode_reports(b'[{"backend": "b", "boot": "1", "at": NaN, "load": {}}]')
 
 
 def test_unknown_fields_are_skipped() -> None:
-    told, faulty = read(body(report("b1", START, mem_utilization=3.0, request_cost={"a": 1}) | {"more": [1]}))
+    told, faulty = decode_reports(body(report("b1", START, mem_utilization=3.0, request_cost={"a": 1}) | {"more": [1]}))
     assert len(told) == 1 and not faulty
 
 
@@ -89,18 +93,18 @@
 
 
 def test_one_that_sends_nine_tenths_of_everything_crowds_out_only_itself() -> None:
-    own: Sampler[int] = Sampler(1)
+    own: FairSampler[int] = FairSampler(1)
     for n in range(900):
         own.offer("loud", n, 10, START)
     for n in range(100):
         own.offer(f"p{n}", n, 10, START)
     taken = own.take(1010)
     assert {each.sender for each in taken} == {"loud", *(f"p{n}" for n in range(100))}
-    assert sum(each.stands_for for each in taken) == 1000 and own.told_shed()["loud"] >= 890
+    assert sum(each.stands_for for each in taken) == 1000 and own.drain_shed()["loud"] >= 890
 
 
 def test_the_longest_unheard_come_first_and_all_are_heard_in_turn() -> None:
-    own: Sampler[int] = Sampler(1)
+    own: FairSampler[int] = FairSampler(1)
     heard: dict[str, int] = {}
     last: dict[str, int] = {}
     for step in range(30):
@@ -118,7 +122,7 @@
 
 
 def test_a_flood_of_new_names_does_not_crowd_out_those_that_are_known() -> None:
-    own: Sampler[int] = Sampler(1)
+    own: FairSampler[int] = FairSampler(1)
     for n in range(20):
         own.offer(f"p{n}", 0, 10, START)
     own.take(1000)
@@ -137,11 +141,11 @@
 def test_the_share_that_waits_is_fair_and_the_newest_among_it() -> None:
     counts = [0] * 100
     for seed in range(600):
-        own: Sampler[int] = Sampler(seed)
+        own: FairSampler[int] = FairSampler(seed)
         for n in range(100):
             own.offer("p", n, 1, START)
         items = [each.item for each in own.take(1000)]
-        assert len(items) == EACH and items[-1] == 99
+        assert len(items) == RESERVOIR_SIZE and items[-1] == 99
         for item in items[:-1]:
             counts[item] += 1
     early, late = sum(counts[:49]), sum(counts[50:99])
@@ -149,19 +153,19 @@
 
 
 def test_a_flood_of_senders_keeps_memory_bounded() -> None:
-    own: Sampler[bytes] = Sampler(1, most=50)
+    own: FairSampler[bytes] = FairSampler(1, max_senders=50)
     for n in range(10_000):
         own.offer(f"x{n}", b"", 1, START)
-    assert len(own.order) == len(own.waiting) == 50 and own.refused == 9_950
+    assert len(own.senders) == len(own.waiting) == 50 and own.rejected == 9_950
     own.take(10_000)
-    assert own.offer("late", b"", 1, START) and len(own.order) == 50
+    assert own.offer("late", b"", 1, START) and len(own.senders) == 50
 
 
 # How old
 
 
 def test_ages_do_not_depend_on_the_senders_clock() -> None:
-    chance, own = Random(1), Ages()
+    chance, own = Random(1), ClockOffsetEstimator()
     for n in range(200):
         measured = START + n * SECOND // 10
         late = chance.choice((0, 0, 500, 3 * SECOND))
@@ -169,12 +173,12 @@
 
 
 def test_a_clock_set_back_is_found_and_a_late_report_is_not_taken_for_one() -> None:
-    own = Ages()
+    own = ClockOffsetEstimator()
     for n in range(20):
         own.age(START + n * SECOND, START + n * SECOND)
-    assert own.age(START, START + 40 * SECOND) == pytest.approx(40 * SECOND, abs=500) and own.jumps == 0
+    assert own.age(START, START + 40 * SECOND) == pytest.approx(40 * SECOND, abs=500) and own.steps == 0
     ages = [own.age(START + n * SECOND - 600 * SECOND, START + n * SECOND) for n in range(41, 60)]
-    assert own.jumps >= 1 and ages[-1] == 0
+    assert own.steps >= 1 and ages[-1] == 0
     ages = [own.age(START + n * SECOND + 600 * SECOND, START + n * SECOND) for n in range(60, 70)]
     assert set(ages) == {0}
 
@@ -185,7 +189,7 @@
 @pytest.mark.parametrize("figures", [500.0, 2_000.0])
 def test_false_alarms_on_noise_are_no_more_than_stated(figures: float) -> None:
     chance, alarms, many = Random(3), 0, 300_000
-    own = Change(figures)
+    own = CusumDetector(figures)
     for _ in range(many):
         alarms += own.add(chance.gauss(10, 2)) != 0
     assert alarms <= 1.3 * many / figures
@@ -193,7 +197,7 @@
 
 def test_a_change_of_two_spreads_is_found_within_ten_figures_and_its_way_told() -> None:
     for seed in range(40):
-        chance, own = Random(seed), Change(2_000)
+        chance, own = Random(seed), CusumDetector(2_000)
         for _ in range(80):
             own.add(chance.gauss(10, 2))
         way = -1 if seed % 2 else 1
@@ -204,7 +208,7 @@
 def test_a_second_jump_soon_after_the_first_is_found_as_soon() -> None:
     # Once deaf for two dozen figures after each alarm, the view followed a burst's end by its half-life alone.
     for seed in range(40):
-        chance, own = Random(seed), Change(2_000)
+        chance, own = Random(seed), CusumDetector(2_000)
         for _ in range(80):
             own.add(chance.gauss(10, 1))
         for level in (30, 10, 30, 10):
@@ -214,17 +218,17 @@
 
 
 def test_one_outlier_is_no_change() -> None:
-    chance, own = Random(1), Change(2_000)
+    chance, own = Random(1), CusumDetector(2_000)
     for _ in range(100):
         own.add(chance.gauss(10, 1))
     own.restart()
-    for _ in range(LEARNT + 10):
+    for _ in range(CALIBRATION_SAMPLES + 10):
         own.add(chance.gauss(10, 1))
     assert own.add(1e9) == 0 and [own.add(chance.gauss(10, 1)) for _ in range(5)] == [0] * 5
 
 
 def test_the_threshold_grows_with_what_is_asked() -> None:
-    assert 3 < threshold(400) < threshold(2_000) < threshold(20_000) < 12
+    assert 3 < cusum_threshold(400) < cusum_threshold(2_000) < cusum_threshold(20_000) < 12
 
 
 # Estimates with error bars
@@ -233,67 +237,67 @@
 def test_the_band_of_a_level_holds_the_truth_about_as_often_as_it_says() -> None:
     held = 0
     for seed in range(400):
-        chance, own = Random(seed), Level(SECOND)
+        chance, own = Random(seed), DecayingMean(SECOND)
         for n in range(60):
             own.add(START + n * SECOND // 20, chance.gauss(50, 8))
-        figure = own.figure()
+        figure = own.estimate()
         assert figure is not None
         held += abs(figure.value - 50) <= figure.error
     assert 0.88 < held / 400 <= 1.0
 
 
 def test_a_level_follows_a_step_within_a_few_reports() -> None:
-    own, chance = Level(5 * SECOND), Random(2)
+    own, chance = DecayingMean(5 * SECOND), Random(2)
     for n in range(100):
         own.add(START + n * SECOND // 10, chance.gauss(10, 1))
     for n in range(100, 108):
         own.add(START + n * SECOND // 10, chance.gauss(20, 1))
-    figure = own.figure()
+    figure = own.estimate()
     assert figure is not None and abs(figure.value - 20) < 1.5
 
 
 def test_an_old_report_hardly_moves_a_level() -> None:
-    own = Level(SECOND // 2)
+    own = DecayingMean(SECOND // 2)
     for n in range(30):
         own.add(START + n * 1000, 10.0 + n % 2)
-    before = own.figure()
-    own.add(START + 30_000, 100.0, share=0.5**10, fresh=False)
-    after = own.figure()
+    before = own.estimate()
+    own.add(START + 30_000, 100.0, weight=0.5**10, fresh=False)
+    after = own.estimate()
     assert before is not None and after is not None and abs(after.value - before.value) < 0.2
 
 
 def test_a_share_says_how_little_a_handful_proves() -> None:
-    few, many = Share(SECOND), Share(SECOND)
+    few, many = DecayingProportion(SECOND), DecayingProportion(SECOND)
     few.add(START, 5, 0)
     many.add(START, 5_000, 250)
-    one, two = few.figure(), many.figure()
+    one, two = few.estimate(), many.estimate()
     assert one is not None and two is not None
     assert one.value + one.error > 0.3 and two.value == pytest.approx(0.05) and two.error < 0.01
 
 
 def test_quantiles_are_within_their_bands_and_forget_what_is_old() -> None:
-    chance, own = Random(1), Quantiles(SECOND)
+    chance, own = Random(1), SlidingQuantiles(SECOND)
     for n in range(3_000):
         own.add(START + n, chance.expovariate(1 / 20))
     for quantile, truth in ((0.5, 20 * math.log(2)), (0.9, 20 * math.log(10)), (0.99, 20 * math.log(100))):
-        figure = own.figure(START + 3_000, quantile)
+        figure = own.estimate(START + 3_000, quantile)
         assert figure is not None and abs(figure.value - truth) <= 1.5 * figure.error
     for n in range(500):
         own.add(START + 4 * SECOND + n, 200.0)
-    figure = own.figure(START + 4 * SECOND + 500, 0.5)
-    assert figure is not None and figure.value == pytest.approx(200, rel=0.02) and len(own.parts) <= 4
+    figure = own.estimate(START + 4 * SECOND + 500, 0.5)
+    assert figure is not None and figure.value == pytest.approx(200, rel=0.02) and len(own.sketches) <= 4
 
 
 def test_a_trend_tells_rising_from_falling() -> None:
-    up, down = Trend(SECOND), Trend(SECOND)
+    up, down = LinearTrend(SECOND), LinearTrend(SECOND)
     for n in range(30):
         up.add(START + n * SECOND, 100.0 + 5 * n)
         down.add(START + n * SECOND, 500.0 - 10 * n)
     assert (
         4 < up.slope < 6
         and -11 < down.slope < -9
-        and up.ahead(4 * SECOND) > up.ahead(0)
-        and down.ahead(600 * SECOND) == 0
+        and up.forecast(4 * SECOND) > up.forecast(0)
+        and down.forecast(600 * SECOND) == 0
     )
 
 
@@ -304,7 +308,7 @@
     """Backends of one kind with a true busy share; answers take 20 ms / (1 - busy), with noise."""
 
     def __init__(self, seed: int = 1, count: int = 12) -> None:
-        self.chance, self.truth = Random(seed), Truth()
+        self.chance, self.credibility = Random(seed), CredibilityModel()
         self.true = {f"b{n}": self.chance.uniform(0.3, 0.7) for n in range(count)}
         self.said: dict[str, Any] = {}
         self.flows = dict.fromkeys(self.true, 200.0)
@@ -316,8 +320,8 @@
             word = self.said.get(name, lambda b: b + self.chance.gauss(0, 0.02))(busy)
             mean = 20 / (1 - busy) * math.exp(self.chance.gauss(0, 0.1))
             queue = None if name not in self.said else 1.0
-            heard[name] = Heard("std", word, queue if queue else self.chance.random() * 5, tries, mean)
-        return self.truth.weigh(heard)
+            heard[name] = LoadObservation("std", word, queue if queue else self.chance.random() * 5, tries, mean)
+        return self.credibility.assess(heard)
 
 
 def test_one_that_is_slow_and_says_a_fraction_of_its_load_is_doubted_and_seen_as_it_is() -> None:
@@ -326,19 +330,19 @@
         fleet.step()
     fleet.true["b3"], fleet.said["b3"] = 0.92, lambda b: 0.2 * b + fleet.chance.gauss(0, 0.01)
     for _ in range(4):
-        beliefs = fleet.step()
-    assert beliefs["b3"].trust < 0.2 and beliefs["b3"].busy > 0.75 and "later" in beliefs["b3"].why
-    assert all(each.trust > 0.8 for name, each in beliefs.items() if name != "b3")
+        assessed = fleet.step()
+    assert assessed["b3"].value < 0.2 and assessed["b3"].utilization > 0.75 and "later" in assessed["b3"].doubt.value
+    assert all(each.value > 0.8 for name, each in assessed.items() if name != "b3")
 
 
 def test_one_that_says_full_while_idle_is_doubted_and_comes_back_by_evidence() -> None:
     fleet = Fleet()
     fleet.true["b5"], fleet.said["b5"] = 0.15, lambda _: 0.97 + fleet.chance.gauss(0, 0.005)
     for _ in range(6):
-        beliefs = fleet.step()
-    assert beliefs["b5"].trust < 0.2 and beliefs["b5"].busy < 0.45
+        assessed = fleet.step()
+    assert assessed["b5"].value < 0.2 and assessed["b5"].utilization < 0.45
     del fleet.said["b5"]
-    trusts = [fleet.step()["b5"].trust for _ in range(12)]
+    trusts = [fleet.step()["b5"].value for _ in range(12)]
     assert trusts[0] < 0.7 < trusts[-1]
 
 
@@ -347,19 +351,19 @@
     fleet.said["b2"] = lambda _: 0.41
     for n in range(14):
         fleet.flows["b2"] = 100.0 + 40 * (n % 5)
-        beliefs = fleet.step()
-    assert beliefs["b2"].trust == 0 and "not changed" in beliefs["b2"].why
-    assert beliefs["b2"].busy == pytest.approx(fleet.true["b2"], abs=0.25)
+        assessed = fleet.step()
+    assert assessed["b2"].value == 0 and "not changed" in assessed["b2"].doubt.value
+    assert assessed["b2"].utilization == pytest.approx(fleet.true["b2"], abs=0.25)
     del fleet.said["b2"]
-    assert fleet.step()["b2"].trust > 0.5
+    assert fleet.step()["b2"].value > 0.5
 
 
 def test_a_word_that_does_not_change_because_nothing_does_is_believed() -> None:
     fleet = Fleet()
     fleet.said["b2"] = lambda _: round(fleet.true["b2"], 2)
     for _ in range(14):
-        beliefs = fleet.step()
-    assert beliefs["b2"].trust > 0.8
+        assessed = fleet.step()
+    assert assessed["b2"].value > 0.8
 
 
 def test_honest_fleets_are_seldom_doubted() -> None:
@@ -367,7 +371,7 @@
     for seed in range(20):
         fleet = Fleet(seed)
         for _ in range(50):
-            doubts += sum(each.trust < 0.5 for each in fleet.step().values())
+            doubts += sum(each.value < 0.5 for each in fleet.step().values())
     assert doubts < 0.005 * 20 * 50 * 12
 
 
@@ -379,11 +383,11 @@
 
     def __init__(self, seed: int = 1, count: int = 20, budget: int = 10_000_000) -> None:
         self.chance, self.now, self.budget = Random(seed), START, budget
-        self.decoder, self.view = Decoder(seed), Picture()
+        self.decoder, self.view = ReportDecoder(seed), LoadEstimator()
         self.true = {f"b{n}": self.chance.uniform(0.2, 0.8) for n in range(count)}
         self.clock = {name: self.chance.randint(-100, 100) * SECOND for name in self.true}
         self.boots = dict.fromkeys(self.true, "1")
-        self.view.listed(dict.fromkeys(self.true, "std"))
+        self.view.on_endpoint_list(dict.fromkeys(self.true, "std"))
         self.silent: set[str] = set()
 
     def tick(self, per_body: int = 10) -> None:
@@ -398,7 +402,7 @@
                 for n in range(per_body)
             ]  # fmt: skip
             self.decoder.offer(name, body(*told), self.now)
-        self.view.absorb(self.now, self.decoder.work(self.now, self.budget))
+        self.view.on_reports(self.now, self.decoder.decode(self.now, self.budget))
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds * 10)):
@@ -406,7 +410,7 @@
 
     def error(self) -> float:
         """The mean relative error of busy shares."""
-        off = [abs(self.view.busy(self.now, name) - busy) / busy for name, busy in self.true.items()]  # type: ignore[operator]
+        off = [abs(self.view.utilization(self.now, name) - busy) / busy for name, busy in self.true.items()]  # type: ignore[operator]
         return sum(off) / len(off)
 
 
@@ -414,7 +418,7 @@
     # Its word of the last weighing once stood for what was met: a tenth of the old level for up to a second.
     day = Day()
     day.run(2)
-    day.view.weigh(day.now)
+    day.view.assess_credibility(day.now)
     day.true = dict.fromkeys(day.true, 0.15)
     day.run(0.8)
     assert day.error() < 0.06
@@ -446,14 +450,14 @@
     late = body(*[report("b1", day.now + day.clock["b1"], "1", cpu_utilization=0.99)] * 50)
     day.boots["b1"], day.true["b1"] = "2", 0.1
     day.run(0.5)
-    assert day.view.busy(day.now, "b1") == pytest.approx(0.1, abs=0.05)
+    assert day.view.utilization(day.now, "b1") == pytest.approx(0.1, abs=0.05)
     day.decoder.offer("b1", late, day.now)
     day.run(0.3)
     assert (
-        day.view.busy(day.now, "b1") == pytest.approx(0.1, abs=0.05)
+        day.view.utilization(day.now, "b1") == pytest.approx(0.1, abs=0.05)
         and day.view.counts["reports of earlier lives"] >= 50
     )
-    assert any(notice.what == "restart" and notice.where == "b1" for notice in day.view.notices)
+    assert any(change.signal is LoadSignal.RESTART and change.subject == "b1" for change in day.view.changes)
 
 
 def test_a_flood_on_unknown_ids_is_counted_and_kept_nowhere() -> None:
@@ -462,7 +466,7 @@
         day.decoder.offer(f"x{n % 40}", body(report(f"x{n}", START)), day.now)
         if n % 100 == 0:
             day.tick(1)
-    assert set(day.view.known) <= set(day.true) and day.view.counts["reports on unknown backends"] > 300
+    assert set(day.view.backends) <= set(day.true) and day.view.counts["reports on unknown backends"] > 300
 
 
 def test_a_burst_shorter_than_the_reports_delay_is_seen_with_its_age_and_gone_again() -> None:
@@ -477,7 +481,7 @@
     for each in held:
         day.decoder.offer("b0", each, day.now)
     day.run(0.4)
-    assert day.view.busy(day.now, "b0") == pytest.approx(usual, abs=0.1)
+    assert day.view.utilization(day.now, "b0") == pytest.approx(usual, abs=0.1)
 
 
 def test_a_recovery_while_reports_are_short_is_seen_with_the_first_that_comes() -> None:
@@ -486,33 +490,39 @@
     day.run(4)
     day.silent.add("b0")
     day.run(3)
-    figures = day.view.figures(day.now, "b0")
+    figures = day.view.estimate(day.now, "b0")
     assert figures is not None and figures.age >= 3 * SECOND
     day.run(3)
-    assert day.view.busy(day.now, "b0") is None  # too old to act on
+    assert day.view.utilization(day.now, "b0") is None  # too old to act on
     day.silent.clear()
     day.true["b0"] = 0.2
     day.run(0.3)
-    assert day.view.busy(day.now, "b0") == pytest.approx(0.2, abs=0.12)
+    assert day.view.utilization(day.now, "b0") == pytest.approx(0.2, abs=0.12)
 
 
 def test_what_proxies_meet_is_known_before_a_backend_speaks_and_demand_by_proxy() -> None:
-    view = Picture()
-    view.listed({"b1": "std"})
+    view = LoadEstimator()
+    view.on_endpoint_list({"b1": "std"})
     for n in range(40):
-        view.met(START + n * SECOND, "b1", 100, 10, 25.0, SECOND)
-        view.came(START + n * SECOND, "p1", "read", 50.0 + (200 if n > 35 else 0) + n % 3)
-    figures = view.figures(START + 40 * SECOND, "b1")
-    assert figures is not None and figures.met is not None and figures.met.value == pytest.approx(100, abs=1)
-    assert figures.loss is not None and abs(figures.loss.value - 0.1) <= figures.loss.error
+        view.on_attempts(START + n * SECOND, "b1", 100, 10, 25.0, SECOND)
+        view.on_demand(START + n * SECOND, "p1", "read", 50.0 + (200 if n > 35 else 0) + n % 3)
+    figures = view.estimate(START + 40 * SECOND, "b1")
+    assert (
+        figures is not None
+        and figures.attempt_rate is not None
+        and figures.attempt_rate.value == pytest.approx(100, abs=1)
+    )
+    assert figures.failure_rate is not None and abs(figures.failure_rate.value - 0.1) <= figures.failure_rate.error
     assert any(
-        notice.what == "demand" and notice.where == "p1/read" and notice.way == 1 for notice in view.told_notices()
+        change.signal is LoadSignal.DEMAND and change.subject == "p1/read" and change.shift is Shift.RISE
+        for change in view.drain_changes()
     )
-    view.absorb(
-        START + 40 * SECOND, [Sums("b1", "7", START + 40 * SECOND, 3.0, (3.0, 1.5), (0, 0), (0, 0), (0, 0), ())]
+    view.on_reports(
+        START + 40 * SECOND,
+        [LoadSums("b1", "7", START + 40 * SECOND, 3.0, WeightedSum(3.0, 1.5), NONE, NONE, NONE, ())],
     )
-    assert view.known["b1"].boot == "7" and view.figures(START + 41 * SECOND, "b1").met is not None  # type: ignore[union-attr]
-    view.left("p1")
+    assert view.backends["b1"].incarnation == "7" and view.estimate(START + 41 * SECOND, "b1").attempt_rate is not None  # type: ignore[union-attr]
+    view.on_proxy_left("p1")
     assert not view.demand
 
 
@@ -523,11 +533,13 @@
 @settings(max_examples=60, deadline=None)
 def test_workers_sums_are_the_same_in_any_order_whoever_got_what(rows: list[Any], chance: Any) -> None:
     parts = [
-        Sums(name, "1", at, float(n), (n, n / 2), (0, 0), (n, 3.0 * n), (0, 0), ((float(at), 1.0),))
+        LoadSums(
+            name, "1", at, float(n), WeightedSum(n, n / 2), NONE, WeightedSum(n, 3.0 * n), NONE, ((float(at), 1.0),)
+        )
         for name, at, n in rows
     ]
     shuffled = parts[:]
     chance.shuffle(shuffled)
     place = chance.randint(0, len(shuffled))
-    two = merged([*merged(shuffled[:place]), *merged(shuffled[place:])])
-    assert two == merged(parts)
+    two = merge_load_sums([*merge_load_sums(shuffled[:place]), *merge_load_sums(shuffled[place:])])
+    assert two == merge_load_sums(parts)
--- a/tests/test_reception.py
+++ b/tests/test_reception.py
@@ -15,7 +15,7 @@
 from onyxhead.controller.daemon import Daemon
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Request
-from onyxhead.series.courses import Courses, Unknown
+from onyxhead.series.time_series_store import TimeSeriesStore, UnknownSeriesError
 from onyxhead.trial.run import free_ports
 from tests.test_intake import body, report
 from tests.test_sockets import BACKENDS, Running, list_of, play, port_of, shown, until
@@ -36,7 +36,7 @@
 
 
 def busy(controller: Daemon, backend: str) -> float:
-    return controller.house.picture.busy(controller.clock.now(), backend) or 0.0
+    return controller.house.load_estimator.utilization(controller.clock.now(), backend) or 0.0
 
 
 def test_reports_reach_the_picture_and_a_flood_holds_up_no_withdrawal(tmp_path: Path) -> None:
@@ -87,7 +87,7 @@
 
         await heard(0.8)
         # Whoever got which report, the fleet's one picture has each backend once.
-        assert set(controller.house.picture.known) == {"b1", "b2"}
+        assert set(controller.house.load_estimator.backends) == {"b1", "b2"}
         pids = [int(each) for each in children()]
         assert len(pids) == count
         os.kill(pids[0], signal.SIGKILL)
@@ -106,42 +106,44 @@
 
 
 def test_courses_keep_gaps_as_gaps_and_stay_bounded(tmp_path: Path) -> None:
-    own = Courses(tmp_path / "series", most=3)
+    own = TimeSeriesStore(tmp_path / "series", max_series=3)
     now = time.time() // 10 * 10
     for n in range(30):
         if not 10 <= n < 20:
             own.write(now - 300 + 10 * n, {"busy.b1": 0.5, "flows.p1/read": n})
     found = own.read("flows.p1/read", now - 300, now)
-    figures = [None if each is None else int(each) for each in found["figures"]]
-    assert found["step"] == 10 and figures[8:22].count(None) >= 10 and figures.count(None) <= 12
+    figures = [None if each is None else int(each) for each in found.values]
+    assert found.step == 10 and figures[8:22].count(None) >= 10 and figures.count(None) <= 12
     size = sum(path.stat().st_size for path in (tmp_path / "series").iterdir())
     for n in range(30):
         own.write(now - 300 + 10 * n, {"busy.b1": 0.5, "flows.p1/read": n})
     assert sum(path.stat().st_size for path in (tmp_path / "series").iterdir()) == size
     own.write(now, {f"busy.n{n}": 1.0 for n in range(6)})
-    assert len(own.names()) == 3 and not own.failing
-    with pytest.raises(Unknown):
+    assert len(own.names()) == 3 and not own.last_error
+    with pytest.raises(UnknownSeriesError):
         own.read("no.such", now - 10, now)
 
 
 @pytest.mark.parametrize("name", ["busy.../../etc", "a/b.c d", "busy." + "x" * 500, "busy.\x00", "flows.p1/read"])
 def test_a_courses_name_is_never_a_way_out_of_its_folder(tmp_path: Path, name: str) -> None:
-    own = Courses(tmp_path / "series")
+    own = TimeSeriesStore(tmp_path / "series")
     own.write(time.time(), {name: 1.0})
     assert (
-        not own.failing and len(list((tmp_path / "series").glob("*.wsp"))) == 1 and len(list(tmp_path.iterdir())) == 1
+        not own.last_error
+        and len(list((tmp_path / "series").glob("*.wsp"))) == 1
+        and len(list(tmp_path.iterdir())) == 1
     )
-    assert any(each is not None for each in own.read(name, time.time() - 60, time.time())["figures"])
+    assert any(each is not None for each in own.read(name, time.time() - 60, time.time()).values)
 
 
 def test_a_broken_course_is_put_aside_and_begun_anew(tmp_path: Path) -> None:
-    own = Courses(tmp_path)
+    own = TimeSeriesStore(tmp_path)
     own.write(time.time(), {"busy.b1": 1.0})
     (tmp_path / "busy.b1.wsp").write_bytes(b"\xff" * 10)
     own.write(time.time(), {"busy.b1": 1.0, "busy.b2": 1.0})
-    assert "busy.b1" in own.failing and whisper.info(str(tmp_path / "busy.b2.wsp"))
+    assert "busy.b1" in own.last_error and whisper.info(str(tmp_path / "busy.b2.wsp"))
     own.write(time.time(), {"busy.b1": 1.0})
-    assert not own.failing and list(tmp_path.glob("*.broken"))
+    assert not own.last_error and list(tmp_path.glob("*.broken"))
 
 
 def test_a_burst_of_years_old_reports_is_no_news(tmp_path: Path) -> None:
