--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -54,14 +54,16 @@
                 began = time.perf_counter()
                 change()  # type: ignore[no-untyped-call]
                 await fan.until(lambda: name in house.books.withdrawn)
-                turn = house.brain.turn
+                turn = house.brain.round_number
                 await fan.until(lambda: all(done[0] >= turn for done in list(house.applied.values())))
                 times.append(time.perf_counter() - began)
                 await asyncio.sleep(1.2)
     return {
-        "agents": count, "edits a second, checked": round(per_second),
-        "commit to last swap, ms": quantiles(by_commit), "list file to last swap, ms": quantiles(by_file),
-    }  # fmt: skip
+        "agents": count,
+        "edits a second, checked": round(per_second),
+        "commit to last swap, ms": quantiles(by_commit),
+        "list file to last swap, ms": quantiles(by_file),
+    }
 
 
 def commit(desk: Any, edit: Any) -> None:
--- a/onyxhead/intake/change_detection.py
+++ b/onyxhead/intake/change_detection.py
@@ -62,8 +62,16 @@
     """
 
     __slots__ = (
-        "calibrated", "count", "lower_sum", "mean", "recent", "stable_variance", "threshold", "upper_sum", "variance",
-    )  # fmt: skip
+        "calibrated",
+        "count",
+        "lower_sum",
+        "mean",
+        "recent",
+        "stable_variance",
+        "threshold",
+        "upper_sum",
+        "variance",
+    )
 
     def __init__(self, mean_run_length: float = 2_000.0) -> None:
         self.threshold = cusum_threshold(CALIBRATION_MARGIN * mean_run_length)
--- a/onyxhead/intake/estimators.py
+++ b/onyxhead/intake/estimators.py
@@ -29,8 +29,14 @@
     """A weighted mean whose samples decay with a half-life, and which forgets what was before a shift."""
 
     __slots__ = (
-        "detector", "half_life", "mean", "squared_deviations", "squared_weights", "total_weight", "updated_at",
-    )  # fmt: skip
+        "detector",
+        "half_life",
+        "mean",
+        "squared_deviations",
+        "squared_weights",
+        "total_weight",
+        "updated_at",
+    )
 
     def __init__(self, half_life: int, mean_run_length: float = 2_000.0) -> None:
         self.half_life, self.detector = half_life, CusumDetector(mean_run_length)
--- a/onyxhead/intake/load_sums.py
+++ b/onyxhead/intake/load_sums.py
@@ -51,9 +51,18 @@
     """Sums in the making, for one incarnation."""
 
     __slots__ = (
-        "error_rate", "error_rate_weight", "latencies", "measured_at", "queue", "queue_weight", "reports",
-        "request_rate", "request_rate_weight", "utilization", "utilization_weight",
-    )  # fmt: skip
+        "error_rate",
+        "error_rate_weight",
+        "latencies",
+        "measured_at",
+        "queue",
+        "queue_weight",
+        "reports",
+        "request_rate",
+        "request_rate_weight",
+        "utilization",
+        "utilization_weight",
+    )
 
     def __init__(self, measured_at: int) -> None:
         self.measured_at = measured_at
