--- a/benchmarks/batch.py
+++ b/benchmarks/batch.py
@@ -65,7 +65,7 @@
         times.append(time.perf_counter() - began)
         for sent in work.leaving:
             made.channel.taken(sent.proxy)
-            made.answered(now, sent.proxy, sent.order, sent.order.result.tag, sent.ordered)
+            made.answered(now, sent.proxy, sent.order, sent.order.result.etag, sent.ordered)
     return quantiles(times[100:])
 
 
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -100,7 +100,7 @@
             self.ends.append(here)
             self.processes.append(process)
         house = self.daemon.house
-        await until(lambda: len(house.joined) == self.count and all(house.books.bound(n) for n in house.joined))
+        await until(lambda: len(house.joined) == self.count and all(house.books.tables_of(n) for n in house.joined))
         await asyncio.sleep(2.0)
         for place in range(SENDERS if self.rate else 0):
             here, there = context.Pipe()
--- a/benchmarks/swaps.py
+++ b/benchmarks/swaps.py
@@ -13,7 +13,7 @@
 from onyxhead.agent.keeper import Keeper, Taken, state_of
 from onyxhead.http.messages import JSON, MERGE_PATCH, STREAM, Request, content_digest
 from onyxhead.settings.load import Agent, Log, Route
-from onyxhead.tables.view import View, canonical
+from onyxhead.tables.view import View, canonical_json
 
 ROUTES = (Route("read", "/r", 0.5, 1), Route("write", "/w", 1.0, 0))
 
@@ -32,7 +32,7 @@
         leaves: dict[Any, Any] = {("bindings", route.group): "1.0" for route in ROUTES}
         for number in range(backends):
             leaves["tables", "1.0", "lines", f"b{number}"] = line(number, 1000)
-        apply(tree, keeper, View.of(leaves).document(), whole=True)
+        apply(tree, keeper, View.from_entries(leaves).to_document(), whole=True)
         ours, bare = [], []
         for turn in range(rounds):
             base = turn * 1000
@@ -54,9 +54,9 @@
 
 
 def apply(tree: Tree, keeper: Keeper, document: Any, whole: bool) -> None:
-    body = canonical(document)
+    body = canonical_json(document)
     headers = {
-        STREAM: "s", "if-match": keeper.view.tag, "content-digest": content_digest(body),
+        STREAM: "s", "if-match": keeper.view.etag, "content-digest": content_digest(body),
         "content-type": JSON if whole else MERGE_PATCH,
     }  # fmt: skip
     taken = keeper.take(Request("PUT" if whole else "PATCH", "/v1/view", headers, body))
--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -23,10 +23,10 @@
 
 def per_line(backends: int) -> float:
     """Microseconds for one changed line of a view, digest and all."""
-    view = View.of({("tables", "t0", "lines", f"b{n}"): line(n, 1) for n in range(backends)})
+    view = View.from_entries({("tables", "t0", "lines", f"b{n}"): line(n, 1) for n in range(backends)})
     began = time.perf_counter()
     for step in range(2000):
-        view = view.set(("tables", "t0", "lines", f"b{step % backends}"), line(step % backends, step + 2))
+        view = view.with_entry(("tables", "t0", "lines", f"b{step % backends}"), line(step % backends, step + 2))
     return (time.perf_counter() - began) / 2000 * 1e6
 
 
@@ -48,7 +48,7 @@
     store = Store(folder / "store")
     began = time.perf_counter()
     for number in range(2000):
-        store.version(number + 1, 1, number, "x", [[0, f"b{number % 82}", number + 1]])
+        store.append_version(number + 1, 1, number, "x", [[0, f"b{number % 82}", number + 1]])
     store.close()
     found = {"store": 2000 / (time.perf_counter() - began)}
     for name, batch in (("bare, flush each", 1), ("bare, flush a hundred", 100)):
@@ -68,12 +68,12 @@
     """Milliseconds from opening a store of a thousand versions to the first step at 143 x 82; and the bare read."""
     store = Store(folder / "again")
     for number in range(1000):
-        store.version(number + 1, 1, number, "x", [[0, f"b{number % 82}", number + 1]])
+        store.append_version(number + 1, 1, number, "x", [[0, f"b{number % 82}", number + 1]])
     store.close()
     began = time.perf_counter()
     again = Store(folder / "again")
     history = History()
-    rows = again.versions()
+    rows = again.load_versions()
     history.restore((n, e, at, c, {(t, b): p for t, b, p in changes}) for n, e, at, c, changes in rows)
     made, _, _ = house(143, 82)
     made.act(10**9 + 10_000)
--- a/onyxhead/agent/daemon.py
+++ b/onyxhead/agent/daemon.py
@@ -19,7 +19,7 @@
 from onyxhead.agent import counters
 from onyxhead.agent.keeper import Keeper, Taken, Torn, read_state, state_of
 from onyxhead.agent.swap import NotSwapped, clear, swap
-from onyxhead.fleet.dial import Dialer
+from onyxhead.fleet.controller_selector import ControllerSelector
 from onyxhead.fronts.files import envoy, nginx
 from onyxhead.fronts.files.push import VIEW
 from onyxhead.http.client import Connection, ask_once
@@ -103,7 +103,7 @@
         self.settings = settings
         self.tree = Tree(settings)
         self.keys = Keys(settings.tls) if settings.tls is not None else None
-        standing = View.of({("standing", name): line for name, line in settings.standing.items()})
+        standing = View.from_entries({("standing", name): line for name, line in settings.standing.items()})
         held = self.tree.load()
         self.keeper = Keeper(standing, 0) if held is None else Keeper(*held)
         self.boot = secrets.token_hex(6)
@@ -121,13 +121,13 @@
     async def run(self) -> None:
         """Serves until told to end. Raises OSError if the address or the folders can't be had."""
         # A crash may have come between the state and the files; they are made again from the state.
-        await asyncio.to_thread(self.tree.put, self.keeper.view, self.keeper.fence.held)
+        await asyncio.to_thread(self.tree.put, self.keeper.view, self.keeper.fence.current)
         host, port = await self.server.start(*self.settings.listen, self.keys.server if self.keys else None)
         self.push = self.settings.advertise or (host, port)
         loop = asyncio.get_running_loop()
         for name in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(name, self.over.set)
-        log.info("serving", name=self.settings.name, host=host, port=port, tag=self.keeper.view.tag)
+        log.info("serving", name=self.settings.name, host=host, port=port, tag=self.keeper.view.etag)
         tasks = [asyncio.create_task(self._stay_joined()), asyncio.create_task(self._ended())]
         if self.settings.stats is not None:
             tasks.append(asyncio.create_task(self._report(self.settings.stats)))
@@ -177,7 +177,7 @@
                     if (refused := self.keeper.fenced(request)) is not None:
                         return refused
                     return self.keeper.shown()
-                return answer(200, self.keeper.view.document(), etag=self.keeper.view.tag)
+                return answer(200, self.keeper.view.to_document(), etag=self.keeper.view.etag)
             case (("PUT" | "PATCH"), target) if target == VIEW:
                 self._own(request, writer)
                 # One order at a time: the base of the next is what this one leaves.
@@ -201,7 +201,7 @@
             log.warning("order refused", status=taken.status, method=request.method)
             return taken
         try:
-            await asyncio.to_thread(self.tree.put, taken.view, self.keeper.fence.held)
+            await asyncio.to_thread(self.tree.put, taken.view, self.keeper.fence.current)
         except OSError as error:
             log.error("not swapped", why=str(error))
             full = error.errno in (errno.ENOSPC, errno.EDQUOT)
@@ -211,7 +211,7 @@
             return problem(507 if full else 500, f"not swapped: {error}")
         self.swaps += 1
         response = self.keeper.applied(taken)
-        log.info("applied", turn=taken.turn, tag=taken.view.tag, method=request.method)
+        log.info("applied", turn=taken.turn, tag=taken.view.etag, method=request.method)
         self._reload()
         return response
 
@@ -230,13 +230,13 @@
             "controller": "{}:{}".format(*self.controller) if self.controller else None,
             "heard_s_ago": age,
             "turn": self.keeper.turn,
-            "tag": self.keeper.view.tag,
+            "tag": self.keeper.view.etag,
             "swaps": self.swaps,
             "files": self._files_tag(),
             "lines": {
                 route.group: len(envoy.lines_of(self.keeper.view, route.group)) for route in self.settings.routes
             },
-            "withdrawn": sorted(self.keeper.view.kind("withdrawn")),
+            "withdrawn": sorted(self.keeper.view.children("withdrawn")),
         }
 
     def _files_tag(self) -> str | None:
@@ -253,38 +253,38 @@
             self.lost.set()
 
     async def _stay_joined(self) -> None:
-        dialer = Dialer(len(self.settings.controllers))
+        dialer = ControllerSelector(len(self.settings.controllers))
         while True:
-            dial = dialer.next()
-            await asyncio.sleep(dial.pause * self.settings.redial * self.chance.uniform(0.5, 1.5))
-            address = self.settings.controllers[dial.place]
+            dial = dialer.next_attempt()
+            await asyncio.sleep(dial.backoff_factor * self.settings.redial * self.chance.uniform(0.5, 1.5))
+            address = self.settings.controllers[dial.position]
             try:
                 # What a stream brings waits until it is known which one holds: it may be quicker than the disk.
                 async with self.joining:
                     told = await self._join(address, dial.insist)
             except SentOn as better:
-                dialer.sent_on(better.name, better.to)
+                dialer.on_redirected(better.name, better.to)
             except Exception as error:  # whatever a controller answers, the agent goes on and asks the next
                 log.info("not joined", controller=address, why=str(error) or type(error).__name__)
-                dialer.failed()
+                dialer.on_failed()
             else:
-                dialer.taken(told)
+                dialer.on_accepted(told)
                 self.controller = address
-                log.info("joined", controller=told, token=self.keeper.fence.held)
+                log.info("joined", controller=told, token=self.keeper.fence.current)
                 await self._until_lost()
                 log.info("stream lost", controller=told)
                 self.controller = None
-                dialer.lost()
+                dialer.on_disconnected()
                 await asyncio.sleep(self.settings.redial * self.chance.uniform(0.2, 1.0))
 
     async def _join(self, address: Address, insist: bool) -> str:
-        """The name of the controller that took it. Raises SentOn, Fenced, OSError and what else may fail."""
+        """The name of the controller that took it. Raises SentOn, StaleTokenError, OSError and what else may fail."""
         view = self.keeper.view
         body = {
             "zone": self.settings.zone, "usual": self.settings.usual,
-            "standing": not any(path[0] == "bindings" for path in view.leaves),
-            "held": view.document(), "push": "{}:{}".format(*self.push),
-            "token": self.keeper.fence.held, "insist": insist,
+            "standing": not any(path[0] == "bindings" for path in view.entries),
+            "held": view.to_document(), "push": "{}:{}".format(*self.push),
+            "token": self.keeper.fence.current, "insist": insist,
             "silence": self.settings.silence,
         }  # fmt: skip
         request = answer(200, body)
@@ -304,7 +304,7 @@
         told = response.json()
         stream, self.report_every = str(told["stream"]), float(told["report_every"])
         # On disk before it counts: an older controller must be refused also after a restart.
-        self.keeper.fence.raise_to(told["token"])
+        self.keeper.fence.advance(told["token"])
         await asyncio.to_thread(self.tree.keep, view, told["token"])
         self.lost.clear()
         self.heard, self.writer = time.monotonic(), None
--- a/onyxhead/agent/keeper.py
+++ b/onyxhead/agent/keeper.py
@@ -5,7 +5,7 @@
 import json
 from typing import NamedTuple
 
-from onyxhead.fleet.fence import Fence, Fenced
+from onyxhead.fleet.fencing import FencingTokenGuard, StaleTokenError
 from onyxhead.http.messages import (
     JSON,
     MERGE_PATCH,
@@ -19,7 +19,8 @@
     problem,
     read_order,
 )
-from onyxhead.tables.view import Malformed, View, read_patch
+from onyxhead.tables.errors import MalformedViewError
+from onyxhead.tables.view import View, parse_merge_patch
 
 
 class Taken(NamedTuple):
@@ -37,7 +38,7 @@
     """The agent's memory. `view` is what the proxy's files say, or are about to say after a crash."""
 
     def __init__(self, view: View, token: int = 0) -> None:
-        self.view, self.fence = view, Fence(token)
+        self.view, self.fence = view, FencingTokenGuard(token)
         self.stream = ""
         self.turn = 0
 
@@ -59,22 +60,26 @@
         base = request.headers.get("if-match", "")
         if not base:
             return problem(428, "If-Match is wanted")
-        if base != self.view.tag:
+        if base != self.view.etag:
             refused = problem(412, "another view is held")
-            return refused._replace(headers=refused.headers | {"etag": self.view.tag})
+            return refused._replace(headers=refused.headers | {"etag": self.view.etag})
         form = request.headers.get("content-type", "")
         if form != (JSON if request.method == "PUT" else MERGE_PATCH):
             refused = problem(415, f"{request.method} of {form or 'nothing named'} is not taken")
             return refused._replace(headers=refused.headers | {"accept-patch": MERGE_PATCH})
         try:
             document = request.json()
-            view = View.read(document) if request.method == "PUT" else self.view.apply(read_patch(document))
-        except Malformed as error:
+            view = (
+                View.from_document(document)
+                if request.method == "PUT"
+                else self.view.apply(parse_merge_patch(document))
+            )
+        except MalformedViewError as error:
             return problem(422, str(error))
         except ValueError as error:
             return problem(400, f"not JSON: {error}")
-        if (wanted := request.headers.get(RESULT, view.tag)) != view.tag:
-            return problem(422, f"the change leads to {view.tag}, not to {wanted}")
+        if (wanted := request.headers.get(RESULT, view.etag)) != view.etag:
+            return problem(422, f"the change leads to {view.etag}, not to {wanted}")
         return Taken(view, read_order(request.headers.get(ORDER, "")).get("turn", 0))
 
     def fenced(self, request: Request) -> Response | None:
@@ -82,9 +87,9 @@
         told = request.headers.get(TOKEN, "0")
         try:
             self.fence.check(int(told) if told.isascii() and told.isdigit() else -1)
-        except Fenced as error:
+        except StaleTokenError as error:
             refused = problem(409, str(error))
-            return refused._replace(headers=refused.headers | {TOKEN: str(error.held)})
+            return refused._replace(headers=refused.headers | {TOKEN: str(error.current)})
         return None
 
     def applied(self, taken: Taken) -> Response:
@@ -93,11 +98,11 @@
         return self.shown(204)
 
     def shown(self, status: int = 200) -> Response:
-        return Response(status, {"etag": self.view.tag, "onyxhead-applied": str(self.turn)})
+        return Response(status, {"etag": self.view.etag, "onyxhead-applied": str(self.turn)})
 
 
 def state_of(view: View, token: int = 0) -> bytes:
-    state = {"tag": view.tag, "token": token, "view": view.document()}
+    state = {"tag": view.etag, "token": token, "view": view.to_document()}
     return json.dumps(state, separators=(",", ":")).encode() + b"\n"
 
 
@@ -105,8 +110,8 @@
     """View and fencing token of a state file. Raises Torn for one that is not whole: it is never used in part."""
     try:
         given = json.loads(body)
-        view, token = View.read(given["view"]), given.get("token", 0)
-        if given["tag"] != view.tag or type(token) is not int or token < 0:
+        view, token = View.from_document(given["view"]), given.get("token", 0)
+        if given["tag"] != view.etag or type(token) is not int or token < 0:
             raise Torn("its tag does not fit its content")
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         raise Torn(str(error)) from None
--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -22,7 +22,8 @@
 from onyxhead.http.messages import Fault, Request
 from onyxhead.records.syntax import Faulty
 from onyxhead.settings import load
-from onyxhead.tables.view import Malformed, address_parts
+from onyxhead.tables.addresses import parse_address
+from onyxhead.tables.errors import MalformedViewError
 
 REFUSED, FAULTY, UNKNOWN = 1, 2, 3
 TIMEOUT = 3.0
@@ -95,9 +96,9 @@
     """Run a controller."""
     from onyxhead.controller.daemon import Daemon
     from onyxhead.keys.rotate import Unusable as BadKeys
-    from onyxhead.store.store import Unusable
+    from onyxhead.store.errors import StoreUnavailableError
 
-    run_daemon(settings, load.Controller, "an agent's", Daemon, (Unusable, BadKeys))
+    run_daemon(settings, load.Controller, "an agent's", Daemon, (StoreUnavailableError, BadKeys))
 
 
 @main.command()
@@ -543,10 +544,10 @@
     try:
         if fleet_file is not None:
             controllers, agents = load.operators(fleet_file)
-        controllers |= {address: address_parts(address) for address in addresses}
+        controllers |= {address: parse_address(address) for address in addresses}
     except Faulty as error:
         stop(FAULTY, *error.faults)
-    except Malformed as error:
+    except MalformedViewError as error:
         stop(FAULTY, error)
     if not controllers:
         stop(FAULTY, "nobody to ask: --at or --fleet is wanted")
@@ -733,7 +734,8 @@
     from onyxhead.incident import timeline
     from onyxhead.incident.page import page
     from onyxhead.series.courses import Courses, Unknown
-    from onyxhead.store.store import Unusable, recorded
+    from onyxhead.store.errors import StoreUnavailableError
+    from onyxhead.store.store import recorded
 
     def moment(text: str, end: float) -> float:
         try:
@@ -751,7 +753,7 @@
             stop(FAULTY, f"{folder}: no controller's state is there")
         try:
             told = recorded(folder / "onyxhead.db", folder.name, begin, end)
-        except Unusable as error:
+        except StoreUnavailableError as error:
             stop(REFUSED, error)
         lives = tuple(timeline.Life(*row) for row in told["lives"])
         rows = tuple(told["orders"]), tuple(told["lists"]), tuple(told["audit"])
@@ -916,11 +918,11 @@
     tls = identity_tls(identity)
     try:
         request = Request("GET", target) if given is None else Request("POST", target, {}, json.dumps(given).encode())
-        response = asyncio.run(ask_once(address_parts(address), request, TIMEOUT, tls))
+        response = asyncio.run(ask_once(parse_address(address), request, TIMEOUT, tls))
         if response.status != 200:
             stop(REFUSED, f"{address}: {response.status} {response.body.decode(errors='replace').strip()}")
         return response.json()
-    except Malformed as error:
+    except MalformedViewError as error:
         stop(FAULTY, error)
     except (OSError, Fault, TimeoutError, ValueError) as error:
         stop(UNKNOWN, f"{address}: no answer: {error or 'in time'}")
--- a/onyxhead/controller/alliance.py
+++ b/onyxhead/controller/alliance.py
@@ -10,15 +10,15 @@
 
 import structlog
 
-from onyxhead.fleet import budget as loans
-from onyxhead.fleet.coalition import Coalition, News
-from onyxhead.fleet.membership import Membership, Odd, Packet, read
-from onyxhead.fleet.serving import Member
+from onyxhead.fleet import slow_start_budget as loans
+from onyxhead.fleet.assignment import Member
+from onyxhead.fleet.membership import MalformedPacketError, Membership, Packet, read
+from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Fault, Request, Response, answer, problem
 from onyxhead.settings.load import Fellow, Fleet
-from onyxhead.store.store import Unusable
-from onyxhead.tables.view import address_parts
+from onyxhead.store.errors import StoreUnavailableError
+from onyxhead.tables.addresses import parse_address
 
 if TYPE_CHECKING:
     from onyxhead.controller.daemon import Daemon
@@ -42,25 +42,25 @@
             settings.period, settings.timeout, settings.suspicion,
         )  # fmt: skip
         members = {name: Member(name, each.zone, each.pace) for name, each in settings.members.items()}
-        self.coalition = Coalition(membership, members, now, settings.settle)
+        self.coalition = OwnershipCoordinator(membership, members, now, settings.settle)
         self.odd: set[str] = set()
         # A disk that knows of an earlier life would know its loans; an empty one proves nothing.
-        kept = daemon.store.kept(LOANS) or ([] if daemon.house.epoch > 1 else None)
-        self.budget = loans.Budget(daemon.settings.name, now, kept, lambda made: daemon.store.keep(LOANS, made))
+        kept = daemon.store.get(LOANS) or ([] if daemon.house.epoch > 1 else None)
+        self.budget = loans.SlowStartBudget(daemon.settings.name, now, kept, lambda made: daemon.store.put(LOANS, made))
         self.lend_at = now
-        for name, each in (daemon.store.kept(KEPT) or {}).items():
+        for name, each in (daemon.store.get(KEPT) or {}).items():
             self._put(name, each, now)
 
     def _put(self, name: str, given: dict[str, Any] | None, now: int) -> None:
-        """Adds, changes or (with None) removes a member. Raises ValueError, KeyError, Malformed for what is none."""
+        """Adds, changes or (with None) removes a member. Raises ValueError, KeyError for what is none."""
         coalition, members = self.coalition, self.settings.members
         if given is None:
             members.pop(name, None)
             coalition.members.pop(name, None)
-            coalition.news.pop(name, None)
+            coalition.peer_reports.pop(name, None)
             coalition.membership.remove(name)
             return
-        fellow = Fellow(address_parts(given["address"]), str(given["zone"]), float(given["pace"]))
+        fellow = Fellow(parse_address(given["address"]), str(given["zone"]), float(given["pace"]))
         if not name or not 0 < fellow.pace < 1e9:
             raise ValueError("name or pace out of range")
         members[name] = fellow
@@ -72,7 +72,7 @@
         return {known.name: house.zones[known.zone] for known in house.joined.values()}
 
     def better(self, proxy: str, zone: str) -> str | None:
-        return self.coalition.better(proxy, zone, self.own(), self.daemon.clock.now())
+        return self.coalition.better_owner(proxy, zone, self.own(), self.daemon.clock.now())
 
     # Carrying
 
@@ -81,13 +81,15 @@
             now = self.daemon.clock.now()
             for packet in self.coalition.membership.tick(now):
                 self.daemon.start(self._send(packet), vital=False)
-            for said in self.coalition.look(now):
-                log.info("fleet", said=said, alive=self.coalition.seen)
+            for said in self.coalition.observe_membership(now):
+                log.info("fleet", said=said, alive=self.coalition.alive)
                 self._renew(now)
-                for name in [name for name in self.budget.lacks if name not in self.coalition.seen]:
-                    self.budget.gone(name)
+                for name in [name for name in self.budget.shortfalls if name not in self.coalition.alive]:
+                    self.budget.on_member_left(name)
             self._share(now)
-            if (move := self.coalition.move(self.own(), now, round(2 * self.daemon.join_time() * TENTHS))) is not None:
+            if (
+                move := self.coalition.next_handover(self.own(), now, round(2 * self.daemon.join_time() * TENTHS))
+            ) is not None:
                 proxy, to = move
                 log.info("handed over", proxy=proxy, to=to)
                 self.daemon.end_stream(proxy, f"handed over to {to}")
@@ -99,16 +101,16 @@
         self.lend_at = now + LEND_EVERY
         try:
             made = self.daemon.house.shared(now, self.budget)
-        except Unusable as error:
+        except StoreUnavailableError as error:
             log.warning("nothing is lent", why=str(error))
             return
         for loan in made:
-            log.info("lent", to=loan.borrower, backend=loan.life.backend, flows=loan.amount, number=loan.number)
+            log.info("lent", to=loan.borrower, backend=loan.incarnation.backend, flows=loan.amount, number=loan.number)
 
     def _renew(self, now: int) -> None:
         """What members kept withdrawn and no list names any more is kept withdrawn here too."""
         grace = self.daemon.house.start.safety.drain_grace
-        self.daemon.house.withdrawn_before(now, sorted(self.coalition.withdrawn_elsewhere(now, 10 * grace)))
+        self.daemon.house.withdrawn_before(now, sorted(self.coalition.withdrawn_by_peers(now, 10 * grace)))
 
     async def _send(self, packet: Packet) -> None:
         member = self.settings.members.get(packet.to)
@@ -135,10 +137,10 @@
         if isinstance(news, dict):
             proxies = {str(name): str(zone) for name, zone in dict(news.get("proxies", {})).items()}
             withdrawn = tuple(map(str, news.get("withdrawn", ())))
-            self.coalition.told(sender, News(proxies, withdrawn, int(news.get("list") or 0), now))
+            self.coalition.on_peer_report(sender, PeerReport(proxies, withdrawn, int(news.get("list") or 0), now))
             # A member of an older program says nothing of budgets; nothing is lent to it.
-            if sender in self.coalition.seen and sender != self.coalition.own and "budget" in news:
-                self.budget.told(sender, loans.read(news["budget"]))
+            if sender in self.coalition.alive and sender != self.coalition.own_name and "budget" in news:
+                self.budget.on_report(sender, loans.parse_report(news["budget"]))
         return replies
 
     def heard(self, request: Request) -> Response:
@@ -147,7 +149,7 @@
             given = request.json()
             sender = str(given["packet"]["sender"])
             replies = self._take([given["packet"]], given.get("news"), sender)
-        except Odd as error:
+        except MalformedPacketError as error:
             if str(error) not in self.odd and len(self.odd) < 100:
                 self.odd.add(str(error))
                 log.warning("fleet", refused=str(error))
@@ -165,7 +167,7 @@
         house = self.daemon.house
         return {
             "proxies": self.own(), "withdrawn": sorted(house.books.withdrawn), "list": last.version if last else 0,
-            "budget": self.budget.word().plain(),
+            "budget": self.budget.report().plain(),
         }  # fmt: skip
 
     # What operators ask
@@ -180,26 +182,26 @@
             proxy, to = str(given.get("proxy")), str(given.get("to"))
             if to not in coalition.serving():
                 return problem(409, f"{to} is not known to serve now")
-            coalition.pinned[proxy] = to
+            coalition.sticky[proxy] = to
             return answer(200, {"proxy": proxy, "to": to, "here": proxy in self.own()})
         if what == "members":
             name, each = str(given.get("name")), given.get("member")
-            if name == coalition.own and each is None:
+            if name == coalition.own_name and each is None:
                 return problem(409, "a controller leaves by handover, not by removing itself")
             try:
                 self._put(name, each, now)
             except (ValueError, KeyError, TypeError) as error:
                 return problem(422, f"not a member: {error}")
             # Over the settings, and on disk before it is answered.
-            kept = self.daemon.store.kept(KEPT) or {}
-            self.daemon.store.keep(KEPT, kept | {name: each})
+            kept = self.daemon.store.get(KEPT) or {}
+            self.daemon.store.put(KEPT, kept | {name: each})
             log.info("fleet", said=f"{name} {'removed' if each is None else 'put in'} by command")
             return answer(200, {"members": sorted(self.settings.members)})
         if what == "who":
             proxy = str(given.get("proxy"))
             # A member that is gone serves nobody, whatever it said last; of the others the newest word counts.
-            heard = sorted(coalition.news.items(), key=lambda item: -item[1].at)
-            told: list[str | None] = [n for n, news in heard if n in coalition.seen and proxy in news.proxies]
-            found = coalition.own if proxy in self.own() else (told or [None])[0]
+            heard = sorted(coalition.peer_reports.items(), key=lambda item: -item[1].received_at)
+            told: list[str | None] = [n for n, news in heard if n in coalition.alive and proxy in news.proxies]
+            found = coalition.own_name if proxy in self.own() else (told or [None])[0]
             return answer(200, {"proxy": proxy, "served_by": found})
-        return answer(200, coalition.state(now) | {"budget": self.budget.state()})
+        return answer(200, coalition.state(now) | {"budget": self.budget.status()})
--- a/onyxhead/controller/daemon.py
+++ b/onyxhead/controller/daemon.py
@@ -26,7 +26,7 @@
 from onyxhead.controller.house import House, Joining, Work
 from onyxhead.controller.probe import look
 from onyxhead.controller.reception import Reception
-from onyxhead.fleet.fence import Fenced, next_token
+from onyxhead.fleet.fencing import StaleTokenError, next_token
 from onyxhead.fronts.files.push import Encoder, Refused, Stream
 from onyxhead.http.messages import Request, Response, answer, problem
 from onyxhead.http.server import Server
@@ -37,11 +37,14 @@
 from onyxhead.series.courses import Courses
 from onyxhead.series.courses import Unknown as Missing
 from onyxhead.settings.load import Controller
-from onyxhead.store.store import Store, Unusable
-from onyxhead.tables.history import History, Unknown
-from onyxhead.tables.history import Refused as Impossible
-from onyxhead.tables.orders import Message, fold
-from onyxhead.tables.view import Malformed, View, address_parts
+from onyxhead.store.errors import StoreUnavailableError
+from onyxhead.store.store import Store
+from onyxhead.tables.addresses import parse_address
+from onyxhead.tables.errors import MalformedViewError, UnknownVersionError
+from onyxhead.tables.errors import RollbackRejectedError as Impossible
+from onyxhead.tables.history import History
+from onyxhead.tables.updates import ProxyUpdate, coalesce
+from onyxhead.tables.view import View
 
 SHORTEST_STEP = 0.004
 """Seconds between two steps, so that what comes in together is decided together."""
@@ -64,7 +67,7 @@
 
     token: str
     task: asyncio.Task[None]
-    orders: asyncio.Queue[tuple[Message, int]]
+    orders: asyncio.Queue[tuple[ProxyUpdate, int]]
     generation: int = 0
 
 
@@ -73,7 +76,7 @@
         self.settings = settings
         self.clock = Clock(time.time, time.monotonic)
         self.store = Store(settings.state)
-        known = self.store.remembered
+        known = self.store.recovered
         self.keys = Keys(settings.tls) if settings.tls is not None else None
         self.raw: roster.Roster | None = None
         self.tree: Tree = {}
@@ -87,12 +90,12 @@
             self.desk = open_desk(self)
             self.tree = self.desk.stores.running
             start = deployment(self.tree, settings)
-        self.standing = Standing(self.store.kept(STANDING))
+        self.standing = Standing(self.store.get(STANDING))
         history = History()
-        rows = self.store.versions()
+        rows = self.store.load_versions()
         history.restore((n, epoch, at, cause, _changes(changes)) for n, epoch, at, cause, changes in rows)
-        history.labels = {k: v for k, v in (self.store.kept(LABELS) or {}).items() if v in history.versions}
-        self.house = self._house(start, known.epoch, known.numbers, history)
+        history.labels = {k: v for k, v in (self.store.get(LABELS) or {}).items() if v in history.versions}
+        self.house = self._house(start, known.epoch, known.proxy_numbers, history)
         self.follower = roster.Follower(settings.zones, self.clock.of_wall, self.clock.now)
         self.encoder = Encoder()
         self.lines: dict[int, Line] = {}
@@ -116,27 +119,27 @@
     # Starting and ending
 
     def _remember(self) -> None:
-        known, now = self.store.remembered, self.clock.now()
-        for note in self.store.notes:
+        known, now = self.store.recovered, self.clock.now()
+        for note in self.store.warnings:
             log.warning("store", note=note)
-        if known.list_body is None:
+        if known.endpoint_list is None:
             log.info("starting with no list", epoch=known.epoch)
             return
-        age = time.time() - known.heard
+        age = time.time() - known.list_received_at
         if not 0 <= age <= self.settings.list_good_for:
             # A wall set back makes an old list look fresh or from the future; neither can be trusted.
             log.warning("the remembered list is not used", age_s=round(age), good_for_s=self.settings.list_good_for)
             return
         try:
-            self.raw = roster.read(known.list_body)
+            self.raw = roster.read(known.endpoint_list)
             news = self.follower.remember(self._as_ordered(self.raw))
         except roster.Unlisted as error:
             log.warning("the remembered list is not used", why=str(error))
             return
         self.house.list_heard(now, news)
-        self.list_heard_at = known.heard
+        self.list_heard_at = known.list_received_at
         grace = self.settings.start.safety.drain_grace / TENTHS
-        recent = [b for b, at in known.withdrawn.items() if time.time() - at < max(60.0, 10 * grace)]
+        recent = [b for b, at in known.withdrawn_at.items() if time.time() - at < max(60.0, 10 * grace)]
         self.house.withdrawn_before(now, sorted(recent))
         log.info(
             "remembered",
@@ -221,12 +224,12 @@
             told = [_told(decision) for decision in step.decisions]
             told = [each for each in told if each]
             log.info("orders", turn=step.turn, causes=step.causes, orders=told)
-            self.store.ordered(self.house.epoch, step.turn, step.causes, told)
+            self.store.append_decisions(self.house.epoch, step.turn, step.causes, told)
             if self.desk is not None:
                 self.desk.tell("orders-sent", {"turn": step.turn, "cause": step.causes})
             for decision in step.decisions:
                 if isinstance(decision, Withdrawal):
-                    self.store.withdrew(decision.backend, decision.withdrawn)
+                    self.store.save_withdrawal(decision.backend, decision.withdrawn)
         self._keep_versions()
         for cut in work.cuts:
             log.warning("stream given up", proxy=cut.name, why=cut.why)
@@ -243,7 +246,7 @@
         fresh, self.house.fresh_versions = self.house.fresh_versions, []
         for version, changes in fresh:
             rows = [[table, backend, parts] for (table, backend), parts in sorted(changes.items())]
-            self.store.version(version.number, version.epoch, version.at, version.cause, rows)
+            self.store.append_version(version.number, version.epoch, version.created_at, version.cause, rows)
 
     async def _probe(self, backend: str, address: str) -> None:
         async with self.probing:
@@ -284,7 +287,7 @@
             last, self.list_heard_at, self.raw = "", time.time(), read
             if news is not None:
                 self._listed(news)
-                self.store.heard_list(read.version, read.body())
+                self.store.save_endpoint_list(read.version, read.body())
 
     def _listed(self, news: roster.Followed) -> None:
         for note in news.notes:
@@ -335,16 +338,16 @@
             told = trial.run(command, self.tree or tree_of(self.settings), backends, self.facts())
             if not command.dry_run and not told.get("again"):
                 # On disk before it acts and before it is answered: the next life then knows the command, or never will.
-                self.store.keep(STANDING, trial.plain())
+                self.store.put(STANDING, trial.plain())
         except Odd as error:
             return problem(409, str(error))
-        except Unusable as error:
+        except StoreUnavailableError as error:
             return problem(503, f"not written: {error}")
         if not command.dry_run and not told.get("again"):
             self.standing = trial
             said = {name: told[name] for name in ("asked", "status", "why")}
             log.info("operator", id=command.id, by=command.by, **said)
-            self.store.audited(command.by, 0, f"{command.verb} {' '.join(command.names)}", told["status"])
+            self.store.append_audit_entry(command.by, 0, f"{command.verb} {' '.join(command.names)}", told["status"])
             self.list_again()
         return answer(200, told)
 
@@ -353,10 +356,11 @@
         house = self.house
         behind = sorted(
             known.name for number, known in house.joined.items()
-            if (view := house.books.views.get(number)) is not None and house.applied.get(number, (0, ""))[1] != view.tag
+            if (view := house.books.views.get(number)) is not None
+            and house.applied.get(number, (0, ""))[1] != view.etag
         )  # fmt: skip
         backends = {}
-        for name in selected(names, [Backend(b, p.zone, "") for b, p in house.books.places.items()]):
+        for name in selected(names, [Backend(b, p.zone, "") for b, p in house.books.addresses.items()]):
             entry = house.listed.get(name)
             out = name in house.books.withdrawn or not any(name in lines for lines in house.books.tables.values())
             backends[name] = {"ready": bool(entry and entry.ready), "out": out}
@@ -365,7 +369,7 @@
     def rebuild(self, start: Deployment) -> None:
         """A new start of the module under other settings. Proxies keep their tables and join again, as after a crash:
         their full tables are then paced like any others."""
-        epoch = self.store.next_epoch()
+        epoch = self.store.begin_epoch()
         for line in self.lines.values():
             line.task.cancel()
         self.lines.clear()
@@ -381,7 +385,7 @@
 
     async def _beating(self) -> None:
         while True:
-            self.store.beat(self.house.epoch)
+            self.store.record_heartbeat(self.house.epoch)
             await asyncio.sleep(BEAT)
 
     async def _confirming(self, desk: Desk) -> None:
@@ -438,14 +442,14 @@
             tag = await stream.open(self.keys.client if self.keys is not None else None)
             if self.keys is not None and stream.peer != Peer("agent", who.name):
                 raise Refused(f"its certificate is of {stream.peer}")
-            if tag != who.held.tag:
+            if tag != who.held.etag:
                 raise Refused("it holds another view than it said")
             if (old := self.lines.get(self.house.number(who.name))) is not None and old.token != token:
                 old.task.cancel()
             number = self.house.joins(self.clock.now(), who)
-            orders: asyncio.Queue[tuple[Message, int]] = asyncio.Queue()
+            orders: asyncio.Queue[tuple[ProxyUpdate, int]] = asyncio.Queue()
             self.lines[number] = Line(token, me, orders, generation)
-            self.store.proxy(who.name, number, who.zone, tag, 0)
+            self.store.save_proxy(who.name, number, who.zone, tag, 0)
             log.info("joined", proxy=who.name, number=number, zone=who.zone, standing=who.standing)
             self.stir.set()
             while True:
@@ -468,7 +472,9 @@
         finally:
             stream.close()
 
-    async def _next(self, stream: Stream, number: int, orders: asyncio.Queue[tuple[Message, int]], beat: float) -> None:
+    async def _next(
+        self, stream: Stream, number: int, orders: asyncio.Queue[tuple[ProxyUpdate, int]], beat: float
+    ) -> None:
         try:
             async with asyncio.timeout(beat):
                 message, ordered = await orders.get()
@@ -481,9 +487,9 @@
         while not orders.empty():
             more, ordered_last = orders.get_nowait()
             run.append(more)
-        message = fold(run)
+        message = coalesce(run)
         # A process that stood still past its lease may have lost the proxy; it looks before it acts.
-        if self.clock.now() - ordered > self.settings.patience and await stream.look() != message.base:
+        if self.clock.now() - ordered > self.settings.patience and await stream.look() != message.base_etag:
             raise Refused("its view has changed by itself")
         await stream.send(message, ordered_last)
         for _ in run:
@@ -492,8 +498,8 @@
         now = self.clock.now()
         self.house.answered(now, number, message, tag, ordered)
         known = self.house.joined.get(number)
-        if message.whole and known is not None:
-            self.store.proxy(known.name, number, self.settings.zones[known.zone], tag, message.turn)
+        if message.full and known is not None:
+            self.store.save_proxy(known.name, number, self.settings.zones[known.zone], tag, message.round_number)
         self.stir.set()
 
     def _owns(self, number: int, token: str) -> bool:
@@ -522,7 +528,7 @@
                 tree = self.tree or tree_of(self.settings)
                 return answer(200, {"records": as_records(tree, self.settings.prefixes)})
             case "GET", ["v1", "orders"]:
-                return answer(200, await asyncio.to_thread(self.store.orders, NUMBER_OF_ORDERS))
+                return answer(200, await asyncio.to_thread(self.store.recent_decisions, NUMBER_OF_ORDERS))
             case "POST", ["v1", "operate"]:
                 return self._operate(request)
             case "GET", ["v1", "operate", *names]:
@@ -566,7 +572,7 @@
             return problem(400, str(error))
 
     def state(self) -> dict[str, Any]:
-        kept = {"failing": self.store.failing, "dropped": self.store.dropped}
+        kept = {"failing": self.store.write_error, "dropped": self.store.dropped_writes}
         age = round(time.time() - self.list_heard_at, 1) if self.list_heard_at else None
         version = self.follower.last.version if self.follower.last else None
         own = {"name": self.settings.name, "list": {"version": version, "age_s": age}, "store": kept}
@@ -576,11 +582,13 @@
     def _join(self, name: str, request: Request) -> Response:
         try:
             given = request.json()
-            who = Joining(name, given["zone"], float(given["usual"]), bool(given["standing"]), View.read(given["held"]))
-            address, held = address_parts(given["push"]), given.get("token", 0)
+            who = Joining(
+                name, given["zone"], float(given["usual"]), bool(given["standing"]), View.from_document(given["held"])
+            )
+            address, held = parse_address(given["push"]), given.get("token", 0)
             # The agent gives a stream up after this long with nothing heard; three beats fit into it.
             beat = max(0.05, min(BEAT, float(given.get("silence", 3 * BEAT)) / 3))
-        except (ValueError, KeyError, TypeError, Malformed) as error:
+        except (ValueError, KeyError, TypeError, MalformedViewError) as error:
             return problem(400, f"not a join: {error}")
         if who.zone not in self.settings.zones:
             return problem(422, f"zone {who.zone!r} is not served here")
@@ -595,7 +603,7 @@
         try:
             self.house.number(name)
             fence = next_token(held)
-        except (OverflowError, Fenced) as error:
+        except (OverflowError, StaleTokenError) as error:
             return problem(507, str(error))
         token = f"{self.settings.name}.{secrets.token_hex(8)}"
         self.start(self._proxy(who, address, token, fence, beat), vital=False)
@@ -615,7 +623,7 @@
                 log.info("tables", asked=what, **{name: given.get(name) for name in ("version", "label", "seconds")})
                 self.stir.set()
             return answer(200, ways.run(self.house, now, what, given, self._keep_label))
-        except Unknown as error:
+        except UnknownVersionError as error:
             return problem(404, str(error.args[0]))
         except Impossible as error:
             return problem(409, str(error))
@@ -623,7 +631,7 @@
             return problem(400, f"not understood: {error}")
 
     def _keep_label(self, labels: dict[str, int]) -> None:
-        self.store.keep(LABELS, labels)
+        self.store.put(LABELS, labels)
 
     def _command(self, alliance: Alliance, what: str, request: Request) -> Response:
         try:
--- a/onyxhead/controller/house.py
+++ b/onyxhead/controller/house.py
@@ -15,7 +15,7 @@
 from onyxhead.controller.door import Door
 from onyxhead.controller.roster import Followed
 from onyxhead.controller.sums import Gate, Gathered, Report
-from onyxhead.fleet.budget import Budget, Life, Loan, Strain
+from onyxhead.fleet.slow_start_budget import BudgetGrant, Incarnation, IncarnationLoad, SlowStartBudget
 from onyxhead.intake.picture import Picture
 from onyxhead.policy.balancer import BalancingPolicy
 from onyxhead.policy.decisions import (
@@ -27,9 +27,12 @@
     WakeUp,
 )
 from onyxhead.policy.inputs import Deployment, Endpoint, HealthCheckResult, LoadReport, WatchEvent
-from onyxhead.tables.canary import Canary, Verdict, chosen
-from onyxhead.tables.history import Back, History, Key, Pin, Refused, Truth, Unknown, Version, plan
-from onyxhead.tables.orders import Books, Hold, Message
+from onyxhead.tables.canary import Canary, Verdict, select_canary_proxies
+from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
+from onyxhead.tables.history import History, LineKey, Version
+from onyxhead.tables.rollback import CurrentEndpoints, PinnedVersion, RollbackPlan, plan_rollback
+from onyxhead.tables.table_state import Freeze, TableState
+from onyxhead.tables.updates import ProxyUpdate
 from onyxhead.tables.view import View
 
 MOST_PROXIES = 65_535
@@ -70,7 +73,7 @@
     """What there is to carry out."""
 
     steps: list[Step] = field(default_factory=list)
-    leaving: list[Sent[Message]] = field(default_factory=list)
+    leaving: list[Sent[ProxyUpdate]] = field(default_factory=list)
     probes: list[tuple[str, str]] = field(default_factory=list)
     cuts: list[Cut] = field(default_factory=list)
     remarks: list[str] = field(default_factory=list)
@@ -100,8 +103,8 @@
     ) -> None:
         self.start, self.groups, self.zones, self.epoch = start, groups, zones, epoch
         self.brain = BalancingPolicy(start, seed, now)
-        self.books = Books(groups, start.admission_mode, start.channel.message_overhead)
-        self.channel: Channel[Message] = Channel(start.channel, patience)
+        self.books = TableState(groups, start.admission_mode, start.channel.message_overhead)
+        self.channel: Channel[ProxyUpdate] = Channel(start.channel, patience)
         self.door, self.gate, self.gathered = Door(), Gate(), Gathered()
         self.numbers = dict(numbers or {})
         self.joined: dict[int, Joined] = {}
@@ -113,15 +116,15 @@
         self.wake_at = self.tell_at = now
         self.counts: Counter[str] = Counter()
         self.history = history or History()
-        self.fresh_versions: list[tuple[Version, dict[Key, int]]] = []
-        self.last_sent: dict[Key, int] = {}
+        self.fresh_versions: list[tuple[Version, dict[LineKey, int]]] = []
+        self.last_sent: dict[LineKey, int] = {}
         self.unsettled, self.at, self.seen_revision = False, now, 0
         # Proxies of earlier lives hold other tables; a version begins from what this life has sent.
-        if self.history.last.lines:
-            gone = dict.fromkeys(self.history.last.lines, 0)
+        if self.history.latest.lines:
+            gone = dict.fromkeys(self.history.latest.lines, 0)
             if (version := self.history.append(epoch, now, "restart", gone)) is not None:
                 self.fresh_versions.append((version, gone))
-        self.pin: Pin | None = None
+        self.pin: PinnedVersion | None = None
         self.canary: Canary | None = None
         self.picture = Picture()
         self.group_numbers = {name: place for place, name in enumerate(groups)}
@@ -130,14 +133,14 @@
 
     def list_heard(self, now: int, news: Followed) -> None:
         for backend, place in news.places.items():
-            known = self.books.places.get(backend)
+            known = self.books.addresses.get(backend)
             # Lines name the address they were sent with: another one is another process, to be let in anew.
             if known is not None and known.address != place.address and backend in self.listed:
                 gone = self.listed[backend]._replace(ready=False, draining=False)
                 self.brain.on_endpoint_update(now, WatchEvent.DELTA, [gone])
                 self._cause(f"backend {backend} moved from {known.address} to {place.address}")
                 self._decide(now)
-            self.books.places[backend] = place
+            self.books.addresses[backend] = place
             self.by_address[place.address] = backend
         self.listed |= {entry.backend: entry for entry in news.listed}
         serving = [entry for entry in self.listed.values() if entry.ready or entry.draining]
@@ -192,18 +195,18 @@
         self.picture.left(known.name)
         self._cause(f"{known.name} left{': ' + why if why else ''}")
 
-    def answered(self, now: int, proxy: int, message: Message, tag: str, ordered: int) -> None:
+    def answered(self, now: int, proxy: int, message: ProxyUpdate, tag: str, ordered: int) -> None:
         """The proxy says that it applied a message and holds the view with this tag."""
         if proxy not in self.joined:
             return
-        if tag != message.result.tag:
+        if tag != message.result.etag:
             self.fault(now, proxy, "it holds another view than it was sent")
             return
-        if not message.turn:
+        if not message.round_number:
             return
-        self.applied[proxy] = (message.turn, tag)
-        self.brain.on_acknowledgement(now, proxy, message.turn, now - ordered)
-        self._cause(f"{self.joined[proxy].name} applied {message.turn}")
+        self.applied[proxy] = (message.round_number, tag)
+        self.brain.on_acknowledgement(now, proxy, message.round_number, now - ordered)
+        self._cause(f"{self.joined[proxy].name} applied {message.round_number}")
 
     def fault(self, now: int, proxy: int, why: str) -> None:
         """The proxy's side broke what was agreed; its stream is given up, and its next join may have to wait."""
@@ -225,22 +228,24 @@
         zone = self.joined[proxy].zone
         self.gathered.add(zone, proxy, report, self.by_address, self.group_numbers)
         # What was counted before the trial's lines were in force says nothing about them.
-        if self.canary is not None and now - self.canary.since > 2 * self.start.report_interval:
+        if self.canary is not None and now - self.canary.started_at > 2 * self.start.report_interval:
             met = report.met.values()
-            self.canary.count(name, sum(each.tries for each in met), sum(each.bad for each in met))
+            self.canary.record(name, sum(each.tries for each in met), sum(each.bad for each in met))
         return True
 
     def probed(self, now: int, backend: str, sight: HealthCheckResult, load: LoadReport) -> None:
         self.brain.on_health_check(now, backend, sight, load)
 
-    def shared(self, now: int, budget: Budget) -> list[Loan]:
+    def shared(self, now: int, budget: SlowStartBudget) -> list[BudgetGrant]:
         """Rule 4's budget among controllers: tells it what is cold here, lends, and tells the module its shares. Raises
         what `budget.keep` does; the module's shares are then as they were."""
         found = self.brain.warming_backends(now)
-        budget.strained({Life(name, started): Strain(usual, asked) for name, started, usual, asked in found})
-        made = budget.lend()
+        budget.on_loads(
+            {Incarnation(name, started): IncarnationLoad(usual, asked) for name, started, usual, asked in found}
+        )
+        made = budget.grant()
         for name, started, _, _ in found:
-            self.brain.on_budget_share(now, name, budget.share(Life(name, started)))
+            self.brain.on_budget_share(now, name, budget.share(Incarnation(name, started)))
         return made
 
     # What is decided
@@ -285,8 +290,8 @@
             match decision:
                 case AcknowledgementRequest(marked, _):
                     turn = marked
-                case HealthCheckRequest(backend) if backend in self.books.places:
-                    work.probes.append((backend, self.books.places[backend].address))
+                case HealthCheckRequest(backend) if backend in self.books.addresses:
+                    work.probes.append((backend, self.books.addresses[backend].address))
                 case WakeUp(after):
                     self.wake_at = now + after
                 case SubscribeToEndpoints():
@@ -295,7 +300,7 @@
                     work.remarks.append(text)
         # Also with no one to tell: lines decided while no proxy is joined are what the first to join must get.
         reached = set()
-        for message in self.books.messages(turn, decisions):
+        for message in self.books.apply_decisions(turn, decisions):
             reached.add(message.proxy)
             self._send(now, message)
         # While tables are held some get no message; the module must not wait for answers that can't come.
@@ -311,14 +316,14 @@
     def _remember(self, now: int, cause: str) -> None:
         if self.books.revision == self.seen_revision:
             return
-        self.seen_revision, sent = self.books.revision, self.books.sent()
+        self.seen_revision, sent = self.books.revision, self.books.sent_lines()
         keys = {*sent, *self.last_sent}
         changes = {key: sent.get(key, 0) for key in keys if sent.get(key, 0) != self.last_sent.get(key, 0)}
         self.last_sent = sent
         if (version := self.history.append(self.epoch, now, cause, changes)) is not None:
             self.fresh_versions.append((version, changes))
 
-    def truth(self, now: int) -> Truth:
+    def truth(self, now: int) -> CurrentEndpoints:
         """Backends that are ready, and since when each is warm."""
         cold = self.start.safety.warmup_time
         found: dict[str, int | None] = {}
@@ -326,55 +331,59 @@
             if entry.ready:
                 warm = entry.started_at + cold if entry.started_at else 0
                 found[name] = (entry.started_at if warm <= now else None) if entry.started_at else 0
-        return Truth(found)
+        return CurrentEndpoints(found)
 
-    def preview(self, now: int, name: str) -> tuple[Back, float]:
-        """What going back would do, and the seconds that the channel takes. Raises Refused, Unknown."""
-        back = plan(self.history.find(name), self.books.wanted, self.books.sent(), self.truth(now))
-        users = max((len(users) for users in self.books.users.values()), default=0)
-        return back, users * (back.changes + self.books.head + 1) / self.start.channel.lines_per_second
+    def preview(self, now: int, name: str) -> tuple[RollbackPlan, float]:
+        """What going back would do, and the seconds that the channel takes.
 
-    def roll_back(self, now: int, name: str, seconds: float) -> tuple[Back, float]:
+        Raises RollbackRejectedError, UnknownVersionError."""
+        back = plan_rollback(self.history.find(name), self.books.desired, self.books.sent_lines(), self.truth(now))
+        users = max((len(users) for users in self.books.proxies_by_table.values()), default=0)
+        return back, users * (
+            back.changed_lines + self.books.message_overhead + 1
+        ) / self.start.channel.lines_per_second
+
+    def roll_back(self, now: int, name: str, seconds: float) -> tuple[RollbackPlan, float]:
         """Holds the tables as in a version for so long; returns what `preview` does. Withdrawals and levels go on.
-        Raises Refused, Unknown."""
+        Raises RollbackRejectedError, UnknownVersionError."""
         back, took = self.preview(now, name)
-        self._pin(Pin(self.history.find(name), now + round(seconds * 10_000)))
+        self._pin(PinnedVersion(self.history.find(name), now + round(seconds * 10_000)))
         self._cause(f"rolled back to version {back.version}")
         return back, took
 
     def freeze(self, now: int, seconds: float) -> int:
         """Holds the tables as they are now, for so long. Returns the version that they are in."""
-        version = self.history.last._replace(at=now)
-        self._pin(Pin(version, now + round(seconds * 10_000)))
+        version = self.history.latest._replace(created_at=now)
+        self._pin(PinnedVersion(version, now + round(seconds * 10_000)))
         self._cause(f"held as in version {version.number}")
         return version.number
 
-    def _pin(self, pin: Pin) -> None:
-        self.pin, self.books.main.hold, self.unsettled = pin, self._hold(pin), True
+    def _pin(self, pin: PinnedVersion) -> None:
+        self.pin, self.books.main.freeze, self.unsettled = pin, self._hold(pin), True
 
-    def _hold(self, pin: Pin) -> Hold:
+    def _hold(self, pin: PinnedVersion) -> Freeze:
         return lambda wanted: pin.target(wanted, self.truth(self.at))
 
     def release(self, now: int, why: str) -> bool:
         """Follows the module again; its lines are sent as the channel has room. False if nothing was held."""
-        held, self.pin, self.books.main.hold = self.pin is not None, None, None
+        held, self.pin, self.books.main.freeze = self.pin is not None, None, None
         if held:
             self._cause(f"released: {why}")
         return held
 
-    def try_version(self, now: int, name: str, share: float, seconds: float) -> tuple[Back, Canary]:
+    def try_version(self, now: int, name: str, share: float, seconds: float) -> tuple[RollbackPlan, Canary]:
         """Holds a share of the proxies as in a version; worse than the others, it is taken back, else it is held for
-        all when the time is over. Raises Refused, Unknown."""
+        all when the time is over. Raises RollbackRejectedError, UnknownVersionError."""
         if self.canary is not None:
-            raise Refused(f"version {self.canary.version} is on trial already")
+            raise RollbackRejectedError(f"version {self.canary.version} is on trial already")
         back, _ = self.preview(now, name)
-        bound = {known.name: number for number, known in self.joined.items() if self.books.bound(number)}
-        names = chosen(bound, share)
+        bound = {known.name: number for number, known in self.joined.items() if self.books.tables_of(number)}
+        names = select_canary_proxies(bound, share)
         if not names:
-            raise Refused("a trial needs two proxies at least")
-        pin = Pin(self.history.find(name), now + round(seconds * 10_000))
+            raise RollbackRejectedError("a trial needs two proxies at least")
+        pin = PinnedVersion(self.history.find(name), now + round(seconds * 10_000))
         self.canary = canary = Canary(back.version, frozenset(names), now, pin.until)
-        self.books.begin_trial(frozenset(bound[name] for name in names), self._hold(pin))
+        self.books.begin_canary(frozenset(bound[name] for name in names), self._hold(pin))
         self.unsettled = True
         self._cause(f"version {back.version} is tried on {len(names)} of {len(bound)} proxies")
         return back, canary
@@ -383,18 +392,19 @@
         if (canary := self.canary) is None:
             return
         verdict = canary.verdict()
-        if verdict is not Verdict.WORSE and now < canary.until:
+        if verdict is not Verdict.WORSE and now < canary.ends_at:
             return
         self.canary = None
-        self.books.end_trial()
+        self.books.end_canary()
         self.unsettled = True
         told = f"version {canary.version} on trial: {verdict.value}"
-        told += f" ({canary.tried.bad}/{canary.tried.tries} failed, elsewhere {canary.rest.bad}/{canary.rest.tries})"
-        if verdict is Verdict.FINE:
+        own, others = canary.canary_counts, canary.baseline_counts
+        told += f" ({own.failures}/{own.attempts} failed, elsewhere {others.failures}/{others.attempts})"
+        if verdict is Verdict.NOT_WORSE:
             try:
-                self.roll_back(now, str(canary.version), (canary.until - canary.since) / 10_000)
+                self.roll_back(now, str(canary.version), (canary.ends_at - canary.started_at) / 10_000)
                 told += "; held for all"
-            except (Refused, Unknown) as error:
+            except (RollbackRejectedError, UnknownVersionError) as error:
                 told += f"; not held for all: {error}"
         self.work.remarks.append(told)
         self._cause(told)
@@ -405,20 +415,20 @@
         if self.pin is None and self.canary is None and not self.unsettled:
             return
         room = SETTLE_SHARE * self.channel.limits.max_queued_lines - self.channel.waiting
-        for message in self.books.settle(room):
+        for message in self.books.reconcile(room):
             self._send(now, message)
-        left = self.books.unsettled()
-        if self.canary is None and not any(own is self.books.trial for own, _, _ in left):
+        left = self.books.pending_changes()
+        if self.canary is None and not any(own is self.books.canary for own, _, _ in left):
             # Those that were on trial hold what all others hold, and are like all others again.
-            self.books.apart = frozenset()
-        self.unsettled = self.pin is not None or bool(left) or bool(self.books.apart)
+            self.books.canary_proxies = frozenset()
+        self.unsettled = self.pin is not None or bool(left) or bool(self.books.canary_proxies)
         self._remember(now, "held tables" if self.pin is not None else "released tables")
 
-    def _send(self, now: int, message: Message) -> None:
+    def _send(self, now: int, message: ProxyUpdate) -> None:
         if message.proxy not in self.joined:
             return
         try:
-            self.channel.offer(now, message.proxy, message, message.lines)
+            self.channel.offer(now, message.proxy, message, message.line_cost)
         except Overfull as error:
             # The module takes what it ordered as sent. Only a new join makes it think about this proxy anew.
             self.counts["refused by the limit"] += 1
@@ -445,7 +455,7 @@
                 "most": self.channel.limits.max_queued_lines,
                 "peak": round(self.channel.peak, 1),
             },
-            "version": self.history.last.number,
+            "version": self.history.latest.number,
             "trial": self.canary.version if self.canary is not None else None,
             "held": self.pin.version.number if self.pin is not None else None,
             "counts": dict(sorted(self.counts.items())) | {"tries at unknown": self.gathered.unknown},
@@ -453,7 +463,7 @@
                 known.name: {
                     "zone": self.zones[known.zone],
                     "joined_for_s": round((now - known.since) / 10_000, 1),
-                    "bound": bool(self.books.bound(number)),
+                    "bound": bool(self.books.tables_of(number)),
                     "turn": self.applied.get(number, (0, ""))[0],
                     "tag": self.applied.get(number, (0, ""))[1],
                 }
@@ -468,6 +478,6 @@
                     "withdrawn": name in self.books.withdrawn,
                     "lines": {str(table): lines[name] for table, lines in self.books.tables.items() if name in lines},
                 }
-                for name, place in sorted(self.books.places.items())
+                for name, place in sorted(self.books.addresses.items())
             },
         }
--- a/onyxhead/controller/office.py
+++ b/onyxhead/controller/office.py
@@ -28,21 +28,21 @@
 
     The settings file counts as a commit whenever it says something else than at the last start. Raises OSError."""
     store, settings = daemon.store, daemon.settings
-    commits = [Commit(*row) for row in store.commits()]
+    commits = [Commit(*row) for row in store.load_commits()]
     given = tree_of(settings)
-    if not commits or store.kept(SETTINGS) != given:
+    if not commits or store.get(SETTINGS) != given:
         number = commits[-1].number + 1 if commits else 1
         made = Commit(number, given, "(settings)", "settings")
-        store.committed(*made)
-        store.keep(SETTINGS, given)
+        store.save_commit(*made)
+        store.put(SETTINGS, given)
         commits.append(made)
-    stores = Datastores(schema.config(), commits, lambda tree: _check(daemon, tree), store.kept(STARTUP))
+    stores = Datastores(schema.config(), commits, lambda tree: _check(daemon, tree), store.get(STARTUP))
     netconf = settings.netconf
     access = Access(netconf.users if netconf else {}, netconf.rules if netconf else ())
     hands = Hands(
         facts=daemon.facts,
-        write=lambda commit: store.committed(*commit),
-        save=lambda tree: store.keep(STARTUP, tree),
+        write=lambda commit: store.save_commit(*commit),
+        save=lambda tree: store.put(STARTUP, tree),
         act=lambda tree, plan: act(daemon, tree, plan),
         state=lambda: state(daemon),
         wall=time.time,
@@ -61,7 +61,7 @@
 
 def _audit(daemon: Daemon, user: str, session: int, what: str, result: str) -> None:
     log.info("audit", user=user, session=session, what=what, result=result)
-    daemon.store.audited(user, session, what, result)
+    daemon.store.append_audit_entry(user, session, what, result)
 
 
 def act(daemon: Daemon, tree: Tree, plan: Plan) -> None:
--- a/onyxhead/controller/probe.py
+++ b/onyxhead/controller/probe.py
@@ -9,7 +9,7 @@
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Fault, Request
 from onyxhead.policy.inputs import HealthCheckResult, LoadReport
-from onyxhead.tables.view import address_parts
+from onyxhead.tables.addresses import parse_address
 
 LOAD_REPORT = "endpoint-load-metrics"
 """The header of a published load report (ORCA), as JSON or as text."""
@@ -21,7 +21,7 @@
 async def look(address: str, path: str, timeout: float) -> tuple[HealthCheckResult, LoadReport]:
     """What a health request met, and what the backend told of its load."""
     try:
-        response = await ask_once(address_parts(address), Request("GET", path), timeout)
+        response = await ask_once(parse_address(address), Request("GET", path), timeout)
     except TimeoutError:
         return HealthCheckResult.TIMED_OUT, LoadReport()
     except (OSError, Fault):
--- a/onyxhead/controller/roster.py
+++ b/onyxhead/controller/roster.py
@@ -11,8 +11,8 @@
 from typing import Any, NamedTuple
 
 from onyxhead.policy.inputs import Endpoint, WatchEvent
-from onyxhead.tables.orders import Place
-from onyxhead.tables.view import Malformed, address_parts
+from onyxhead.tables.addresses import EndpointAddress, parse_address
+from onyxhead.tables.errors import MalformedViewError
 
 STATES = ("ready", "draining")
 MOST_WEIGHT = 1000.0
@@ -81,8 +81,8 @@
     if not 0 < entry.weight <= MOST_WEIGHT or not 0 <= entry.started < 1e11:
         raise Unlisted(f"backend {entry.id}: weight or start out of range")
     try:
-        address_parts(entry.address)
-    except Malformed as error:
+        parse_address(entry.address)
+    except MalformedViewError as error:
         raise Unlisted(f"backend {entry.id}: {error}") from None
     return entry
 
@@ -92,7 +92,7 @@
 
     kind: WatchEvent
     listed: list[Endpoint]
-    places: dict[str, Place]
+    places: dict[str, EndpointAddress]
     notes: list[str]
 
 
@@ -152,5 +152,5 @@
     return entry.state == "ready" and not entry.started and not known
 
 
-def _places(entries: tuple[Entry, ...]) -> dict[str, Place]:
-    return {entry.id: Place(entry.address, entry.zone) for entry in entries}
+def _places(entries: tuple[Entry, ...]) -> dict[str, EndpointAddress]:
+    return {entry.id: EndpointAddress(entry.address, entry.zone) for entry in entries}
--- a/onyxhead/controller/ways.py
+++ b/onyxhead/controller/ways.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 from onyxhead.controller.house import House
-from onyxhead.tables.history import Back, Version, diff
+from onyxhead.tables.history import Version, diff
+from onyxhead.tables.rollback import RollbackPlan
 
 LONGEST = 24 * 3600.0
 USUAL = 600.0
@@ -14,14 +15,15 @@
 
 
 def run(house: House, now: int, what: str, given: dict[str, Any], keep: Callable[[dict[str, int]], None]) -> Any:  # noqa: ANN401
-    """The answer to one question or command. Raises Unknown, Refused, ValueError, KeyError, TypeError."""
+    """The answer to one question or command. Raises UnknownVersionError, RollbackRejectedError,
+    ValueError, KeyError, TypeError."""
     history = house.history
     match what:
         case "log":
             labels = {number: name for name, number in history.labels.items()}
             return [
                 _version(version, now) | {"lines": changed, "label": labels.get(version.number, "")}
-                for version, changed in history.log(min(MOST_ROWS, int(given.get("most", 20))))
+                for version, changed in history.recent(min(MOST_ROWS, int(given.get("most", 20))))
             ]
         case "show":
             version = history.find(str(given["version"]))
@@ -64,15 +66,15 @@
             return _back(back) | {"proxies": sorted(canary.proxies), "seconds": hold}
         case "release":
             tried, house.canary = house.canary is not None, None
-            house.books.end_trial()
+            house.books.end_canary()
             return {"released": house.release(now, "asked for") or tried}
     raise ValueError(f"there is no {what!r}")
 
 
 def _version(version: Version, now: int) -> dict[str, Any]:
     return {
-        "version": version.number, "epoch": version.epoch, "age_s": round((now - version.at) / 10_000, 1),
-        "cause": version.cause, "tag": version.tag[:16],
+        "version": version.number, "epoch": version.epoch, "age_s": round((now - version.created_at) / 10_000, 1),
+        "cause": version.cause, "tag": version.digest_hex[:16],
     }  # fmt: skip
 
 
@@ -83,5 +85,5 @@
     return found
 
 
-def _back(back: Back) -> dict[str, Any]:
-    return {"version": back.version, "lines": back.changes, "not_brought_back": back.left}
+def _back(back: RollbackPlan) -> dict[str, Any]:
+    return {"version": back.version, "lines": back.changed_lines, "not_brought_back": back.excluded}
--- a/onyxhead/fleet/serving.py
+++ b/onyxhead/fleet/assignment.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-SLACK = 1.1
+MAX_LOAD_FACTOR = 1.1
 """So much over its even part a member may serve; less would move more proxies at each change."""
 
 
@@ -19,31 +19,31 @@
 
     name: str
     zone: str
-    carries: float
+    lines_per_second: float
 
 
 def _score(proxy: str, member: Member) -> float:
     digest = hashlib.blake2b(f"{proxy}\0{member.name}".encode(), digest_size=8).digest()
     share = (int.from_bytes(digest, "big") + 1) / (2**64 + 1)
-    return -member.carries / math.log(share)
+    return -member.lines_per_second / math.log(share)
 
 
-def preference(proxy: str, zone: str, members: Mapping[str, Member]) -> list[str]:
+def rank_members(proxy: str, zone: str, members: Mapping[str, Member]) -> list[str]:
     """Members in the order in which this proxy would have them; those of its zone before all others."""
     return sorted(members, key=lambda name: (members[name].zone != zone, -_score(proxy, members[name]), name))
 
 
-def deal(proxies: Mapping[str, str], members: Mapping[str, Member]) -> dict[str, str]:
+def assign_proxies(proxies: Mapping[str, str], members: Mapping[str, Member]) -> dict[str, str]:
     """Each proxy's member; proxies by name with their zones. Empty if there is no member."""
-    whole = sum(member.carries for member in members.values())
+    whole = sum(member.lines_per_second for member in members.values())
     if not whole:
         return {}
-    parts = {name: len(proxies) * member.carries / whole for name, member in members.items()}
-    room = {name: max(math.ceil(part), math.floor(SLACK * part)) for name, part in parts.items()}
+    parts = {name: len(proxies) * member.lines_per_second / whole for name, member in members.items()}
+    room = {name: max(math.ceil(part), math.floor(MAX_LOAD_FACTOR * part)) for name, part in parts.items()}
     dealt: dict[str, str] = {}
     order = sorted(proxies, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
     for proxy in order:
-        wanted = preference(proxy, proxies[proxy], members)
+        wanted = rank_members(proxy, proxies[proxy], members)
         name = next((each for each in wanted if room[each] > 0), wanted[0])
         room[name] -= 1
         dealt[proxy] = name
--- a/onyxhead/fleet/dial.py
+++ b/onyxhead/fleet/controller_selector.py
@@ -8,19 +8,19 @@
 
 from typing import NamedTuple
 
-HOLD_BACK = 8
+MAX_BACKOFF_FACTOR = 8
 """Rounds after which the pause between two dials has grown to its most."""
 
 
-class Dial(NamedTuple):
+class ConnectAttempt(NamedTuple):
     """Whom to ask, whether to insist, and how many times the usual pause to wait before."""
 
-    place: int
+    position: int
     insist: bool
-    pause: float
+    backoff_factor: float
 
 
-class Dialer:
+class ControllerSelector:
     """`count` controllers, by their places in the settings."""
 
     def __init__(self, count: int) -> None:
@@ -29,28 +29,28 @@
         self.names: dict[str, int] = {}
         self.wanted: int | None = None
 
-    def next(self) -> Dial:
+    def next_attempt(self) -> ConnectAttempt:
         rounds = self.asked // self.count
-        pause = 0.0 if self.asked == 0 else 1.0 if rounds < 2 else min(HOLD_BACK, 2.0 ** (rounds - 1))
+        pause = 0.0 if self.asked == 0 else 1.0 if rounds < 2 else min(MAX_BACKOFF_FACTOR, 2.0 ** (rounds - 1))
         place = self.wanted if self.wanted is not None else self.place
-        return Dial(place, self.insist, pause)
+        return ConnectAttempt(place, self.insist, pause)
 
-    def taken(self, name: str) -> None:
+    def on_accepted(self, name: str) -> None:
         """The one asked last took it."""
         self.names[name] = self._now()
         self.asked, self.answered, self.insist, self.wanted = 0, False, False, None
 
-    def sent_on(self, name: str, to: str) -> None:
+    def on_redirected(self, name: str, to: str) -> None:
         """The one asked last knows a better one."""
         self.names[name] = self._now()
         self.answered = True
         self._on(self.names.get(to))
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         """The one asked last gave no answer, or a refusal."""
         self._on(None)
 
-    def lost(self) -> None:
+    def on_disconnected(self) -> None:
         """The stream ended; the first of the settings is asked first again, since it may be back."""
         self.place = self.asked = 0
         self.answered = self.insist = False
--- a/onyxhead/fleet/fence.py
+++ b/onyxhead/fleet/fencing.py
@@ -6,38 +6,38 @@
 
 from __future__ import annotations
 
-LAST = 2**62
+MAX_TOKEN = 2**62
 """No token beyond this one; an agent that has reached it must be given a new state by hand."""
 
 
-class Fenced(Exception):
+class StaleTokenError(Exception):
     """An order or a join under a token that does not hold. `held` is the one that does."""
 
     def __init__(self, text: str, held: int) -> None:
         super().__init__(text)
-        self.held = held
+        self.current = held
 
 
 def next_token(held: int) -> int:
-    """The token that a controller offers to an agent which holds this one. Raises Fenced when there is none."""
-    if held >= LAST:
-        raise Fenced("tokens are used up; the agent's state must be made anew", held)
+    """The token that a controller offers to an agent which holds this one. Raises StaleTokenError if none is left."""
+    if held >= MAX_TOKEN:
+        raise StaleTokenError("tokens are used up; the agent's state must be made anew", held)
     return held + 1
 
 
-class Fence:
+class FencingTokenGuard:
     """The agent's side. `raise_to` is for a join, `check` for an order."""
 
     def __init__(self, held: int = 0) -> None:
-        self.held = held
+        self.current = held
 
-    def raise_to(self, token: int) -> None:
-        """Takes a token above all before. Raises Fenced; the caller keeps it on disk before it answers."""
-        if not self.held < token <= LAST:
-            raise Fenced(f"token {token} is not above {self.held}", self.held)
-        self.held = token
+    def advance(self, token: int) -> None:
+        """Takes a token above all before. Raises StaleTokenError; the caller keeps it on disk before it answers."""
+        if not self.current < token <= MAX_TOKEN:
+            raise StaleTokenError(f"token {token} is not above {self.current}", self.current)
+        self.current = token
 
     def check(self, token: int) -> None:
-        """Raises Fenced for an order under any other token than the one that holds."""
-        if token != self.held:
-            raise Fenced(f"token {token} does not hold", self.held)
+        """Raises StaleTokenError for an order under any other token than the one that holds."""
+        if token != self.current:
+            raise StaleTokenError(f"token {token} does not hold", self.current)
--- a/onyxhead/fleet/membership.py
+++ b/onyxhead/fleet/membership.py
@@ -55,28 +55,30 @@
         return self._asdict() | {"updates": [list(update) for update in self.updates]}
 
 
-class Odd(ValueError):
+class MalformedPacketError(ValueError):
     """What came is no packet, or one of another version; the text says which."""
 
 
 def read(given: Any) -> Packet:  # noqa: ANN401
-    """The packet in plain values. Raises Odd."""
+    """The packet in plain values. Raises MalformedPacketError."""
     try:
         if given["version"] != VERSION:
-            raise Odd(f"{str(given['sender'])[:80]} speaks version {given['version']!r}, this is {VERSION}")
+            raise MalformedPacketError(
+                f"{str(given['sender'])[:80]} speaks version {given['version']!r}, this is {VERSION}"
+            )
         updates = tuple(
             Update(str(name), Status(status), _whole(incarnation), str(boot))
             for name, status, incarnation, boot in given["updates"][: 4 * MOST_UPDATES]
         )
         texts = [given[name] for name in ("to", "sender", "boot", "kind", "about")]
         if not all(isinstance(each, str) for each in texts) or given["kind"] not in ("ping", "ack", "ask"):
-            raise Odd("not a packet")
+            raise MalformedPacketError("not a packet")
         to, sender, boot, kind, about = texts
         return Packet(to, sender, boot, kind, _whole(given["number"]), about, updates)
-    except Odd:
+    except MalformedPacketError:
         raise
     except (KeyError, TypeError, ValueError) as error:
-        raise Odd(f"not a packet: {error}") from None
+        raise MalformedPacketError(f"not a packet: {error}") from None
 
 
 def _whole(value: object) -> int:
@@ -97,9 +99,9 @@
 class Waiting(NamedTuple):
     """A ping that was not answered yet; `on_behalf` of another member and its number, if it asked."""
 
-    name: str
-    asked_at: int
-    helped: bool
+    member: str
+    sent_at: int
+    indirect: bool
     on_behalf: tuple[str, int] | None
 
 
@@ -110,98 +112,98 @@
         self, own: str, boot: str, others: tuple[str, ...], chance: Random, now: int,
         period: int = SECOND // 5, timeout: int = SECOND // 10, suspicion: int = SECOND,
     ) -> None:  # fmt: skip
-        self.own, self.boot, self.chance = own, boot, chance
+        self.own_name, self.boot, self.random = own, boot, chance
         self.period, self.timeout, self.suspicion = period, timeout, suspicion
         self.incarnation, self.status = 0, Status.ALIVE
         # Nobody is known to live before having been heard; a start alone must not move proxies about.
-        self.known = {name: Known(Status.DEAD, -1, "", now) for name in others if name != own}
-        self.rumours: dict[str, int] = {own: 0}
-        self.round: list[str] = []
-        self.waiting: dict[int, Waiting] = {}
-        self.next_at, self.number = now, 0
-        self.twins: set[str] = set()
+        self.members = {name: Known(Status.DEAD, -1, "", now) for name in others if name != own}
+        self.transmissions: dict[str, int] = {own: 0}
+        self.ping_order: list[str] = []
+        self.pending_pings: dict[int, Waiting] = {}
+        self.next_ping_at, self.last_number = now, 0
+        self.duplicate_boots: set[str] = set()
 
     # What is known
 
     def alive(self) -> list[str]:
         """Members that may serve, oneself included; a suspected one still does, a leaving one no more."""
-        found = [name for name, known in self.known.items() if known.status in (Status.ALIVE, Status.SUSPECT)]
-        return sorted([*found, *([self.own] if self.status is Status.ALIVE else [])])
+        found = [name for name, known in self.members.items() if known.status in (Status.ALIVE, Status.SUSPECT)]
+        return sorted([*found, *([self.own_name] if self.status is Status.ALIVE else [])])
 
     def statuses(self) -> dict[str, Known]:
         own = Known(self.status, self.incarnation, self.boot, 0)
-        return {self.own: own, **self.known}
+        return {self.own_name: own, **self.members}
 
     # Changes
 
     def add(self, name: str, now: int) -> None:
         """A member by settings, while running."""
-        if name != self.own:
-            self.known.setdefault(name, Known(Status.DEAD, -1, "", now))
+        if name != self.own_name:
+            self.members.setdefault(name, Known(Status.DEAD, -1, "", now))
 
     def remove(self, name: str) -> None:
-        self.known.pop(name, None)
-        self.rumours.pop(name, None)
-        self.round = [each for each in self.round if each != name]
+        self.members.pop(name, None)
+        self.transmissions.pop(name, None)
+        self.ping_order = [each for each in self.ping_order if each != name]
 
     def leave(self) -> None:
         """Says to all that this member wants to serve no more (a planned handover)."""
         self.status = Status.LEAVING
         self.incarnation += 1
-        self.rumours[self.own] = 0
+        self.transmissions[self.own_name] = 0
 
     # Packets
 
     def tick(self, now: int) -> list[Packet]:
         """What time alone brings about."""
         out = []
-        for number, wait in list(self.waiting.items()):
+        for number, wait in list(self.pending_pings.items()):
             if wait.on_behalf is not None:
-                if now - wait.asked_at > 4 * self.timeout:
-                    del self.waiting[number]
-            elif not wait.helped and now - wait.asked_at >= self.timeout:
-                self.waiting[number] = wait._replace(helped=True)
-                helpers = [name for name in self.alive() if name not in (self.own, wait.name)]
-                for name in self.chance.sample(helpers, min(HELPERS, len(helpers))):
-                    out.append(self._packet(name, "ask", number, wait.name))
-            elif now - wait.asked_at >= 3 * self.timeout:
-                del self.waiting[number]
-                self._suspect(wait.name, now)
-        for name, known in list(self.known.items()):
+                if now - wait.sent_at > 4 * self.timeout:
+                    del self.pending_pings[number]
+            elif not wait.indirect and now - wait.sent_at >= self.timeout:
+                self.pending_pings[number] = wait._replace(indirect=True)
+                helpers = [name for name in self.alive() if name not in (self.own_name, wait.member)]
+                for name in self.random.sample(helpers, min(HELPERS, len(helpers))):
+                    out.append(self._packet(name, "ask", number, wait.member))
+            elif now - wait.sent_at >= 3 * self.timeout:
+                del self.pending_pings[number]
+                self._suspect(wait.member, now)
+        for name, known in list(self.members.items()):
             if known.status is Status.SUSPECT and now - known.since >= self.suspicion:
                 self._set(name, Known(Status.DEAD, known.incarnation, known.boot, now))
-        if now >= self.next_at:
+        if now >= self.next_ping_at:
             # A process that stood still must not make up for the pings it missed.
-            self.next_at = now + self.period
+            self.next_ping_at = now + self.period
             if (chosen := self._next()) is not None:
                 out.append(self._ping(chosen, now, None))
         return out
 
     def receive(self, packet: Packet, now: int) -> list[Packet]:
         """What a packet calls for. One from a stranger, or for somebody else, changes nothing."""
-        if packet.to != self.own or packet.sender not in self.known:
-            if packet.sender == self.own and packet.boot != self.boot:
-                self.twins.add(packet.boot)
+        if packet.to != self.own_name or packet.sender not in self.members:
+            if packet.sender == self.own_name and packet.boot != self.boot:
+                self.duplicate_boots.add(packet.boot)
             return []
         for update in packet.updates:
             self._hear(update, now)
-        if self.known[packet.sender].status in (Status.SUSPECT, Status.DEAD):
+        if self.members[packet.sender].status in (Status.SUSPECT, Status.DEAD):
             # It lives and does not know what is said of it; the next packet tells it, and it will say otherwise.
-            self.rumours[packet.sender] = 0
+            self.transmissions[packet.sender] = 0
         match packet.kind:
             case "ping":
-                return [self._packet(packet.sender, "ack", packet.number, self.own)]
-            case "ask" if packet.about in self.known:
+                return [self._packet(packet.sender, "ack", packet.number, self.own_name)]
+            case "ask" if packet.about in self.members:
                 return [self._ping(packet.about, now, (packet.sender, packet.number))]
             case "ack":
                 return self._answered(packet, now)
         return []
 
     def _answered(self, packet: Packet, now: int) -> list[Packet]:
-        wait = self.waiting.get(packet.number)
-        if wait is None or wait.name != packet.about:
+        wait = self.pending_pings.get(packet.number)
+        if wait is None or wait.member != packet.about:
             return []
-        del self.waiting[packet.number]
+        del self.pending_pings[packet.number]
         if wait.on_behalf is not None:
             name, number = wait.on_behalf
             return [self._packet(name, "ack", number, packet.about)]
@@ -209,40 +211,40 @@
 
     def _next(self) -> str | None:
         while True:
-            self.round = [name for name in self.round if name in self.known]
-            if not self.round:
-                self.round = sorted(self.known)
-                self.chance.shuffle(self.round)
-            return self.round.pop() if self.round else None
+            self.ping_order = [name for name in self.ping_order if name in self.members]
+            if not self.ping_order:
+                self.ping_order = sorted(self.members)
+                self.random.shuffle(self.ping_order)
+            return self.ping_order.pop() if self.ping_order else None
 
     def _ping(self, name: str, now: int, on_behalf: tuple[str, int] | None) -> Packet:
-        self.number = self.number + 1 if self.number < LAST_INCARNATION else 1
-        self.waiting[self.number] = Waiting(name, now, False, on_behalf)
-        return self._packet(name, "ping", self.number, name)
+        self.last_number = self.last_number + 1 if self.last_number < LAST_INCARNATION else 1
+        self.pending_pings[self.last_number] = Waiting(name, now, False, on_behalf)
+        return self._packet(name, "ping", self.last_number, name)
 
     def _packet(self, to: str, kind: str, number: int, about: str) -> Packet:
-        most = REPEATS * max(1, len(self.known).bit_length())
+        most = REPEATS * max(1, len(self.members).bit_length())
         # What the receiver must hear first: what is said of itself, then what was told least often.
-        order = sorted(self.rumours, key=lambda name: (name != to, self.rumours[name], name))[:MOST_UPDATES]
+        order = sorted(self.transmissions, key=lambda name: (name != to, self.transmissions[name], name))[:MOST_UPDATES]
         updates = []
         for name in order:
-            self.rumours[name] += 1
-            if self.rumours[name] >= most and name != self.own:
-                del self.rumours[name]
-            known = self.known.get(name)
-            if name == self.own:
+            self.transmissions[name] += 1
+            if self.transmissions[name] >= most and name != self.own_name:
+                del self.transmissions[name]
+            known = self.members.get(name)
+            if name == self.own_name:
                 updates.append(Update(name, self.status, self.incarnation, self.boot))
             elif known is not None and known.incarnation >= 0:
                 updates.append(Update(name, known.status, known.incarnation, known.boot))
-        return Packet(to, self.own, self.boot, kind, number, about, tuple(updates))
+        return Packet(to, self.own_name, self.boot, kind, number, about, tuple(updates))
 
     # Updates
 
     def _hear(self, update: Update, now: int) -> None:
-        if update.name == self.own:
+        if update.name == self.own_name:
             self._hear_of_self(update)
             return
-        known = self.known.get(update.name)
+        known = self.members.get(update.name)
         if known is None:
             return
         newer_life = update.boot != known.boot and update.boot > known.boot
@@ -254,20 +256,20 @@
     def _hear_of_self(self, update: Update) -> None:
         if update.boot > self.boot and update.status is not Status.DEAD:
             # Someone newer uses this name. Both would answer to it; operators must be told.
-            self.twins.add(update.boot)
+            self.duplicate_boots.add(update.boot)
         elif update.boot > self.boot:
             # A life that ended, later by its clock than this one began: the wall was set back, or the disk restored.
             self.boot, self.incarnation = f"{update.boot}+", 0
-            self.rumours[self.own] = 0
+            self.transmissions[self.own_name] = 0
         if update.boot == self.boot and update.status > self.status and update.incarnation >= self.incarnation:
             self.incarnation = min(LAST_INCARNATION, update.incarnation + 1)
-            self.rumours[self.own] = 0
+            self.transmissions[self.own_name] = 0
 
     def _suspect(self, name: str, now: int) -> None:
-        known = self.known.get(name)
+        known = self.members.get(name)
         if known is not None and known.status in (Status.ALIVE, Status.LEAVING):
             self._set(name, Known(Status.SUSPECT, known.incarnation, known.boot, now))
 
     def _set(self, name: str, known: Known) -> None:
-        self.known[name] = known
-        self.rumours[name] = 0
+        self.members[name] = known
+        self.transmissions[name] = 0
--- a/onyxhead/fronts/files/envoy.py
+++ b/onyxhead/fronts/files/envoy.py
@@ -10,7 +10,8 @@
 from collections.abc import Sequence
 
 from onyxhead.settings.load import Route
-from onyxhead.tables.view import Document, Leaf, View, address_parts
+from onyxhead.tables.addresses import parse_address
+from onyxhead.tables.view import Document, View, ViewValue
 
 TYPES = "type.googleapis.com/"
 ENDPOINTS = f"{TYPES}envoy.config.endpoint.v3.ClusterLoadAssignment"
@@ -34,26 +35,26 @@
 
 
 def _response(view: View, kind: str, resources: list[Document]) -> bytes:
-    document = {"version_info": view.tag.strip('"'), "type_url": kind, "resources": resources}
+    document = {"version_info": view.etag.strip('"'), "type_url": kind, "resources": resources}
     return json.dumps(document, separators=(",", ":")).encode() + b"\n"
 
 
-def lines_of(view: View, group: str) -> dict[str, Leaf]:
+def lines_of(view: View, group: str) -> dict[str, ViewValue]:
     """The lines that serve a group: its table's, or the standing ones where no controller has bound it."""
-    table = view.leaves.get(("bindings", group))
-    return view.kind("standing") if table is None else view.kind("tables", table, "lines")
+    table = view.entries.get(("bindings", group))
+    return view.children("standing") if table is None else view.children("tables", table, "lines")
 
 
-def level_of(view: View, group: str) -> Leaf | None:
-    table = view.leaves.get(("bindings", group))
-    return None if table is None else view.leaves.get(("tables", table, "levels", group))
+def level_of(view: View, group: str) -> ViewValue | None:
+    table = view.entries.get(("bindings", group))
+    return None if table is None else view.entries.get(("tables", table, "levels", group))
 
 
 def _assignment(view: View, group: str) -> Document:
     zones: dict[str, list[Document]] = {}
     for backend, line in sorted(lines_of(view, group).items()):
-        host, port = address_parts(line["address"])
-        shut = ("withdrawn", backend) in view.leaves
+        host, port = parse_address(line["address"])
+        shut = ("withdrawn", backend) in view.entries
         zones.setdefault(line["zone"], []).append(
             {
                 "endpoint": {"address": {"socket_address": {"address": host, "port_value": port}}},
--- a/onyxhead/fronts/files/nginx.py
+++ b/onyxhead/fronts/files/nginx.py
@@ -18,7 +18,7 @@
 
 def upstreams(view: View, routes: Sequence[Route]) -> bytes:
     """Blocks for the http context: an upstream for each group, and what its level needs there."""
-    out = [f"# view {view.tag}"]
+    out = [f"# view {view.etag}"]
     for route in routes:
         name, lines = upstream_name(route.group), lines_of(view, route.group)
         most = max((line["weight"] for line in lines.values()), default=1)
@@ -26,7 +26,7 @@
         for backend, line in sorted(lines.items()):
             # nginx adds weights up in whole numbers at each pick; large ones would only cost it time.
             weight = max(1, round(line["weight"] * MOST_WEIGHT / most)) if most > MOST_WEIGHT else line["weight"]
-            shut = " down" if ("withdrawn", backend) in view.leaves else ""
+            shut = " down" if ("withdrawn", backend) in view.entries else ""
             out.append(f"    server {line['address']} weight={weight} max_fails=0{shut};  # {backend}")
         if not lines:
             out.append(f"    server {NOWHERE} down;  # no line: nginx takes no empty upstream")
--- a/onyxhead/fronts/files/push.py
+++ b/onyxhead/fronts/files/push.py
@@ -21,7 +21,7 @@
     order_field,
 )
 from onyxhead.keys.rotate import Peer, peer_of
-from onyxhead.tables.orders import Message
+from onyxhead.tables.updates import ProxyUpdate
 
 VIEW = "/v1/view"
 MOST_ANSWER = 16 * 1024
@@ -38,11 +38,11 @@
         self.known: OrderedDict[tuple[bool, int, object], tuple[bytes, str]] = OrderedDict()
         self.most = most
 
-    def body(self, message: Message) -> tuple[bytes, str]:
-        key = (message.whole, message.result.digest, None if message.whole else message.base)
+    def body(self, message: ProxyUpdate) -> tuple[bytes, str]:
+        key = (message.full, message.result.digest, None if message.full else message.base_etag)
         found = self.known.get(key)
         if found is None:
-            body = json.dumps(message.document(), separators=(",", ":")).encode()
+            body = json.dumps(message.to_document(), separators=(",", ":")).encode()
             found = self.known[key] = (body, content_digest(body))
             while len(self.known) > self.most:
                 self.known.popitem(last=False)
@@ -79,18 +79,18 @@
         await self._send(Request("HEAD", VIEW, self.marks))
         return await self._tag()
 
-    async def send(self, message: Message, ordered: int) -> None:
+    async def send(self, message: ProxyUpdate, ordered: int) -> None:
         """Writes the message; returns once the stream has taken it. Raises OSError, Refused."""
         body, digest = self.encoder.body(message)
         headers = {
             **self.marks,
-            ORDER: order_field(message.turn, message.lines, ordered),
-            "content-type": JSON if message.whole else MERGE_PATCH,
+            ORDER: order_field(message.round_number, message.line_cost, ordered),
+            "content-type": JSON if message.full else MERGE_PATCH,
             "content-digest": digest,
-            "if-match": message.base,
-            RESULT: message.result.tag,
+            "if-match": message.base_etag,
+            RESULT: message.result.etag,
         }
-        await self._send(Request("PUT" if message.whole else "PATCH", VIEW, headers, body))
+        await self._send(Request("PUT" if message.full else "PATCH", VIEW, headers, body))
 
     async def answer(self) -> str:
         """The tag that the agent holds after the message sent last. Raises OSError, Refused."""
--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -12,7 +12,9 @@
 from onyxhead.records.meaning import Found
 from onyxhead.records.syntax import Fault, Faulty, File, Literal
 from onyxhead.routing import files as routing
-from onyxhead.tables.view import Leaf, Malformed, address_parts
+from onyxhead.tables.addresses import parse_address
+from onyxhead.tables.errors import MalformedViewError
+from onyxhead.tables.view import ViewValue
 
 Address = tuple[str, int]
 KINDS = {"controller": "#Controller", "agent": "#Agent"}
@@ -151,7 +153,7 @@
     usual: float
     routes: tuple[Route, ...]
     stretch: float
-    standing: dict[str, Leaf]
+    standing: dict[str, ViewValue]
     stats: Address | None
     silence: float
     redial: float
@@ -213,10 +215,10 @@
     def read(self, text: str, *place: str, free: bool = False) -> Address:
         """Port 0 means any free one, where that makes sense."""
         if free and text.endswith(":0"):
-            return address_parts(text[:-1] + "1")[0], 0
+            return parse_address(text[:-1] + "1")[0], 0
         try:
-            return address_parts(text)
-        except Malformed as error:
+            return parse_address(text)
+        except MalformedViewError as error:
             self.faults.append(Fault(self.found.place(*place), str(error)))
             return "", 0
 
--- a/onyxhead/standins/router.py
+++ b/onyxhead/standins/router.py
@@ -16,7 +16,7 @@
 from onyxhead.routing.choose import Router, Way
 from onyxhead.routing.files import read
 from onyxhead.standins.run import StandIn
-from onyxhead.tables.view import address_parts
+from onyxhead.tables.addresses import parse_address
 
 
 class Main(StandIn):
@@ -68,7 +68,7 @@
             met.append(server.address)
             try:
                 asked = Request(request.method, way.path, {}, request.body)
-                response = await ask_once(address_parts(server.address), asked, 2.0)
+                response = await ask_once(parse_address(server.address), asked, 2.0)
                 again = f"http_{response.status}" in tries.when
             except (OSError, Fault, TimeoutError):
                 response, again = Response(502), "error" in tries.when
--- a/onyxhead/store/store.py
+++ b/onyxhead/store/store.py
@@ -18,6 +18,8 @@
 from typing import Any, NamedTuple
 from urllib.parse import quote
 
+from onyxhead.store.errors import StoreUnavailableError
+
 LISTS_KEPT = 50
 ORDERS_KEPT = 20_000
 VERSIONS_KEPT = 1_000
@@ -61,22 +63,18 @@
     """What the last life left. `heard` and `withdrawn` in seconds of the wall's clock."""
 
     epoch: int
-    list_body: bytes | None
-    heard: float
-    numbers: dict[str, int]
-    withdrawn: dict[str, float]
+    endpoint_list: bytes | None
+    list_received_at: float
+    proxy_numbers: dict[str, int]
+    withdrawn_at: dict[str, float]
 
 
 class _Broken(sqlite3.DatabaseError):
     sqlite_errorcode = sqlite3.SQLITE_CORRUPT
 
 
-class Unusable(OSError):
-    """The store can't be opened or written; the text says why."""
-
-
 def recorded(path: Path, name: str, since: float, until: float) -> dict[str, Any]:
-    """What a store holds of a stretch, read without touching it, also while a controller writes. Raises Unusable."""
+    """What a store holds of a period, read only, also while a controller writes. Raises StoreUnavailableError."""
     try:
         with contextlib.closing(sqlite3.connect(f"file:{quote(str(path))}?mode=ro", uri=True, timeout=5.0)) as db:
 
@@ -90,7 +88,7 @@
             audit = ask(f"select at, user, what, result from audit where at {span}", since, until)
             return {"name": name, "orders": orders, "lives": lives, "lists": lists, "audit": audit}
     except (sqlite3.Error, ValueError) as error:
-        raise Unusable(f"{path}: {error}") from None
+        raise StoreUnavailableError(f"{path}: {error}") from None
 
 
 def _order(row: tuple[Any, ...]) -> dict[str, Any]:
@@ -113,14 +111,14 @@
 
     def __init__(self, folder: Path, wall: Callable[[], float] = time.time) -> None:
         self.path, self.wall = folder / "onyxhead.db", wall
-        self.notes: list[str] = []
+        self.warnings: list[str] = []
         try:
             folder.mkdir(parents=True, exist_ok=True)
-            self.remembered = self._open()
+            self.recovered = self._open()
         except (OSError, sqlite3.Error) as error:
-            raise Unusable(f"{self.path}: {error}") from None
-        self.failing = ""
-        self.dropped = 0
+            raise StoreUnavailableError(f"{self.path}: {error}") from None
+        self.write_error = ""
+        self.dropped_writes = 0
         self._writes: queue.SimpleQueue[Write | None] = queue.SimpleQueue()
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
@@ -136,7 +134,7 @@
         for end in ("", "-wal", "-shm"):
             with contextlib.suppress(FileNotFoundError):
                 self.path.with_name(self.path.name + end).rename(str(aside) + end)
-        self.notes.append(f"the store was broken and is now {aside.name}; starting with nothing remembered")
+        self.warnings.append(f"the store was broken and is now {aside.name}; starting with nothing remembered")
         return self._begin()
 
     def _begin(self) -> Remembered:
@@ -164,33 +162,33 @@
 
     # What is kept
 
-    def heard_list(self, version: int, body: bytes) -> None:
+    def save_endpoint_list(self, version: int, body: bytes) -> None:
         self._put("insert into lists (heard, version, body) values (?, ?, ?)", self.wall(), version, body)
         self._put(f"delete from lists where number <= (select max(number) - {LISTS_KEPT} from lists)")
 
-    def proxy(self, name: str, number: int, zone: str, tag: str, turn: int) -> None:
+    def save_proxy(self, name: str, number: int, zone: str, tag: str, round_number: int) -> None:
         self._put(
             "insert into proxies values (?, ?, ?, ?, ?, ?) on conflict (name) do update set"
             " zone = excluded.zone, tag = excluded.tag, turn = excluded.turn, seen = excluded.seen",
-            name, number, zone, tag, turn, self.wall(),
+            name, number, zone, tag, round_number, self.wall(),
         )  # fmt: skip
 
-    def withdrew(self, backend: str, shut: bool) -> None:
-        if shut:
+    def save_withdrawal(self, backend: str, withdrawn: bool) -> None:
+        if withdrawn:
             self._put("insert or replace into withdrawn values (?, ?)", backend, self.wall())
         else:
             self._put("delete from withdrawn where backend = ?", backend)
 
-    def ordered(self, epoch: int, turn: int, causes: Iterable[str], decisions: list[Any]) -> None:
-        row = self.wall(), epoch, turn, json.dumps(list(causes)), json.dumps(decisions)
+    def append_decisions(self, epoch: int, round_number: int, causes: Iterable[str], decisions: list[Any]) -> None:
+        row = self.wall(), epoch, round_number, json.dumps(list(causes)), json.dumps(decisions)
         self._put(
             "insert into orders (at, epoch, turn, causes, decisions, digest) values (?, ?, ?, ?, ?, ?)",
             *row, _record(*row),
         )  # fmt: skip
-        if turn % COMPACT_EVERY == 0:
+        if round_number % COMPACT_EVERY == 0:
             self._put(f"delete from orders where number <= (select max(number) - {ORDERS_KEPT} from orders)")
 
-    def beat(self, epoch: int) -> None:
+    def record_heartbeat(self, epoch: int) -> None:
         """This life goes on; what has no beat is told as a gap later."""
         now = self.wall()
         sql = "insert into lives values (?, ?, ?) on conflict (epoch) do update set seen = excluded.seen"
@@ -198,23 +196,23 @@
 
     # What must be on disk before it is answered
 
-    def next_epoch(self) -> int:
-        """A new epoch, on disk when this returns. Raises Unusable."""
+    def begin_epoch(self) -> int:
+        """A new epoch, on disk when this returns. Raises StoreUnavailableError."""
         self.now("update meta set value = value + 1 where name = 'epoch'")
         return int(self._rows("select value from meta where name = 'epoch'")[0][0])
 
-    def committed(self, *row: object) -> None:
-        """One commit of the configuration (number, tree, user, what, until, back, persist). Raises Unusable."""
+    def save_commit(self, *row: object) -> None:
+        """One configuration commit: number, tree, user, what, until, back, persist. Raises StoreUnavailableError."""
         number, tree, *rest = row
         values = (number, self.wall(), json.dumps(tree, sort_keys=True), *rest)
         self.now("insert into commits values (?, ?, ?, ?, ?, ?, ?, ?)", *values)
 
-    def commits(self) -> list[tuple[Any, ...]]:
-        """All commits kept, oldest first, as `committed` took them. Raises Unusable."""
+    def load_commits(self) -> list[tuple[Any, ...]]:
+        """All commits kept, oldest first, as `committed` took them. Raises StoreUnavailableError."""
         rows = self._rows("select number, tree, user, what, until, back, persist from commits order by number")
         return [(number, json.loads(tree), *rest) for number, tree, *rest in rows]
 
-    def version(self, number: int, epoch: int, at: int, cause: str, changes: list[Any]) -> None:
+    def append_version(self, number: int, epoch: int, at: int, cause: str, changes: list[Any]) -> None:
         """One version of the tables by its changes; a digest over the record finds flipped bytes at the next start."""
         text = json.dumps(changes, separators=(",", ":"))
         sql = "insert or replace into versions values (?, ?, ?, ?, ?, ?)"
@@ -222,49 +220,49 @@
         if number % COMPACT_EVERY == 0:
             self._put(f"delete from versions where number <= {number - 2 * VERSIONS_KEPT}")
 
-    def versions(self) -> list[tuple[int, int, int, str, list[Any]]]:
+    def load_versions(self) -> list[tuple[int, int, int, str, list[Any]]]:
         """The longest run of sound records up to the last, oldest first. What was lost is added to `notes`."""
         rows = self._rows("select number, epoch, at, cause, changes, digest from versions order by number")
         sound: list[tuple[int, int, int, str, list[Any]]] = []
         for number, epoch, at, cause, text, digest in rows:
             if digest != _record(number, epoch, at, cause, text):
-                self.notes.append(
+                self.warnings.append(
                     f"version {number} of the tables is damaged; it and {len(rows) - len(sound) - 1} more are not used"
                 )
                 break
             sound.append((number, epoch, at, cause, json.loads(text)))
         return sound
 
-    def keep(self, name: str, value: object) -> None:
-        """One value by name. Raises Unusable."""
+    def put(self, name: str, value: object) -> None:
+        """One value by name. Raises StoreUnavailableError."""
         self.now("insert or replace into meta values (?, ?)", name, json.dumps(value, sort_keys=True))
 
-    def kept(self, name: str) -> Any:  # noqa: ANN401
-        """The value kept, or None. Raises Unusable."""
+    def get(self, name: str) -> Any:  # noqa: ANN401
+        """The value kept, or None. Raises StoreUnavailableError."""
         rows = self._rows("select value from meta where name = ?", name)
         return json.loads(rows[0][0]) if rows else None
 
-    def audited(self, user: str, session: int, what: str, result: str) -> None:
+    def append_audit_entry(self, user: str, session: int, what: str, result: str) -> None:
         sql = "insert into audit (at, user, session, what, result) values (?, ?, ?, ?, ?)"
         self._put(sql, self.wall(), user, session, what, result)
 
     def now(self, sql: str, *values: object) -> None:
-        """Writes and flushes at once. Raises Unusable."""
+        """Writes and flushes at once. Raises StoreUnavailableError."""
         try:
             with contextlib.closing(self._connect()) as db, db:
                 db.execute(sql, values)
         except sqlite3.Error as error:
-            raise Unusable(f"{self.path}: {error}") from None
+            raise StoreUnavailableError(f"{self.path}: {error}") from None
 
     def _rows(self, sql: str, *values: object) -> list[tuple[Any, ...]]:
         try:
             with contextlib.closing(self._connect()) as db:
                 return db.execute(sql, values).fetchall()
         except sqlite3.Error as error:
-            raise Unusable(f"{self.path}: {error}") from None
+            raise StoreUnavailableError(f"{self.path}: {error}") from None
 
-    def orders(self, most: int) -> list[dict[str, Any]]:
-        """The last orders, newest first. Raises Unusable."""
+    def recent_decisions(self, most: int) -> list[dict[str, Any]]:
+        """The last orders, newest first. Raises StoreUnavailableError."""
         return [_order(row) for row in self._rows(f"select {ORDER} from orders order by number desc limit ?", most)]
 
     def close(self) -> None:
@@ -274,7 +272,7 @@
 
     def _put(self, sql: str, *values: object) -> None:
         if self._writes.qsize() > MOST_PENDING:
-            self.dropped += 1
+            self.dropped_writes += 1
             return
         self._writes.put((sql, values))
 
@@ -295,10 +293,10 @@
                     with contextlib.closing(self._connect()) as db, db:
                         for sql, values in batch:
                             db.execute(sql, values)
-                batch, self.failing = [], ""
+                batch, self.write_error = [], ""
             except sqlite3.Error as error:
-                self.failing = str(error)
+                self.write_error = str(error)
                 # A full disk may have room again; what waits is kept, within bounds, and written then.
-                self.dropped += max(0, len(batch) - MOST_PENDING)
+                self.dropped_writes += max(0, len(batch) - MOST_PENDING)
                 del batch[: max(0, len(batch) - MOST_PENDING)]
                 time.sleep(0 if over else RETRY)
--- a/onyxhead/tables/canary.py
+++ b/onyxhead/tables/canary.py
@@ -1,7 +1,7 @@
-"""A version tried on some proxies first: chosen by name, judged against the others, taken back if worse. No I/O.
+"""A canary: a version tried on some proxies first and taken back if they fail more often than the others. No I/O.
 
-Worse means that the share of failed tries among the chosen is higher than among the others by more than chance explains
-(two proportions, one-sided). Nothing is concluded from a handful of flows, in either direction."""
+Failing more often means that the fraction of failed attempts at the canary proxies is higher than at the others by more
+than chance explains (one-sided test of two proportions). Too few attempts on either side decide nothing."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-ENOUGH = 60
+MIN_ATTEMPTS = 60
 """Tries on each side before anything is concluded."""
-SURE = 3.1
+MIN_STANDARD_ERRORS = 3.1
 """Standard errors; a fair version is taken back by chance about once in a thousand looks."""
-WORTH = 0.02
+MIN_FAILURE_RATE_INCREASE = 0.02
 """Smaller differences of the share that fails are not worth a return, however sure."""
 
 
 class Verdict(Enum):
     UNKNOWN = "too few flows to tell"
     WORSE = "worse than the others by more than chance"
-    FINE = "no worse than the others"
+    NOT_WORSE = "no worse than the others"
 
 
 @dataclass
-class Side:
-    tries: int = 0
-    bad: int = 0
+class AttemptCounts:
+    attempts: int = 0
+    failures: int = 0
 
     @property
-    def share(self) -> float:
-        return self.bad / self.tries if self.tries else 0.0
+    def failure_rate(self) -> float:
+        return self.failures / self.attempts if self.attempts else 0.0
 
 
-def chosen(proxies: Iterable[str], share: float) -> list[str]:
+def select_canary_proxies(proxies: Iterable[str], share: float) -> list[str]:
     """So many of the proxies, always the same for the same names; at least one, and never more than half."""
     names = sorted(proxies, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
     return names[: max(1, min(len(names) // 2, round(share * len(names))))] if len(names) > 1 else []
@@ -47,21 +47,25 @@
 
     version: int
     proxies: frozenset[str]
-    since: int
-    until: int
-    tried: Side = field(default_factory=Side)
-    rest: Side = field(default_factory=Side)
+    started_at: int
+    ends_at: int
+    canary_counts: AttemptCounts = field(default_factory=AttemptCounts)
+    baseline_counts: AttemptCounts = field(default_factory=AttemptCounts)
 
-    def count(self, proxy: str, tries: int, bad: int) -> None:
-        side = self.tried if proxy in self.proxies else self.rest
-        side.tries += tries
-        side.bad += bad
+    def record(self, proxy: str, tries: int, bad: int) -> None:
+        side = self.canary_counts if proxy in self.proxies else self.baseline_counts
+        side.attempts += tries
+        side.failures += bad
 
     def verdict(self) -> Verdict:
-        one, two = self.tried, self.rest
-        if one.tries < ENOUGH or two.tries < ENOUGH:
+        one, two = self.canary_counts, self.baseline_counts
+        if one.attempts < MIN_ATTEMPTS or two.attempts < MIN_ATTEMPTS:
             return Verdict.UNKNOWN
-        pooled = (one.bad + two.bad) / (one.tries + two.tries)
-        error = math.sqrt(max(1e-12, pooled * (1 - pooled) * (1 / one.tries + 1 / two.tries)))
-        gap = one.share - two.share
-        return Verdict.WORSE if gap > WORTH and gap > SURE * error else Verdict.FINE
+        pooled = (one.failures + two.failures) / (one.attempts + two.attempts)
+        error = math.sqrt(max(1e-12, pooled * (1 - pooled) * (1 / one.attempts + 1 / two.attempts)))
+        gap = one.failure_rate - two.failure_rate
+        return (
+            Verdict.WORSE
+            if gap > MIN_FAILURE_RATE_INCREASE and gap > MIN_STANDARD_ERRORS * error
+            else Verdict.NOT_WORSE
+        )
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -12,7 +12,7 @@
 from onyxhead.fronts.files.push import Encoder, Stream
 from onyxhead.http.messages import JSON, MERGE_PATCH, ORDER, STREAM, Request, order_field
 from onyxhead.policy.inputs import AdmissionMode, ChannelLimits, Deployment, RetrySafety, SafetyLimits, TrafficGroup
-from onyxhead.tables.orders import Message
+from onyxhead.tables.updates import ProxyUpdate
 from onyxhead.tables.view import View
 
 SECOND = 10_000
@@ -31,14 +31,14 @@
     return Entry(name, f"127.0.0.1:{port}", ZONES[port % 2], "std", state, 1.0, started)._replace(**other)
 
 
-def request_of(message: Message, stream: str, at: int) -> Request:
+def request_of(message: ProxyUpdate, stream: str, at: int) -> Request:
     """What goes over the wire for a message, and nothing else of it."""
     body, digest = Encoder().body(message)
     headers = {
-        STREAM: stream, ORDER: order_field(message.turn, message.lines, at), "content-digest": digest,
-        "if-match": message.base, "onyxhead-result": message.result.tag, "content-type": JSON if message.whole else MERGE_PATCH,
+        STREAM: stream, ORDER: order_field(message.round_number, message.line_cost, at), "content-digest": digest,
+        "if-match": message.base_etag, "onyxhead-result": message.result.etag, "content-type": JSON if message.full else MERGE_PATCH,
     }  # fmt: skip
-    return Request("PUT" if message.whole else "PATCH", "/v1/view", headers, body)
+    return Request("PUT" if message.full else "PATCH", "/v1/view", headers, body)
 
 
 class Rig:
@@ -72,10 +72,10 @@
         self.publish()
 
     def join(self, name: str) -> None:
-        keeper = self.keepers.setdefault(name, Keeper(View.of({("standing", "b0"): line("b0")})))
+        keeper = self.keepers.setdefault(name, Keeper(View.from_entries({("standing", "b0"): line("b0")})))
         keeper.listen_to(name)
-        bound = any(path[0] == "bindings" for path in keeper.view.leaves)
-        held = View.read(json.loads(json.dumps(keeper.view.document())))
+        bound = any(path[0] == "bindings" for path in keeper.view.entries)
+        held = View.from_document(json.loads(json.dumps(keeper.view.to_document())))
         self.house.joins(self.now, Joining(name, ZONES[len(name) % 2], 10.0, not bound, held))
 
     def lose(self, name: str) -> None:
@@ -91,10 +91,10 @@
                 self.deliver(sent)
         return work
 
-    def name(self, sent: Sent[Message]) -> str:
+    def name(self, sent: Sent[ProxyUpdate]) -> str:
         return next(name for name, number in self.house.numbers.items() if number == sent.proxy)
 
-    def deliver(self, sent: Sent[Message]) -> None:
+    def deliver(self, sent: Sent[ProxyUpdate]) -> None:
         name = self.name(sent)
         keeper = self.keepers[name]
         self.house.channel.taken(sent.proxy)
@@ -112,9 +112,9 @@
     def lines(self, name: str, group: str = "read") -> dict[str, int]:
         """What the proxy may pick, with weights."""
         view = self.keepers[name].view
-        table = view.leaves.get(("bindings", group))
-        held = view.kind("standing") if table is None else view.kind("tables", table, "lines")
-        return {b: at["weight"] for b, at in held.items() if ("withdrawn", b) not in view.leaves}
+        table = view.entries.get(("bindings", group))
+        held = view.children("standing") if table is None else view.children("tables", table, "lines")
+        return {b: at["weight"] for b, at in held.items() if ("withdrawn", b) not in view.entries}
 
 
 def line(name: str, weight: int = 1_000_000) -> dict[str, object]:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -21,7 +21,8 @@
 from onyxhead.policy.decisions import TableAssignment, TableChange, Withdrawal
 from onyxhead.policy.inputs import AdmissionMode
 from onyxhead.settings.load import Agent, Log, Route
-from onyxhead.tables.orders import Books, Place
+from onyxhead.tables.addresses import EndpointAddress
+from onyxhead.tables.table_state import TableState
 from onyxhead.tables.view import View
 from tests.fleetrig import line, request_of
 
@@ -30,13 +31,13 @@
 
 def orders() -> tuple[Keeper, list[Request]]:
     """A keeper that listens to stream "s", and two orders that build on each other."""
-    own = Books(("read", "write"), AdmissionMode.FRACTION, 6.0)
-    own.places = {f"b{n}": Place(f"127.0.0.1:{9000 + n}", "north") for n in range(4)}
-    keeper = Keeper(View.of({("standing", "b9"): line("b9")}))
+    own = TableState(("read", "write"), AdmissionMode.FRACTION, 6.0)
+    own.addresses = {f"b{n}": EndpointAddress(f"127.0.0.1:{9000 + n}", "north") for n in range(4)}
+    keeper = Keeper(View.from_entries({("standing", "b9"): line("b9")}))
     keeper.listen_to("s")
     own.join(1, keeper.view)
-    whole = own.messages(1, [TableChange(0, (("b0", 1.0), ("b1", 1.0))), TableAssignment(1, 0, ())])
-    change = own.messages(2, [Withdrawal("b1", True), TableChange(0, (("b2", 0.1),))])
+    whole = own.apply_decisions(1, [TableChange(0, (("b0", 1.0), ("b1", 1.0))), TableAssignment(1, 0, ())])
+    change = own.apply_decisions(2, [Withdrawal("b1", True), TableChange(0, (("b2", 0.1),))])
     return keeper, [request_of(message, "s", 0) for message in (*whole, *change)]
 
 
@@ -45,8 +46,8 @@
     for turn, request in enumerate(made, 1):
         taken = keeper.take(request)
         assert isinstance(taken, Taken) and taken.turn == turn
-        assert keeper.applied(taken).headers["etag"] == taken.view.tag
-    assert set(keeper.view.kind("tables", "t0", "lines")) == {"b0", "b1", "b2"}
+        assert keeper.applied(taken).headers["etag"] == taken.view.etag
+    assert set(keeper.view.children("tables", "t0", "lines")) == {"b0", "b1", "b2"}
 
 
 def changed(request: Request, **headers: str) -> Request:
@@ -93,7 +94,7 @@
     assert isinstance(taken, Taken)
     keeper.applied(taken)
     again = keeper.take(made[0])
-    assert isinstance(again, Response) and again.status == 412 and again.headers["etag"] == keeper.view.tag
+    assert isinstance(again, Response) and again.status == 412 and again.headers["etag"] == keeper.view.etag
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"tag": "x", "view": {}}', b'{"view": {}}', b"[" * 100_000])
@@ -124,7 +125,7 @@
 def test_an_agent_killed_at_any_call_starts_again_on_a_whole_state(
     cut: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    old, new = (View.of({("standing", name): line(name)}) for name in ("b1", "b2"))
+    old, new = (View.from_entries({("standing", name): line(name)}) for name in ("b1", "b2"))
     Tree(settings(tmp_path)).put(old)
     tree, count, lock = Tree(settings(tmp_path)), [0], threading.Lock()
 
@@ -237,7 +238,7 @@
 
 def view(share: float = 1.0, tries: int = 1, rate: float | None = None) -> View:
     level = {"rate": rate, "tries": tries} if rate is not None else {"share": share, "tries": tries}
-    return View.of(
+    return View.from_entries(
         {
             ("bindings", "read"): "1.0", ("tables", "1.0", "lines", "b1"): line("b1", 250_000),
             ("tables", "1.0", "lines", "b2"): line("b2"), ("tables", "1.0", "levels", "read"): level,
@@ -256,7 +257,7 @@
     assert read["policy"]["drop_overloads"][0]["drop_percentage"]["numerator"] == 750_000
     ports = [e["endpoint"]["address"]["socket_address"]["port_value"] for e in write["endpoints"][0]["lb_endpoints"]]
     assert ports == [9003] and "policy" not in write
-    assert document["version_info"] in view(share=0.25).tag
+    assert document["version_info"] in view(share=0.25).etag
 
 
 @pytest.mark.parametrize(
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -9,11 +9,18 @@
 
 import pytest
 
-from onyxhead.fleet.budget import MOST_LENT, Budget, Life, Odd, Strain, read
+from onyxhead.fleet.slow_start_budget import (
+    MAX_GRANTED_FRACTION,
+    Incarnation,
+    IncarnationLoad,
+    MalformedReportError,
+    SlowStartBudget,
+    parse_report,
+)
 from tests.fleetrig import Rig, entry
 
 SECOND = 10_000
-LIFE = Life("b0", 100 * SECOND)
+INCARNATION = Incarnation("b0", 100 * SECOND)
 
 
 class Disk:
@@ -27,68 +34,68 @@
         self.kept = json.loads(json.dumps(loans))
 
 
-def budget(own: str, disk: Disk | None = None, began: int = 0) -> Budget:
+def budget(own: str, disk: Disk | None = None, began: int = 0) -> SlowStartBudget:
     disk = disk or Disk()
-    return Budget(own, began, disk.kept if disk.kept is not None else ([] if began == 0 else None), disk.keep)
+    return SlowStartBudget(own, began, disk.kept if disk.kept is not None else ([] if began == 0 else None), disk.keep)
 
 
-def pass_on(giver: Budget, taker: Budget) -> None:
-    taker.told(giver.own, read(json.loads(json.dumps(giver.word().plain()))))
+def pass_on(giver: SlowStartBudget, taker: SlowStartBudget) -> None:
+    taker.on_report(giver.own_name, parse_report(json.loads(json.dumps(giver.report().plain()))))
 
 
 def test_the_idle_lend_to_the_one_in_a_burst_and_only_what_they_leave() -> None:
     idle, busy = budget("c1"), budget("c2")
-    idle.strained({LIFE: Strain(10.0, 2.0)})
-    busy.strained({LIFE: Strain(10.0, 30.0)})
+    idle.on_loads({INCARNATION: IncarnationLoad(10.0, 2.0)})
+    busy.on_loads({INCARNATION: IncarnationLoad(10.0, 30.0)})
     pass_on(busy, idle)
-    assert [loan.amount for loan in idle.lend()] == [4.0] and idle.lend() == []
+    assert [loan.amount for loan in idle.grant()] == [4.0] and idle.grant() == []
     pass_on(idle, busy)
     pass_on(idle, busy)
-    assert idle.share(LIFE) == pytest.approx(0.6) and busy.share(LIFE) == pytest.approx(1.4)
+    assert idle.share(INCARNATION) == pytest.approx(0.6) and busy.share(INCARNATION) == pytest.approx(1.4)
 
 
 def test_without_news_each_keeps_to_its_lone_bound() -> None:
     alone = budget("c1")
-    alone.strained({LIFE: Strain(10.0, 0.0)})
-    assert alone.lend() == [] and alone.share(LIFE) == 1.0
+    alone.on_loads({INCARNATION: IncarnationLoad(10.0, 0.0)})
+    assert alone.grant() == [] and alone.share(INCARNATION) == 1.0
 
 
 def test_a_loan_that_does_not_reach_the_disk_was_never_made() -> None:
     disk = Disk()
     idle, busy = budget("c1", disk), budget("c2")
-    idle.strained({LIFE: Strain(10.0, 2.0)})
-    busy.strained({LIFE: Strain(10.0, 30.0)})
+    idle.on_loads({INCARNATION: IncarnationLoad(10.0, 2.0)})
+    busy.on_loads({INCARNATION: IncarnationLoad(10.0, 30.0)})
     pass_on(busy, idle)
     disk.full = True
     with pytest.raises(OSError):
-        idle.lend()
-    assert idle.share(LIFE) == 1.0 and idle.word().loans == ()
+        idle.grant()
+    assert idle.share(INCARNATION) == 1.0 and idle.report().grants == ()
 
 
 def test_a_loan_ends_for_both_when_the_backend_is_warm_or_starts_anew() -> None:
     idle, busy = budget("c1"), budget("c2")
-    idle.strained({LIFE: Strain(10.0, 2.0)})
-    busy.strained({LIFE: Strain(10.0, 30.0)})
+    idle.on_loads({INCARNATION: IncarnationLoad(10.0, 2.0)})
+    busy.on_loads({INCARNATION: IncarnationLoad(10.0, 30.0)})
     pass_on(busy, idle)
-    idle.lend()
+    idle.grant()
     pass_on(idle, busy)
-    old = read(idle.word().plain())
-    again = Life("b0", 200 * SECOND)
+    old = parse_report(idle.report().plain())
+    again = Incarnation("b0", 200 * SECOND)
     for each in (idle, busy):
-        each.strained({again: Strain(10.0, 10.0)})
+        each.on_loads({again: IncarnationLoad(10.0, 10.0)})
         assert each.share(again) == 1.0
     # News of the loan that was long on its way brings nothing back.
-    busy.told("c1", old)
-    assert busy.share(again) == 1.0 and not busy.borrowed
+    busy.on_report("c1", old)
+    assert busy.share(again) == 1.0 and not busy.received
 
 
 def test_a_life_with_an_empty_disk_keeps_to_what_no_one_can_have_borrowed() -> None:
     fresh = budget("c1", Disk(), began=300 * SECOND)
-    late = Life("b1", 900 * SECOND)
-    fresh.strained({LIFE: Strain(10.0, 0.0), late: Strain(10.0, 0.0)})
-    assert fresh.share(LIFE) == MOST_LENT and fresh.share(late) == 1.0
-    fresh.lacks["c2"] = {LIFE: 5.0}
-    assert fresh.lend() == []
+    late = Incarnation("b1", 900 * SECOND)
+    fresh.on_loads({INCARNATION: IncarnationLoad(10.0, 0.0), late: IncarnationLoad(10.0, 0.0)})
+    assert fresh.share(INCARNATION) == MAX_GRANTED_FRACTION and fresh.share(late) == 1.0
+    fresh.shortfalls["c2"] = {INCARNATION: 5.0}
+    assert fresh.grant() == []
 
 
 @pytest.mark.parametrize("plain", [None, {}, {"lacks": [], "loans": [[1, 2]]}, {"lacks": [["b", -1, 1]], "loans": []},
@@ -96,8 +103,8 @@
                                    {"lacks": [], "loans": [["a", 1, "b", "c", 1, -3.0]]},
                                    {"lacks": [["b", n, 1] for n in range(20_000)], "loans": []}])  # fmt: skip
 def test_what_is_no_word_is_refused(plain: Any) -> None:
-    with pytest.raises(Odd):
-        read(plain)
+    with pytest.raises(MalformedReportError):
+        parse_report(plain)
 
 
 class Fleet:
@@ -108,20 +115,23 @@
         self.names = [f"c{n}" for n in range(self.chance.randint(2, 5))]
         self.parts = {name: self.chance.uniform(1, 20) for name in self.names}
         self.disks = {name: Disk() for name in self.names}
-        self.members: dict[str, Budget | None] = {name: budget(name, self.disks[name]) for name in self.names}
+        self.members: dict[str, SlowStartBudget | None] = {name: budget(name, self.disks[name]) for name in self.names}
         for disk in self.disks.values():
             disk.kept = []
-        self.lives = {LIFE}
+        self.lives = {INCARNATION}
         self.flying: list[tuple[str, str, Any]] = []
         # What the proxies of those that died may still bring, whatever their successors think.
-        self.left: dict[tuple[str, Life], float] = {}
+        self.left: dict[tuple[str, Incarnation], float] = {}
 
     def lend(self, name: str) -> None:
         if (member := self.members[name]) is not None:
-            member.strained(
-                {life: Strain(self.parts[name], self.chance.uniform(0, 3) * self.parts[name]) for life in self.lives}
+            member.on_loads(
+                {
+                    life: IncarnationLoad(self.parts[name], self.chance.uniform(0, 3) * self.parts[name])
+                    for life in self.lives
+                }
             )
-            member.lend()
+            member.grant()
 
     def step(self) -> None:
         self.now += SECOND // 4
@@ -129,7 +139,7 @@
         member = self.members[name]
         match self.chance.randrange(12):
             case 0 if member is not None:
-                for life in self.lives & member.strains.keys():
+                for life in self.lives & member.loads.keys():
                     self.left[name, life] = max(self.left.get((name, life), 0.0), member.share(life) * self.parts[name])
                 self.members[name] = None
                 if self.chance.random() < 0.3:
@@ -139,22 +149,22 @@
                 if self.disks[name].kept is None:
                     self.disks[name].kept = None
             case 2 if self.chance.random() < 0.1:
-                self.lives = {Life(f"b{self.chance.randrange(3)}", self.now)}
+                self.lives = {Incarnation(f"b{self.chance.randrange(3)}", self.now)}
                 self.left = {key: value for key, value in self.left.items() if key[1] in self.lives}
             case 3 if self.flying:
                 # One word arrives, any of them, and may arrive again.
                 sender, to, plain = self.chance.choice(self.flying)
                 if (taker := self.members[to]) is not None:
-                    taker.told(sender, read(plain))
+                    taker.on_report(sender, parse_report(plain))
             case 4 if len(self.flying) > 20:
                 self.flying = self.flying[10:]
             case _ if member is not None:
                 self.lend(name)
-                self.flying.append((name, other, json.loads(json.dumps(member.word().plain()))))
+                self.flying.append((name, other, json.loads(json.dumps(member.report().plain()))))
                 if (taker := self.members[other]) is not None and self.chance.random() < 0.7:
-                    taker.strained({life: Strain(self.parts[other], 0.0) for life in self.lives} | {
-                        life: strain for life, strain in taker.strains.items() if life in self.lives})  # fmt: skip
-                    taker.told(name, read(copy.deepcopy(member.word().plain())))
+                    taker.on_loads({life: IncarnationLoad(self.parts[other], 0.0) for life in self.lives} | {
+                        life: strain for life, strain in taker.loads.items() if life in self.lives})  # fmt: skip
+                    taker.on_report(name, parse_report(copy.deepcopy(member.report().plain())))
 
     def over(self) -> float:
         """By how much all parts together are beyond what the backend bears."""
@@ -163,7 +173,7 @@
             used = 0.0
             for name, member in self.members.items():
                 now = 0.0 if member is None else member.share(life) * self.parts[name]
-                if member is not None and life not in member.strains:
+                if member is not None and life not in member.loads:
                     now = 0.0
                 used += max(now, self.left.get((name, life), 0.0))
             worst = max(worst, used - sum(self.parts.values()))
@@ -179,13 +189,13 @@
 
 
 def test_the_check_finds_a_lender_that_takes_back_by_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    real = Budget.strained
+    real = SlowStartBudget.on_loads
 
-    def forgets(self: Budget, strains: Any) -> None:
-        self.lent.clear()
+    def forgets(self: SlowStartBudget, strains: Any) -> None:
+        self.granted.clear()
         real(self, strains)
 
-    monkeypatch.setattr(Budget, "strained", forgets)
+    monkeypatch.setattr(SlowStartBudget, "on_loads", forgets)
     found = 0
     for seed in range(40):
         fleet = Fleet(seed)
@@ -198,7 +208,7 @@
 def brought(rig: Rig) -> float:
     """The weight of the cold backend's line that proxies here hold, in parts."""
     return sum(
-        keeper.view.leaves.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"]
+        keeper.view.entries.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"]
         for keeper in rig.keepers.values()
     )
 
@@ -207,7 +217,7 @@
     rigs = {
         name: Rig(backends=4, proxies=4, seed=n, lines_per_second=20_000.0) for n, name in enumerate(("busy", "idle"))
     }
-    budgets = {name: Budget(name, 0, [], Disk().keep) for name in rigs}
+    budgets = {name: SlowStartBudget(name, 0, [], Disk().keep) for name in rigs}
     for step in range(300):
         for name, rig in rigs.items():
             for proxy in rig.house.brain.proxies.values():
@@ -219,7 +229,7 @@
             if shared:
                 rig.house.shared(rig.now, budgets[name])
                 other = "idle" if name == "busy" else "busy"
-                budgets[name].told(other, read(budgets[other].word().plain()))
+                budgets[name].on_report(other, parse_report(budgets[other].report().plain()))
     return brought(rigs["busy"]), [rig.house.brain.backends["b9"].share for rig in rigs.values()]
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,11 +13,11 @@
 import pytest
 
 from onyxhead.controller.daemon import Daemon
-from onyxhead.fleet.coalition import Coalition, News
-from onyxhead.fleet.dial import Dialer
-from onyxhead.fleet.fence import LAST, Fence, Fenced, next_token
-from onyxhead.fleet.membership import Membership, Odd, Packet, Status, read
-from onyxhead.fleet.serving import Member, deal, preference
+from onyxhead.fleet.assignment import Member, assign_proxies, rank_members
+from onyxhead.fleet.controller_selector import ControllerSelector
+from onyxhead.fleet.fencing import MAX_TOKEN, FencingTokenGuard, StaleTokenError, next_token
+from onyxhead.fleet.membership import MalformedPacketError, Membership, Packet, Status, read
+from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Request
 from onyxhead.settings.load import Controller
@@ -147,7 +147,7 @@
             self.member = member
 
         def at(self, now: int) -> int:
-            return int(now * drift[self.member.own]) + jump[self.member.own]
+            return int(now * drift[self.member.own_name]) + jump[self.member.own_name]
 
         def tick(self, now: int) -> list[Packet]:
             return self.member.tick(self.at(now))
@@ -198,9 +198,9 @@
     old = net.members["c1"].tick(net.now + 10 * SECOND)[0]
     net.members["c1"] = net.start("c1")
     net.run(3)
-    known = net.members["c0"].known["c1"]
+    known = net.members["c0"].members["c1"]
     net.members["c0"].receive(old, net.now)
-    assert net.members["c0"].known["c1"] == known and net.agree()
+    assert net.members["c0"].members["c1"] == known and net.agree()
 
 
 def test_two_members_with_one_name_are_told() -> None:
@@ -210,7 +210,7 @@
     for packet in twin.tick(net.now + SECOND):
         net.members["c0"].receive(packet, net.now)
     net.run(3)
-    assert net.members["c1"].twins == {"00002"}
+    assert net.members["c1"].duplicate_boots == {"00002"}
 
 
 @pytest.mark.parametrize(
@@ -218,7 +218,7 @@
     [None, {}, [], {"version": 2, "sender": "c9"}, {"version": 1, "sender": "c0"}, {"version": 1, "updates": [[1]]}],
 )
 def test_what_is_no_packet_or_of_another_version_is_told_apart(given: Any) -> None:
-    with pytest.raises(Odd):
+    with pytest.raises(MalformedPacketError):
         read(given)
 
 
@@ -234,55 +234,55 @@
 
 def test_proxies_are_dealt_by_zone_then_evenly_with_few_moves() -> None:
     six = members(*(f"c{n}" for n in range(6)))
-    dealt = deal(PROXIES, six)
+    dealt = assign_proxies(PROXIES, six)
     loads = Counter(dealt.values())
     assert set(dealt) == set(PROXIES) and max(loads.values()) <= 1.15 * 143 / 6 + 1
     assert sum(six[to].zone == PROXIES[proxy] for proxy, to in dealt.items()) > 0.85 * 143
     five = {name: member for name, member in six.items() if name != "c4"}
-    again = deal(PROXIES, five)
+    again = assign_proxies(PROXIES, five)
     moved = sum(dealt[proxy] != again[proxy] for proxy in PROXIES)
     assert loads["c4"] <= moved <= 2.2 * loads["c4"]
-    assert deal(PROXIES, {}) == {}
+    assert assign_proxies(PROXIES, {}) == {}
 
 
 def test_a_members_part_follows_what_its_channel_carries() -> None:
     two = {"c0": Member("c0", "z0", 3000.0), "c1": Member("c1", "z0", 1000.0)}
-    loads = Counter(deal({f"p{n}": "z0" for n in range(400)}, two).values())
+    loads = Counter(assign_proxies({f"p{n}": "z0" for n in range(400)}, two).values())
     assert 2.2 < loads["c0"] / loads["c1"] < 4.2
 
 
-def coalition(own: str, alive: tuple[str, ...], now: int = 0) -> Coalition:
+def coalition(own: str, alive: tuple[str, ...], now: int = 0) -> OwnershipCoordinator:
     membership = Membership(own, "1", ("c0", "c1", "c2"), Random(1), now)
     for name in alive:
         if name != own:
-            membership.known[name] = membership.known[name]._replace(status=Status.ALIVE, incarnation=0, boot="1")
-    return Coalition(membership, members("c0", "c1", "c2"), now)
+            membership.members[name] = membership.members[name]._replace(status=Status.ALIVE, incarnation=0, boot="1")
+    return OwnershipCoordinator(membership, members("c0", "c1", "c2"), now)
 
 
 def test_a_lone_controller_takes_everyone_and_one_of_several_sends_on() -> None:
-    assert coalition("c0", ()).better("p1", "z1", {}, 0) is None
+    assert coalition("c0", ()).better_owner("p1", "z1", {}, 0) is None
     three = coalition("c0", ("c1", "c2"))
-    assert three.better("p1", "z1", {}, 0) == preference("p1", "z1", three.members)[0] == "c1"
+    assert three.better_owner("p1", "z1", {}, 0) == rank_members("p1", "z1", three.members)[0] == "c1"
     three.membership.leave()
-    assert three.better("p0", "z0", {}, 0) in ("c1", "c2")
+    assert three.better_owner("p0", "z0", {}, 0) in ("c1", "c2")
 
 
 def test_nothing_is_moved_while_members_come_and_go_and_one_at_a_time_after() -> None:
     own = {f"p{n}": f"z{n % 3}" for n in range(9)}
     three = coalition("c0", ("c1", "c2"))
-    assert three.look(0) == []
-    assert three.move(own, SECOND, 100) is None
-    assert three.move(own, 2 * SECOND, 100) is None
-    first = three.move(own, 5 * SECOND, 100)
-    assert first is not None and first[1] in ("c1", "c2") and three.move(own, 5 * SECOND + 50, 100) is None
+    assert three.observe_membership(0) == []
+    assert three.next_handover(own, SECOND, 100) is None
+    assert three.next_handover(own, 2 * SECOND, 100) is None
+    first = three.next_handover(own, 5 * SECOND, 100)
+    assert first is not None and first[1] in ("c1", "c2") and three.next_handover(own, 5 * SECOND + 50, 100) is None
     moved, now, more = {}, 5 * SECOND, first
     while more is not None:
         moved[more[0]] = more[1]
         now += 101
         for name in ("c1", "c2"):
             taken = {p: own[p] for p, to in moved.items() if to == name}
-            three.told(name, News(taken, (), 1, now))
-        more = three.move({p: z for p, z in own.items() if p not in moved}, now, 100)
+            three.on_peer_report(name, PeerReport(taken, (), 1, now))
+        more = three.next_handover({p: z for p, z in own.items() if p not in moved}, now, 100)
     assert {p for p in own if own[p] == "z0"} == own.keys() - moved
 
 
@@ -290,18 +290,20 @@
     own = {f"p{n}": "z0" for n in range(4)}
     three = coalition("c0", ("c1", "c2"))
     three.membership.leave()
-    three.look(0)
-    moves = [three.move({p: z for p, z in own.items() if int(p[1:]) >= n}, 1000 * (n + 1), 100) for n in range(4)]
+    three.observe_membership(0)
+    moves = [
+        three.next_handover({p: z for p, z in own.items() if int(p[1:]) >= n}, 1000 * (n + 1), 100) for n in range(4)
+    ]
     assert [move[0] for move in moves if move] == ["p0", "p1", "p2", "p3"]
 
 
 def test_old_news_is_not_used_and_never_replaces_newer() -> None:
     three = coalition("c0", ("c1",))
-    three.told("c1", News({"p1": "z1"}, ("b1",), 5, 9 * SECOND))
-    three.told("c1", News({}, (), 4, 8 * SECOND))
-    three.told("c9", News({"p2": "z1"}, ("b2",), 5, 9 * SECOND))
-    assert three.withdrawn_elsewhere(10 * SECOND, 2 * SECOND) == {"b1"}
-    assert three.withdrawn_elsewhere(20 * SECOND, 2 * SECOND) == set()
+    three.on_peer_report("c1", PeerReport({"p1": "z1"}, ("b1",), 5, 9 * SECOND))
+    three.on_peer_report("c1", PeerReport({}, (), 4, 8 * SECOND))
+    three.on_peer_report("c9", PeerReport({"p2": "z1"}, ("b2",), 5, 9 * SECOND))
+    assert three.withdrawn_by_peers(10 * SECOND, 2 * SECOND) == {"b1"}
+    assert three.withdrawn_by_peers(20 * SECOND, 2 * SECOND) == set()
     assert three.state(10 * SECOND)["members"]["c2"]["status"] == "never heard"
 
 
@@ -320,7 +322,7 @@
     orders: int
 
 
-def moves(world: World, check: Any = Fence.check) -> list[tuple[World, tuple[int, int] | None]]:
+def moves(world: World, check: Any = FencingTokenGuard.check) -> list[tuple[World, tuple[int, int] | None]]:
     """What may happen next, and the (controller, token) whose order took effect, if one did."""
     out: list[tuple[World, tuple[int, int] | None]] = []
     for who in range(len(world.believes)):
@@ -335,28 +337,28 @@
     for place, (who, token) in enumerate(world.offers):
         rest = world.offers[:place] + world.offers[place + 1 :]
         believes = tuple(token if n == who else t for n, t in enumerate(world.believes))
-        fence = Fence(world.held)
+        fence = FencingTokenGuard(world.held)
         out.append((world._replace(offers=rest, believes=believes), None))  # the answer is lost: only it believes
         try:
-            fence.raise_to(token)
-        except Fenced:
+            fence.advance(token)
+        except StaleTokenError:
             continue
-        out.append((world._replace(offers=rest, believes=believes, held=fence.held, stream=who), None))
+        out.append((world._replace(offers=rest, believes=believes, held=fence.current, stream=who), None))
     for place, (who, token) in enumerate(world.flying):
         rest = world.flying[:place] + world.flying[place + 1 :]
         out.append((world._replace(flying=rest), None))
-        fence = Fence(world.held)
+        fence = FencingTokenGuard(world.held)
         try:
             check(fence, token)
             # Two offers of one token may be out; the stream's own name tells them apart, as on the wire.
             if who == world.stream:
                 out.append((world._replace(flying=rest), (who, token)))
-        except Fenced:
+        except StaleTokenError:
             pass
     return out
 
 
-def explore(check: Any = Fence.check) -> tuple[int, list[str]]:
+def explore(check: Any = FencingTokenGuard.check) -> tuple[int, list[str]]:
     """Every reachable state of two controllers and an agent with three joins and three orders in flight."""
     first = World(0, -1, (), (0, 0), (), 3, 3)
     seen, stack, broken = {first}, [first], list[str]()
@@ -379,54 +381,54 @@
 
 
 def test_a_fence_that_lets_older_orders_through_is_found() -> None:
-    def weak(fence: Fence, token: int) -> None:
-        if token < fence.held - 1:
-            raise Fenced("", fence.held)
+    def weak(fence: FencingTokenGuard, token: int) -> None:
+        if token < fence.current - 1:
+            raise StaleTokenError("", fence.current)
 
     assert explore(weak)[1]
 
 
 def test_the_last_token_is_the_last() -> None:
-    assert next_token(LAST - 1) == LAST
-    with pytest.raises(Fenced, match="used up"):
-        next_token(LAST)
-    fence = Fence(5)
-    for token in (5, 4, LAST + 1):
-        with pytest.raises(Fenced) as caught:
-            fence.raise_to(token)
-        assert caught.value.held == 5
+    assert next_token(MAX_TOKEN - 1) == MAX_TOKEN
+    with pytest.raises(StaleTokenError, match="used up"):
+        next_token(MAX_TOKEN)
+    fence = FencingTokenGuard(5)
+    for token in (5, 4, MAX_TOKEN + 1):
+        with pytest.raises(StaleTokenError) as caught:
+            fence.advance(token)
+        assert caught.value.current == 5
 
 
 # Dialling
 
 
 def test_an_agent_follows_advice_and_insists_when_all_send_it_on() -> None:
-    dialer = Dialer(3)
-    assert dialer.next() == (0, False, 0.0)
-    dialer.sent_on("c0", "c2")
-    assert dialer.next().place == 1
-    dialer.sent_on("c1", "c0")
-    assert dialer.next().place == 0
-    dialer.sent_on("c0", "c1")
-    assert dialer.next().insist
-    dialer.taken("c0")
-    dialer.lost()
-    assert dialer.next() == (0, False, 0.0)
+    dialer = ControllerSelector(3)
+    assert dialer.next_attempt() == (0, False, 0.0)
+    dialer.on_redirected("c0", "c2")
+    assert dialer.next_attempt().position == 1
+    dialer.on_redirected("c1", "c0")
+    assert dialer.next_attempt().position == 0
+    dialer.on_redirected("c0", "c1")
+    assert dialer.next_attempt().insist
+    dialer.on_accepted("c0")
+    dialer.on_disconnected()
+    assert dialer.next_attempt() == (0, False, 0.0)
 
 
 @pytest.mark.parametrize("answers", list(itertools.product("fs", repeat=4)))
 def test_an_agent_asks_every_controller_before_it_insists_and_always_insists_in_the_end(answers: Any) -> None:
-    dialer, asked = Dialer(4), list[int]()
+    dialer, asked = ControllerSelector(4), list[int]()
     for turn in range(40):
-        dial = dialer.next()
+        dial = dialer.next_attempt()
         if dial.insist:
             break
-        asked.append(dial.place)
+        asked.append(dial.position)
         if answers[turn % 4] == "f":
-            dialer.failed()
+            dialer.on_failed()
         else:
-            dialer.sent_on(f"c{dial.place}", f"c{(dial.place + 1) % 4}")
-    assert dialer.next().insist and set(asked) == {0, 1, 2, 3}
+            dialer.on_redirected(f"c{dial.position}", f"c{(dial.position + 1) % 4}")
+    assert dialer.next_attempt().insist and set(asked) == {0, 1, 2, 3}
 
 
 # Daemons
@@ -471,12 +473,12 @@
         await until(lambda: [len(own) for own in served(daemons)] == [2, 2, 2], 10.0)
         await asyncio.sleep(0.8)
         assert [len(own) for own in served(daemons)] == [2, 2, 2]
-        tokens = {agent.settings.name: agent.keeper.fence.held for agent in agents}
+        tokens = {agent.settings.name: agent.keeper.fence.current for agent in agents}
         # One dies; the others take its proxies, under higher tokens.
         lost = served(daemons)[0]
         daemons[0].over.set()
         await until(lambda: set().union(*served(daemons[1:])) == names, 10.0)
-        assert all(a.keeper.fence.held > tokens[a.settings.name] for a in agents if a.settings.name in lost)
+        assert all(a.keeper.fence.current > tokens[a.settings.name] for a in agents if a.settings.name in lost)
         # A member is put in and taken out while all run, and it is on disk.
         address = ("127.0.0.1", daemons[2].settings.listen[1])
         for member in ({"address": "127.0.0.1:9", "zone": "north", "pace": 10}, None, {"address": "x"}):
@@ -485,7 +487,7 @@
             assert told.status == (422 if member == {"address": "x"} else 200)
             if told.status == 200:
                 assert ("c7" in told.json()["members"]) == (member is not None)
-        assert daemons[2].store.kept("fleet members") == {"c7": None}
+        assert daemons[2].store.get("fleet members") == {"c7": None}
         # A planned handover leaves nobody with the one that goes.
         address = ("127.0.0.1", daemons[1].settings.listen[1])
         assert (await ask_once(address, Request("POST", "/v1/fleet/handover", {}, b"{}"), 2.0)).status == 200
@@ -517,7 +519,7 @@
         first.over.set()
         await until(lambda: running.tasks[-1].done())
         again = await running.agent("p1", port)
-        await until(lambda: again.keeper.fence.held == 2 and again.keeper.stream)
+        await until(lambda: again.keeper.fence.current == 2 and again.keeper.stream)
         order = Request("HEAD", "/v1/view", {"onyxhead-stream": again.keeper.stream, "onyxhead-token": "1"})
         refused = await ask_once(again.push, order, 2.0)
         assert refused.status == 409 and refused.headers["onyxhead-token"] == "2"
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -15,8 +15,10 @@
 from onyxhead.controller.ways import run as ask
 from onyxhead.policy.decisions import TableChange
 from onyxhead.store.store import Store
-from onyxhead.tables.history import History, Refused, Truth, Unknown, diff, overlay, plan
-from onyxhead.tables.view import MODULUS, leaf_hash
+from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
+from onyxhead.tables.history import History, diff
+from onyxhead.tables.rollback import CurrentEndpoints, overlay, plan_rollback
+from onyxhead.tables.view import MODULUS, entry_hash
 from tests.fleetrig import SECOND, Rig, request_of
 from tests.test_sockets import Running, list_of, play, port_of, shown, until
 
@@ -34,7 +36,7 @@
         if version is not None:
             plain.append(after)
             assert dict(version.lines) == after and version.number == len(plain)
-            assert version.digest == sum(leaf_hash((str(t), b), n) for (t, b), n in after.items()) % MODULUS
+            assert version.digest == sum(entry_hash((str(t), b), n) for (t, b), n in after.items()) % MODULUS
     one, two = own.find("5"), own.find("80")
     assert {key: new for key, _, new in diff(one.lines, two.lines)} == {
         key: plain[79].get(key, 0) for key in {*plain[4], *plain[79]} if plain[4].get(key, 0) != plain[79].get(key, 0)
@@ -52,7 +54,7 @@
             own.label("good", 4)
     assert own.find("good").number == 4 and len(own.versions) == 6
     for name in ("5", "99", "none"):
-        with pytest.raises(Unknown):
+        with pytest.raises(UnknownVersionError):
             own.find(name)
     for bad in ("", "7", "last"):
         with pytest.raises(ValueError, match="label"):
@@ -70,12 +72,12 @@
 
 
 def test_a_rollback_is_filtered_through_what_is_true_now() -> None:
-    version = version_of(100, a=FULL, gone=FULL, cold=FULL, young=FULL).last
-    truth = Truth({"a": 0, "cold": None, "young": 150, "new": 0})
+    version = version_of(100, a=FULL, gone=FULL, cold=FULL, young=FULL).latest
+    truth = CurrentEndpoints({"a": 0, "cold": None, "young": 150, "new": 0})
     now = lines(a=1, cold=5, young=9, new=FULL)
-    back = plan(version, now, now, truth)
+    back = plan_rollback(version, now, now, truth)
     assert back.lines == lines(a=FULL, cold=5, young=9)
-    assert back.left == {
+    assert back.excluded == {
         "gone": "gone or draining",
         "cold": "started since; it keeps its ramp",
         "young": "started since; it keeps its ramp",
@@ -83,16 +85,16 @@
 
 
 def test_a_rollback_that_would_break_a_rule_or_has_nothing_to_do_is_refused_plainly() -> None:
-    version = version_of(100, a=FULL, b=FULL).last
+    version = version_of(100, a=FULL, b=FULL).latest
     now = lines(a=1, c=FULL)
-    with pytest.raises(Refused, match="no backend of version 1 still serves"):
-        plan(version, now, now, Truth({"c": 0}))
-    with pytest.raises(Refused, match="as in version 1 already"):
-        plan(version, now, lines(a=FULL, b=FULL), Truth({"a": 0, "b": 0}))
+    with pytest.raises(RollbackRejectedError, match="no backend of version 1 still serves"):
+        plan_rollback(version, now, now, CurrentEndpoints({"c": 0}))
+    with pytest.raises(RollbackRejectedError, match="as in version 1 already"):
+        plan_rollback(version, now, lines(a=FULL, b=FULL), CurrentEndpoints({"a": 0, "b": 0}))
     two = now | {(1, "c"): FULL}
-    with pytest.raises(Refused, match="table 1 would be left with no warm backend"):
-        plan(version, two, two, Truth({"a": 0, "b": 0, "c": 0}))
-    assert overlay(Map(), now, Truth({}), 0, [0]) == {}
+    with pytest.raises(RollbackRejectedError, match="table 1 would be left with no warm backend"):
+        plan_rollback(version, two, two, CurrentEndpoints({"a": 0, "b": 0, "c": 0}))
+    assert overlay(Map(), now, CurrentEndpoints({}), 0, [0]) == {}
 
 
 # In the house
@@ -106,7 +108,7 @@
     """All proxies on a table in which somebody has made b1 and b2 carry nearly nothing."""
     rig = Rig(proxies=4)
     rig.run(2)
-    messages = rig.house.books.messages(0, [TableChange(0, (("b1", 0.001), ("b2", 0.001)))])
+    messages = rig.house.books.apply_decisions(0, [TableChange(0, (("b1", 0.001), ("b2", 0.001)))])
     for message in messages:
         rig.house._send(rig.now, message)
     rig.run(0.5)
@@ -119,7 +121,7 @@
     rolled(rig)
     rig.run(1)
     assert all(rig.lines(name) == {f"b{n}": FULL for n in range(6)} for name in rig.keepers)
-    with pytest.raises(Refused, match="already"):
+    with pytest.raises(RollbackRejectedError, match="already"):
         rolled(rig)
     rig.set("b3", "draining")
     rig.run(1)
@@ -154,9 +156,9 @@
 def test_a_rollback_at_size_goes_out_within_the_channels_share() -> None:
     rig = Rig(backends=60, proxies=30, lines_per_second=3000.0, max_queued_lines=3000.0)
     rig.run(4)
-    first = rig.house.history.last.number
+    first = rig.house.history.latest.number
     changed = tuple((f"b{n}", 0.5) for n in range(50))
-    for message in rig.house.books.messages(0, [TableChange(0, changed)]):
+    for message in rig.house.books.apply_decisions(0, [TableChange(0, changed)]):
         rig.house._send(rig.now, message)
     rig.run(2)
     rolled(rig, str(first))
@@ -193,7 +195,7 @@
     rig.join(name)
     rig.run(1)
     assert rig.lines(name)["b1"] == FULL
-    with pytest.raises(Refused, match="on trial already"):
+    with pytest.raises(RollbackRejectedError, match="on trial already"):
         rig.house.try_version(rig.now, "1", 0.25, 5.0)
 
 
@@ -203,7 +205,7 @@
         report(rig, number, **{name: 20})
         rig.run(0.5)
     rig.run(1)
-    assert rig.house.canary is None and rig.house.pin is None and not rig.house.books.apart
+    assert rig.house.canary is None and rig.house.pin is None and not rig.house.books.canary_proxies
     assert rig.lines(name)["b1"] == 1000
     assert any("worse than the others" in told for work in rig.works for told in work.remarks)
 
@@ -224,7 +226,7 @@
         rig.run(0.5)
     assert rig.house.canary is not None
     rig.run(4)
-    assert rig.house.canary is None and rig.house.pin is not None and not rig.house.books.apart
+    assert rig.house.canary is None and rig.house.pin is not None and not rig.house.books.canary_proxies
     assert all(rig.lines(each)["b1"] == FULL for each in [name, *others])
 
 
@@ -236,8 +238,8 @@
         fair, poor = (Canary(1, frozenset({"a"}), 0, 1) for _ in range(2))
         for _ in range(30):
             for each, loss in ((fair, 0.05), (poor, 0.25)):
-                each.count("a", 20, sum(chance.random() < loss for _ in range(20)))
-                each.count("z", 80, sum(chance.random() < 0.05 for _ in range(80)))
+                each.record("a", 20, sum(chance.random() < loss for _ in range(20)))
+                each.record("z", 80, sum(chance.random() < 0.05 for _ in range(80)))
             wrong += fair.verdict() is Verdict.WORSE
         late += poor.verdict() is not Verdict.WORSE
     assert late == 0 and wrong < 0.01 * 300 * 30
@@ -246,8 +248,8 @@
 def test_tables_that_are_pinned_stay_as_they_are_but_for_what_rules_demand() -> None:
     rig = Rig(proxies=2)
     rig.run(2)
-    assert rig.house.freeze(rig.now, 60.0) == rig.house.history.last.number
-    for message in rig.house.books.messages(0, [TableChange(0, (("b1", 0.001),))]):
+    assert rig.house.freeze(rig.now, 60.0) == rig.house.history.latest.number
+    for message in rig.house.books.apply_decisions(0, [TableChange(0, (("b1", 0.001),))]):
         rig.house._send(rig.now, message)
     rig.set("b2", "draining")
     rig.run(2)
@@ -277,19 +279,19 @@
 def test_the_longest_run_of_sound_versions_is_used_and_what_was_lost_is_told(tmp_path: Path) -> None:
     own = Store(tmp_path)
     for number in range(1, 9):
-        own.version(number, 1, number * 10, "x", [[0, "b", number]])
+        own.append_version(number, 1, number * 10, "x", [[0, "b", number]])
     own.close()
     again = Store(tmp_path)
-    assert [row[0] for row in again.versions()] == list(range(1, 9)) and not again.notes
+    assert [row[0] for row in again.load_versions()] == list(range(1, 9)) and not again.warnings
     again.close()
     with sqlite3.connect(tmp_path / "onyxhead.db") as db:
         db.execute("update versions set changes = replace(changes, '6', '7') where number = 6")
     broken = Store(tmp_path)
-    assert [row[0] for row in broken.versions()] == [1, 2, 3, 4, 5] and "version 6" in broken.notes[0]
+    assert [row[0] for row in broken.load_versions()] == [1, 2, 3, 4, 5] and "version 6" in broken.warnings[0]
     broken.close()
     history = History()
     rows = [(1, 1, 0, "", lines(a=1)), (2, 1, 0, "", lines(a=2)), (4, 1, 0, "", lines(a=4))]
-    assert history.restore(rows) == 2 and dict(history.last.lines) == lines(a=2)
+    assert history.restore(rows) == 2 and dict(history.latest.lines) == lines(a=2)
 
 
 def test_a_wrong_table_is_undone_by_command_over_sockets_and_versions_outlive_the_controller(tmp_path: Path) -> None:
@@ -299,7 +301,7 @@
         controller = await running.controller()
         await running.agent("p1", port_of(controller))
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        good = controller.house.history.last.number
+        good = controller.house.history.latest.number
         entries = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north", "weight": 1} for n in (1, 2, 3)]
         list_of(tmp_path, 2, [entries[0] | {"weight": 0.01}, entries[1] | {"weight": 0.01}, entries[2]])
         await until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
@@ -323,7 +325,7 @@
         await until(lambda: running.tasks[0].done())
         second = await running.controller()
         assert second.house.history.find("good").number == good
-        assert second.house.history.last.number > good and SECOND == 10_000
+        assert second.house.history.latest.number > good and SECOND == 10_000
 
     play(tmp_path, work)
 
@@ -336,18 +338,18 @@
     first.run(2)
     second.set("b3", "draining")
     second.run(2)
-    one, two = first.house.history.last, second.house.history.last
-    assert one.number == two.number and one.tag != two.tag
+    one, two = first.house.history.latest, second.house.history.latest
+    assert one.number == two.number and one.digest_hex != two.digest_hex
     # The proxy is handed over; an order of the first controller's version, late on its way, finds another view.
-    late = first.house.books.messages(77, [TableChange(0, (("b2", 0.5),))])[0]
+    late = first.house.books.apply_decisions(77, [TableChange(0, (("b2", 0.5),))])[0]
     second.keepers = {"p0": first.keepers["p0"]}
     second.join("p0")
     second.run(2)
-    held = second.keepers["p0"].view.tag
+    held = second.keepers["p0"].view.etag
     refused = second.keepers["p0"].take(request_of(late, "p0", second.now))
-    assert not isinstance(refused, Taken) and refused.status == 412 and second.keepers["p0"].view.tag == held
+    assert not isinstance(refused, Taken) and refused.status == 412 and second.keepers["p0"].view.etag == held
     # By that number each controller finds its own version, and what it would bring back.
-    assert second.house.history.find(str(two.number)).tag == two.tag
-    with pytest.raises(Refused, match="already"):
+    assert second.house.history.find(str(two.number)).digest_hex == two.digest_hex
+    with pytest.raises(RollbackRejectedError, match="already"):
         second.house.roll_back(second.now, str(two.number), 60.0)
     assert {b for _, b in first.house.history.find(str(one.number)).lines} == {"b0", "b2", "b3", "b4"}
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -16,7 +16,7 @@
 from onyxhead.controller.roster import Follower, Roster, Unlisted, read
 from onyxhead.policy.decisions import TableChange, Withdrawal
 from onyxhead.policy.inputs import ChannelLimits, WatchEvent
-from onyxhead.tables.orders import Place
+from onyxhead.tables.addresses import EndpointAddress
 from onyxhead.tables.view import View
 from tests.fleetrig import SECOND, ZONES, Rig, entry, line, request_of
 
@@ -201,7 +201,7 @@
 def test_a_drain_told_while_forty_wait_for_full_tables_reaches_all_within_the_grace() -> None:
     rig = Rig(backends=30, lines_per_second=1500.0, max_queued_lines=4000.0)
     for number in range(40):
-        rig.keepers[f"p{number}"] = Keeper(View.of({("standing", "b3"): line("b3")}))
+        rig.keepers[f"p{number}"] = Keeper(View.from_entries({("standing", "b3"): line("b3")}))
         rig.join(f"p{number}")
     rig.run(0.1)
     rig.set("b3", "draining")
@@ -235,7 +235,7 @@
     rig.lose("p0")
     rig.slow.clear()
     rig.join("p0")
-    assert rig.house.books.views[rig.house.number("p0")].tag == rig.keepers["p0"].view.tag
+    assert rig.house.books.views[rig.house.number("p0")].etag == rig.keepers["p0"].view.etag
     rig.run(2)
     assert rig.lines("p0") == rig.lines("p1") and "b2" not in rig.lines("p0")
 
@@ -245,7 +245,7 @@
     way = {"lines_per_second": 1050.0, "max_queued_lines": 2100.0}
     first = Rig(backends=60, **way)
     for number in range(100):
-        first.keepers[f"p{number}"] = Keeper(View.of({("standing", "b0"): line("b0")}))
+        first.keepers[f"p{number}"] = Keeper(View.from_entries({("standing", "b0"): line("b0")}))
         first.join(f"p{number}")
     first.run(90)
     assert all(len(first.lines(name)) == 60 for name in first.keepers)
@@ -268,7 +268,7 @@
     assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.keepers)
     # Bound again well before whole tables could have been sent: 100 x 69 lines take 6.6 s, beside 2.8 s of withdrawals.
     second.run(6.4 - after - grace)
-    assert all(second.house.books.bound(proxy) for proxy in second.house.joined)
+    assert all(second.house.books.tables_of(proxy) for proxy in second.house.joined)
     second.run(12)
     assert all(len(second.lines(name)) == 45 for name in second.keepers)
 
@@ -283,7 +283,7 @@
     sent = [each for _ in range(100) for each in rig.step().leaving if rig.name(each) == "p0"]
     assert 0 < sum(each.lines for each in sent) < 30
     assert rig.lines("p0") == rig.lines("p1") and len(rig.lines("p0")) == 29
-    assert rig.house.books.views[rig.house.number("p0")].tag == rig.keepers["p0"].view.tag
+    assert rig.house.books.views[rig.house.number("p0")].etag == rig.keepers["p0"].view.etag
 
 
 def test_a_slow_proxy_delays_no_one_and_is_given_up() -> None:
@@ -301,7 +301,7 @@
 def test_an_agent_that_holds_another_view_is_given_up_and_gets_the_whole_at_its_next_join() -> None:
     rig = Rig(proxies=2)
     rig.run(2)
-    rig.keepers["p0"].view = rig.keepers["p0"].view.set(("withdrawn", "b1"), True)
+    rig.keepers["p0"].view = rig.keepers["p0"].view.with_entry(("withdrawn", "b1"), True)
     rig.set("b5", "draining")
     rig.run(1)
     assert rig.house.number("p0") not in rig.house.joined
@@ -322,12 +322,14 @@
     rig = Rig(backends=6, proxies=1, max_queued_lines=40.0, lines_per_second=10_000.0)
     rig.run(1)
     number = rig.house.number("p0")
-    message = rig.house.books.messages(9, [TableChange(0, tuple((f"b{n % 6}", 1 + n / 100) for n in range(60)))])[0]
+    message = rig.house.books.apply_decisions(
+        9, [TableChange(0, tuple((f"b{n % 6}", 1 + n / 100) for n in range(60)))]
+    )[0]
     rig.house._send(rig.now, message)
     assert number not in rig.house.joined and rig.house.counts["refused by the limit"] == 1
     rig.join("p0")
     rig.run(2)
-    assert rig.house.books.views[number].tag == rig.keepers["p0"].view.tag
+    assert rig.house.books.views[number].etag == rig.keepers["p0"].view.etag
 
 
 def test_a_backend_that_moves_to_another_address_is_withdrawn_before_it_is_listed_anew() -> None:
@@ -335,10 +337,10 @@
     rig.run(2)
     rig.entries["b1"] = entry("b1", address="127.0.0.1:7777", started=rig.now / SECOND)
     rig.publish()
-    assert rig.house.books.withdrawn and rig.house.books.places["b1"] == Place("127.0.0.1:7777", ZONES[1])
+    assert rig.house.books.withdrawn and rig.house.books.addresses["b1"] == EndpointAddress("127.0.0.1:7777", ZONES[1])
     rig.run(3)
     held = rig.keepers["p0"].view
-    lines = held.kind("tables", "t0", "lines")
+    lines = held.children("tables", "t0", "lines")
     assert lines["b1"]["address"] == "127.0.0.1:7777" and lines["b1"]["weight"] < 1_000_000
 
 
@@ -366,7 +368,7 @@
     rig.run(25)
     up = {b for b, e in rig.entries.items() if e.state == "ready"}
     for name, keeper in rig.keepers.items():
-        assert keeper.view.tag == rig.house.books.views[rig.house.number(name)].tag
+        assert keeper.view.etag == rig.house.books.views[rig.house.number(name)].etag
         assert set(rig.lines(name)) == up
     assert rig.most <= rig.start.channel.max_queued_lines
 
@@ -376,13 +378,13 @@
     rig.run(3)
     rig.set("b2", "draining")
     rig.run(3)
-    assert all(("withdrawn", "b2") in keeper.view.leaves for keeper in rig.keepers.values())
-    before = {name: keeper.view.tag for name, keeper in rig.keepers.items()}
-    told = rig.house.books.messages(99, [Withdrawal("b2", True)])
-    assert told == [] and before == {name: keeper.view.tag for name, keeper in rig.keepers.items()}
+    assert all(("withdrawn", "b2") in keeper.view.entries for keeper in rig.keepers.values())
+    before = {name: keeper.view.etag for name, keeper in rig.keepers.items()}
+    told = rig.house.books.apply_decisions(99, [Withdrawal("b2", True)])
+    assert told == [] and before == {name: keeper.view.etag for name, keeper in rig.keepers.items()}
     # A line of a withdrawn backend, as held tables might bring it, never comes without its withdrawal.
     for keeper in rig.keepers.values():
-        assert "b2" not in keeper.view.kind("tables", "t0", "lines")
+        assert "b2" not in keeper.view.children("tables", "t0", "lines")
     rig.join("p9")
-    messages = rig.house.books.messages(100, [TableChange(0, (("b2", 1.0),))])
-    assert messages and all(("withdrawn", "b2") in message.result.leaves for message in messages)
+    messages = rig.house.books.apply_decisions(100, [TableChange(0, (("b2", 1.0),))])
+    assert messages and all(("withdrawn", "b2") in message.result.entries for message in messages)
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -614,7 +614,7 @@
             desk.commit("u", 1)
         await until(lambda: shown(tmp_path, "p1") == {9001, 9002, 9003, 9004}, 12.0)
         number = controller.house.number("p1")
-        await until(lambda: controller.house.books.views[number].tag == agent.keeper.view.tag)
+        await until(lambda: controller.house.books.views[number].etag == agent.keeper.view.etag)
 
     play(tmp_path, work)
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -144,7 +144,7 @@
         assert second.house.epoch == 2
         agent.settings = agent.settings._replace(controllers=(("127.0.0.1", port_of(second)),))
         await until(lambda: shown(tmp_path, "p1") == {9002, 9003})
-        await until(lambda: second.house.books.views[0].tag == agent.keeper.view.tag)
+        await until(lambda: second.house.books.views[0].etag == agent.keeper.view.etag)
 
     play(tmp_path, work)
 
@@ -191,9 +191,9 @@
         number = controller.house.number("p1")
         from onyxhead.policy.decisions import TableChange
 
-        (one,) = controller.house.books.messages(90, [TableChange(0, (("b1", 0.5),))])
+        (one,) = controller.house.books.apply_decisions(90, [TableChange(0, (("b1", 0.5),))])
         controller.house.books.views[number] = agent.keeper.view
-        (two,) = controller.house.books.messages(91, [TableChange(0, (("b2", 0.25),))])
+        (two,) = controller.house.books.apply_decisions(91, [TableChange(0, (("b2", 0.25),))])
         from tests.fleetrig import request_of
 
         asked = [request_of(each, agent.keeper.stream, 0) for each in (one, two)]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,25 +11,26 @@
 import pytest
 
 from onyxhead.store import store as module
-from onyxhead.store.store import Store, Unusable
+from onyxhead.store.errors import StoreUnavailableError
+from onyxhead.store.store import Store
 
 
 def filled(folder: Path) -> Store:
     own = Store(folder, lambda: 100.0)
-    own.heard_list(7, b"list")
-    own.proxy("p1", 3, "north", '"t"', 9)
-    own.withdrew("b1", True)
-    own.withdrew("b2", True)
-    own.withdrew("b2", False)
-    own.ordered(1, 9, ["list: 2 changes"], [["withdraw", "b1"]])
+    own.save_endpoint_list(7, b"list")
+    own.save_proxy("p1", 3, "north", '"t"', 9)
+    own.save_withdrawal("b1", True)
+    own.save_withdrawal("b2", True)
+    own.save_withdrawal("b2", False)
+    own.append_decisions(1, 9, ["list: 2 changes"], [["withdraw", "b1"]])
     return own
 
 
 def test_the_next_life_knows_what_the_last_one_wrote(tmp_path: Path) -> None:
     filled(tmp_path).close()
     own = Store(tmp_path)
-    assert own.remembered == (2, b"list", 100.0, {"p1": 3}, {"b1": 100.0})
-    (order,) = own.orders(5)
+    assert own.recovered == (2, b"list", 100.0, {"p1": 3}, {"b1": 100.0})
+    (order,) = own.recent_decisions(5)
     assert (order["turn"], order["causes"], order["decisions"]) == (9, ["list: 2 changes"], [["withdraw", "b1"]])
     own.close()
 
@@ -37,7 +38,7 @@
 def test_every_life_has_an_epoch_of_its_own_also_after_a_kill(tmp_path: Path) -> None:
     text = (
         "import os, sys; from pathlib import Path; from onyxhead.store.store import Store\n"
-        "print(Store(Path(sys.argv[1])).remembered.epoch, flush=True); os.kill(os.getpid(), 9)"
+        "print(Store(Path(sys.argv[1])).recovered.epoch, flush=True); os.kill(os.getpid(), 9)"
     )
     epochs = [
         int(subprocess.run([sys.executable, "-c", text, str(tmp_path)], capture_output=True, check=False).stdout)
@@ -58,7 +59,7 @@
     for end in ("-wal", "-shm"):
         path.with_name(path.name + end).unlink(missing_ok=True)
     own = Store(tmp_path)
-    assert own.remembered.list_body is None and own.notes and list(tmp_path.glob("*.broken-*"))
+    assert own.recovered.endpoint_list is None and own.warnings and list(tmp_path.glob("*.broken-*"))
     own.close()
 
 
@@ -73,21 +74,21 @@
         raise sqlite3.OperationalError("database or disk is full")
 
     own._connect = full  # type: ignore[method-assign]
-    own.heard_list(8, b"kept")
+    own.save_endpoint_list(8, b"kept")
     until = time.monotonic() + 5
-    while not own.failing and time.monotonic() < until:
+    while not own.write_error and time.monotonic() < until:
         time.sleep(0.01)
-    assert "full" in own.failing
+    assert "full" in own.write_error
     own._connect = real  # type: ignore[method-assign]
     own.close()
     again = Store(tmp_path)
-    assert again.remembered.list_body == b"kept"
+    assert again.recovered.endpoint_list == b"kept"
     again.close()
 
 
 def test_a_folder_that_can_not_be_had_is_one_plain_message(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    with pytest.raises(Unusable, match="file"):
+    with pytest.raises(StoreUnavailableError, match="file"):
         Store(tmp_path / "file" / "state")
 
 
@@ -97,7 +98,7 @@
         db.execute("update orders set decisions = replace(decisions, 'b1', 'b7')")
         db.execute("insert into orders (at, epoch, turn, causes, decisions) values (1.0, 1, 8, '[]', '[]')")
     own = Store(tmp_path)
-    older, flipped = own.orders(5)
+    older, flipped = own.recent_decisions(5)
     assert (older["sound"], flipped["sound"], flipped["decisions"]) == (None, False, [])
     own.close()
 
@@ -107,9 +108,9 @@
     with sqlite3.connect(tmp_path / "onyxhead.db") as db:
         db.execute("alter table orders drop column digest")
     own = Store(tmp_path)
-    own.ordered(2, 10, ["time"], [])
+    own.append_decisions(2, 10, ["time"], [])
     own.close()
-    assert [each["sound"] for each in Store(tmp_path).orders(5)] == [True, None]
+    assert [each["sound"] for each in Store(tmp_path).recent_decisions(5)] == [True, None]
 
 
 PAGE, FRAME, HEAD = 4096, 4096 + 24, 32
@@ -127,12 +128,12 @@
     held.execute("select count(*) from versions").fetchall()
     states: list[list[int]] = [[]]
     for number in range(1, 15):
-        own.version(number, 1, number, "time", [[0, f"b{number}", 1]])
+        own.append_version(number, 1, number, "time", [[0, f"b{number}", 1]])
         until = time.monotonic() + 5
-        while (rows := [row[0] for row in own.versions()])[-1:] != [number] and time.monotonic() < until:
+        while (rows := [row[0] for row in own.load_versions()])[-1:] != [number] and time.monotonic() < until:
             time.sleep(0.002)
         time.sleep(0.02)
-        states.append([row[0] for row in own.versions()])
+        states.append([row[0] for row in own.load_versions()])
     assert len(states[-1]) < 14 and rows
     before, log = (folder / "onyxhead.db").read_bytes(), (folder / "onyxhead.db-wal").read_bytes()
     held.close()
@@ -157,7 +158,7 @@
     (folder / "onyxhead.db").write_bytes(body)
     (folder / "onyxhead.db-wal").write_bytes(log)
     again = Store(folder)
-    found = [row[0] for row in again.versions()]
-    assert not again.notes, again.notes
+    found = [row[0] for row in again.load_versions()]
+    assert not again.warnings, again.warnings
     again.close()
     return found
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -11,8 +11,11 @@
 
 from onyxhead.policy.decisions import TableAssignment, TableChange, Withdrawal
 from onyxhead.policy.inputs import AdmissionMode
-from onyxhead.tables.orders import Books, Message, Place, fold
-from onyxhead.tables.view import Malformed, View, nested, read_patch
+from onyxhead.tables.addresses import EndpointAddress
+from onyxhead.tables.errors import MalformedViewError
+from onyxhead.tables.table_state import TableState
+from onyxhead.tables.updates import ProxyUpdate, coalesce
+from onyxhead.tables.view import View, nested, parse_merge_patch
 from tests.fleetrig import line
 
 NAMES = st.sampled_from([f"b{n}" for n in range(6)])
@@ -32,22 +35,22 @@
 def test_a_view_made_by_changes_is_the_view_made_at_once(steps: list[dict[tuple[str, ...], int | None]]) -> None:
     view, plain = View.EMPTY, dict[tuple[str, ...], Any]()
     for step in map(leaves, steps):
-        view = view.apply(read_patch(json.loads(json.dumps(nested(step)))))
+        view = view.apply(parse_merge_patch(json.loads(json.dumps(nested(step)))))
         plain = {p: v for p, v in (plain | step).items() if v is not None}
-    assert view == View.of(plain) and view.tag == View.of(plain).tag
-    assert View.read(json.loads(json.dumps(view.document()))).tag == view.tag
+    assert view == View.from_entries(plain) and view.etag == View.from_entries(plain).etag
+    assert View.from_document(json.loads(json.dumps(view.to_document()))).etag == view.etag
 
 
 @given(CHANGES, CHANGES)
 def test_changes_between_two_views_lead_from_one_to_the_other(one: Any, two: Any) -> None:
     before, after = View.EMPTY.apply(leaves(one)), View.EMPTY.apply(leaves(two))
-    assert before.apply(before.changes_to(after)).tag == after.tag
-    assert (before.tag == after.tag) == (before == after)
+    assert before.apply(before.changes_to(after)).etag == after.etag
+    assert (before.etag == after.etag) == (before == after)
 
 
 def test_weights_that_differ_by_one_part_have_other_tags() -> None:
-    one = View.of({("standing", "b1"): line("b1", 1_000_000)})
-    assert one.tag != one.set(("standing", "b1"), line("b1", 1_000_001)).tag
+    one = View.from_entries({("standing", "b1"): line("b1", 1_000_000)})
+    assert one.etag != one.with_entry(("standing", "b1"), line("b1", 1_000_001)).etag
 
 
 @pytest.mark.parametrize(
@@ -62,37 +65,37 @@
     ],
 )  # fmt: skip
 def test_what_is_no_view_is_refused_whole(document: Any) -> None:
-    with pytest.raises(Malformed):
-        View.read(document)
+    with pytest.raises(MalformedViewError):
+        View.from_document(document)
 
 
-def books() -> Books:
-    made = Books(("read", "write"), AdmissionMode.FRACTION, 6.0)
-    made.places = {f"b{n}": Place(f"127.0.0.1:{9000 + n}", "north") for n in range(5)}
+def books() -> TableState:
+    made = TableState(("read", "write"), AdmissionMode.FRACTION, 6.0)
+    made.addresses = {f"b{n}": EndpointAddress(f"127.0.0.1:{9000 + n}", "north") for n in range(5)}
     return made
 
 
 def test_an_assignment_sends_the_whole_table_once_and_counts_its_lines() -> None:
     own = books()
-    own.messages(0, [TableChange(0, (("b0", 1.0), ("b1", 0.5)))])
-    own.join(7, View.of({("standing", "b4"): line("b4")}))
-    (message,) = own.messages(1, [Withdrawal("b1", True), TableAssignment(7, 0, ())])
-    assert message.whole and message.lines == 6 + 1 + (1 + 2 + 1) + 1
-    assert message.result.kind("tables", "t0", "lines")["b1"]["weight"] == 500_000
-    assert message.result.kind("withdrawn") == {"b1": True} and not message.result.kind("standing")
+    own.apply_decisions(0, [TableChange(0, (("b0", 1.0), ("b1", 0.5)))])
+    own.join(7, View.from_entries({("standing", "b4"): line("b4")}))
+    (message,) = own.apply_decisions(1, [Withdrawal("b1", True), TableAssignment(7, 0, ())])
+    assert message.full and message.line_cost == 6 + 1 + (1 + 2 + 1) + 1
+    assert message.result.children("tables", "t0", "lines")["b1"]["weight"] == 500_000
+    assert message.result.children("withdrawn") == {"b1": True} and not message.result.children("standing")
 
 
 def test_a_change_goes_to_users_of_its_table_only_and_a_withdrawal_to_all() -> None:
     own = books()
-    own.messages(0, [TableChange(0, (("b0", 1.0), ("b1", 1.0)))])
+    own.apply_decisions(0, [TableChange(0, (("b0", 1.0), ("b1", 1.0)))])
     own.join(1, View.EMPTY)
-    own.join(2, View.of({("standing", "b0"): line("b0")}))
-    own.messages(1, [TableAssignment(1, 0, ())])
-    assert [m.proxy for m in own.messages(2, [TableChange(0, (("b2", 0.1),))])] == [1]
-    shut = own.messages(3, [Withdrawal("b0", True)])
-    assert [m.proxy for m in shut] == [1, 2] and all(m.urgent and not m.whole for m in shut)
-    assert shut[1].document() == {"withdrawn": {"b0": True}}
-    assert own.views[2] == View.of({("standing", "b0"): line("b0"), ("withdrawn", "b0"): True})
+    own.join(2, View.from_entries({("standing", "b0"): line("b0")}))
+    own.apply_decisions(1, [TableAssignment(1, 0, ())])
+    assert [m.proxy for m in own.apply_decisions(2, [TableChange(0, (("b2", 0.1),))])] == [1]
+    shut = own.apply_decisions(3, [Withdrawal("b0", True)])
+    assert [m.proxy for m in shut] == [1, 2] and all(m.urgent and not m.full for m in shut)
+    assert shut[1].to_document() == {"withdrawn": {"b0": True}}
+    assert own.views[2] == View.from_entries({("standing", "b0"): line("b0"), ("withdrawn", "b0"): True})
 
 
 @given(st.lists(st.tuples(st.booleans(), CHANGES), min_size=1, max_size=6))
@@ -101,18 +104,18 @@
     run = []
     for turn, (whole, step) in enumerate(steps):
         before, changes = view, leaves(step)
-        view = View.of({p: v for p, v in changes.items() if v is not None}) if whole else view.apply(changes)
-        run.append(Message(1, turn, whole, before.tag, view, changes, 9.0, False))
-    one = fold(run)
-    assert one.base == base.tag and one.result is view and one.turn == len(steps) - 1
-    document = json.loads(json.dumps(one.document()))
-    assert (View.read(document) if one.whole else base.apply(read_patch(document))).tag == view.tag
+        view = View.from_entries({p: v for p, v in changes.items() if v is not None}) if whole else view.apply(changes)
+        run.append(ProxyUpdate(1, turn, whole, before.etag, view, changes, 9.0, False))
+    one = coalesce(run)
+    assert one.base_etag == base.etag and one.result is view and one.round_number == len(steps) - 1
+    document = json.loads(json.dumps(one.to_document()))
+    assert (View.from_document(document) if one.full else base.apply(parse_merge_patch(document))).etag == view.etag
 
 
 def test_a_small_weight_never_becomes_no_line_and_zero_takes_it_away() -> None:
     own = books()
     own.join(1, View.EMPTY)
-    own.messages(1, [TableChange(0, (("b0", 1e-9),)), TableAssignment(1, 0, ())])
-    assert own.views[1].kind("tables", "t0", "lines")["b0"]["weight"] == 1
-    own.messages(2, [TableChange(0, (("b0", 0.0),))])
-    assert not own.views[1].kind("tables", "t0", "lines")
+    own.apply_decisions(1, [TableChange(0, (("b0", 1e-9),)), TableAssignment(1, 0, ())])
+    assert own.views[1].children("tables", "t0", "lines")["b0"]["weight"] == 1
+    own.apply_decisions(2, [TableChange(0, (("b0", 0.0),))])
+    assert not own.views[1].children("tables", "t0", "lines")
