--- a/onyxhead/agent/daemon.py
+++ b/onyxhead/agent/daemon.py
@@ -281,12 +281,15 @@
         """The name of the controller that took it. Raises SentOn, StaleTokenError, OSError and what else may fail."""
         view = self.keeper.view
         body = {
-            "zone": self.settings.zone, "usual": self.settings.usual,
+            "zone": self.settings.zone,
+            "usual": self.settings.usual,
             "standing": not any(path[0] == "bindings" for path in view.entries),
-            "held": view.to_document(), "push": "{}:{}".format(*self.push),
-            "token": self.keeper.fence.current, "insist": insist,
+            "held": view.to_document(),
+            "push": "{}:{}".format(*self.push),
+            "token": self.keeper.fence.current,
+            "insist": insist,
             "silence": self.settings.silence,
-        }  # fmt: skip
+        }
         request = answer(200, body)
         target = f"/v1/proxies/{self.settings.name}"
         # What an older stream still brings is refused from here on, so that nothing changes what was just told.
--- a/onyxhead/store/store.py
+++ b/onyxhead/store/store.py
@@ -51,9 +51,15 @@
 """.replace("value) strict", "value any) strict")
 
 NOT_ITS_FAULT = {
-    sqlite3.SQLITE_CANTOPEN, sqlite3.SQLITE_FULL, sqlite3.SQLITE_READONLY, sqlite3.SQLITE_IOERR,
-    sqlite3.SQLITE_BUSY, sqlite3.SQLITE_LOCKED, sqlite3.SQLITE_PERM, sqlite3.SQLITE_NOMEM,
-}  # fmt: skip
+    sqlite3.SQLITE_CANTOPEN,
+    sqlite3.SQLITE_FULL,
+    sqlite3.SQLITE_READONLY,
+    sqlite3.SQLITE_IOERR,
+    sqlite3.SQLITE_BUSY,
+    sqlite3.SQLITE_LOCKED,
+    sqlite3.SQLITE_PERM,
+    sqlite3.SQLITE_NOMEM,
+}
 """What the disk or another process may do to a file that is whole."""
 
 Write = tuple[str, tuple[Any, ...]]
@@ -170,8 +176,13 @@
         self._put(
             "insert into proxies values (?, ?, ?, ?, ?, ?) on conflict (name) do update set"
             " zone = excluded.zone, tag = excluded.tag, turn = excluded.turn, seen = excluded.seen",
-            name, number, zone, tag, round_number, self.wall(),
-        )  # fmt: skip
+            name,
+            number,
+            zone,
+            tag,
+            round_number,
+            self.wall(),
+        )
 
     def save_withdrawal(self, backend: str, withdrawn: bool) -> None:
         if withdrawn:
@@ -183,8 +194,9 @@
         row = self.wall(), epoch, round_number, json.dumps(list(causes)), json.dumps(decisions)
         self._put(
             "insert into orders (at, epoch, turn, causes, decisions, digest) values (?, ?, ?, ?, ?, ?)",
-            *row, _record(*row),
-        )  # fmt: skip
+            *row,
+            _record(*row),
+        )
         if round_number % COMPACT_EVERY == 0:
             self._put(f"delete from orders where number <= (select max(number) - {ORDERS_KEPT} from orders)")
 
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -35,9 +35,13 @@
     """What goes over the wire for a message, and nothing else of it."""
     body, digest = Encoder().body(message)
     headers = {
-        STREAM: stream, ORDER: order_field(message.round_number, message.line_cost, at), "content-digest": digest,
-        "if-match": message.base_etag, "onyxhead-result": message.result.etag, "content-type": JSON if message.full else MERGE_PATCH,
-    }  # fmt: skip
+        STREAM: stream,
+        ORDER: order_field(message.round_number, message.line_cost, at),
+        "content-digest": digest,
+        "if-match": message.base_etag,
+        "onyxhead-result": message.result.etag,
+        "content-type": JSON if message.full else MERGE_PATCH,
+    }
     return Request("PUT" if message.full else "PATCH", "/v1/view", headers, body)
 
 
