--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -152,7 +152,7 @@
             sent, paced = len(told), (house.channel.limits.message_overhead + 2) * len(told) / fleet.pace
             await until(lambda: all(f"b{drained}" not in lines for lines in house.books.tables.values()))
             # Not the newest turn: that may have gone to one that joins alone.
-            turn, began = max(house.brain.backends[f"b{drained}"].versions.values()), time.perf_counter()
+            turn, began = max(house.brain.endpoints.by_id[f"b{drained}"].changed_in_round.values()), time.perf_counter()
             await until(lambda: all(done[0] >= turn for done in list(house.applied.values())))
             changes.append(time.perf_counter() - began)
             await asyncio.sleep(0.6)
--- /dev/null
+++ b/onyxhead/policy/subsetting.py
@@ -0,0 +1,176 @@
+"""Splits proxies and backends into subsets with narrow tables of their own.
+
+Two conditions call for subsets: full tables for all proxies would take the channel longer than the drain grace, or
+backends accept too few connections. `docs/design.md` (departure 8) says when each acts.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Sequence
+
+from onyxhead.policy.attempt_statistics import FleetStatistics
+from onyxhead.policy.endpoints import Backend
+from onyxhead.policy.inputs import Deployment, Endpoint
+from onyxhead.policy.proxies import Proxy
+from onyxhead.policy.slow_start import SlowStart
+from onyxhead.policy.tables import Table, lay_out_tables
+from onyxhead.policy.thresholds import CONNECTION_FAILURES, OVERLOAD_LOSS
+from onyxhead.time_units import TICKS_PER_SECOND
+
+#: Backends of a table at least; with fewer, differences of speed no longer even out.
+MIN_TABLE_BACKENDS = 12
+#: After this the subsets for few connections end, since nothing tells that their cause has gone.
+CONNECTION_LIMIT_DURATION_TICKS = 30 * TICKS_PER_SECOND
+
+
+class Subsetting:
+    """The tables in use, and the subsets that they are for."""
+
+    def __init__(self, deployment: Deployment, feedback_delay: int, slow_start: SlowStart, now: int) -> None:
+        self.count = 1
+        #: Whether the subsets are those for few connections.
+        self.connection_limited = False
+        self._base_tables = lay_out_tables(deployment)
+        #: The tables of all subsets, those of one base table together.
+        self.tables = self._base_tables
+        self._parts: list[list[Table]] = [[table] for table in self._base_tables]
+        self._backends_per_table = _backends_per_table(deployment)
+        self._drain_grace = deployment.safety.drain_grace
+        self._feedback_delay = feedback_delay
+        self._slow_start = slow_start
+        self._repartitioned_at = now
+
+    def tables_of(self, backend: Backend) -> list[Table]:
+        return [table for table in self.tables if table.accepts(backend)]
+
+    def tables_for(self, proxy: Proxy) -> list[Table]:
+        return [table for table in self.tables if table.serves(proxy)]
+
+    def least_busy_subset(self, proxies: Collection[Proxy]) -> int:
+        """The subset for a proxy that joins: that with the lowest baseline rate."""
+        rates = [0.0] * self.count
+        for proxy in proxies:
+            rates[proxy.subset] += proxy.baseline_rate
+        return rates.index(min(rates))
+
+    def least_loaded_subset(self, entry: Endpoint, ready: Sequence[Backend]) -> int:
+        """The subset for a new backend: that with the fewest of its zone, then of its kind, then of all.
+
+        All subsets need some backends of each zone, as whole zones are lost, and some of each kind.
+        """
+        counts = [(0, 0, 0)] * self.count
+        for backend in ready:
+            # The backend's subset may date from when there were more of them.
+            subset = backend.subset % self.count
+            in_zone, of_kind, total = counts[subset]
+            counts[subset] = (in_zone + (backend.zone == entry.zone), of_kind + (backend.kind == entry.kind), total + 1)
+        return counts.index(min(counts))
+
+    def update(
+        self,
+        now: int,
+        ready: Sequence[Backend],
+        last_departure: int,
+        proxies: Collection[Proxy],
+        fleet: FleetStatistics,
+    ) -> None:
+        """Repartitions if one of the two conditions began or ended, or a subset lost all its backends."""
+        candidates = [[backend for backend in ready if table.allows_zone(backend.zone)] for table in self._base_tables]
+        channel_counts = [max(1, round(len(each) / self._backends_per_table)) for each in candidates]
+        if self._must_repartition(now, candidates, channel_counts, last_departure):
+            self.repartition(now, channel_counts, False, ready, proxies)
+        quiet_from = max(
+            self._repartitioned_at + 2 * self._feedback_delay, last_departure + self._slow_start.warmup_time
+        )
+        few_connections = fleet.failure_fraction > CONNECTION_FAILURES and fleet.late_fraction < OVERLOAD_LOSS
+        if not few_connections or now <= quiet_from or self.connection_limited:
+            return
+        # Each repartition costs all tables again: one backend a subset at once. But each subset needs a warm one for
+        # each table.
+        warm_counts = [sum(self._is_warm(backend, now) for backend in each) for each in candidates]
+        count = min(len(proxies), *warm_counts)
+        if count > self.count:
+            self.repartition(now, [count] * len(self._base_tables), True, ready, proxies)
+
+    def _must_repartition(
+        self, now: int, candidates: Sequence[Sequence[Backend]], channel_counts: Sequence[int], last_departure: int
+    ) -> bool:
+        members = [
+            (table, [backend for backend in each if table.accepts(backend)], each)
+            for parts, each in zip(self._parts, candidates, strict=True)
+            for table in parts
+        ]
+        if self.connection_limited:
+            lacks_warm = any(not any(self._is_warm(b, now) for b in accepted) for _, accepted, _ in members)
+            ended = now > self._repartitioned_at + CONNECTION_LIMIT_DURATION_TICKS
+            return lacks_warm or last_departure > self._repartitioned_at or ended
+        # A subset may lose all its backends where they come and go, while another one has some to spare.
+        empty = any(not accepted and len(each) >= table.subset_count for table, accepted, each in members)
+        grown = max(channel_counts) >= 2 * self.count
+        return grown or (empty and now > self._repartitioned_at + self._drain_grace)
+
+    def _is_warm(self, backend: Backend, now: int) -> bool:
+        return self._slow_start.warmup_fraction(backend, now) == 1
+
+    def repartition(
+        self,
+        now: int,
+        counts: Sequence[int],
+        connection_limited: bool,
+        ready: Sequence[Backend],
+        proxies: Collection[Proxy],
+    ) -> None:
+        """Splits each base table into so many subsets, and deals out proxies and backends by what comes to each."""
+        self.count = max(counts)
+        self.connection_limited = connection_limited
+        self._repartitioned_at = now
+        self._lay_out_parts(counts)
+        rates = self._deal_proxies(proxies)
+        self._deal_backends(now, ready, rates)
+
+    def _lay_out_parts(self, counts: Sequence[int]) -> None:
+        number = self.tables[-1].number
+        self._parts = []
+        for base, count in zip(self._base_tables, counts, strict=True):
+            parts = []
+            for subset in range(count):
+                number += 1
+                parts.append(Table(number, base.zones, base.home_zone, base.groups, subset, count))
+            self._parts.append(parts)
+        self.tables = [table for parts in self._parts for table in parts]
+
+    def _deal_proxies(self, proxies: Collection[Proxy]) -> list[float]:
+        """Gives the busiest proxies out first, each to the least busy subset; returns the rates of the subsets."""
+        rates = [0.0] * self.count
+        for proxy in sorted(proxies, key=lambda each: (-sum(each.rates), each.id)):
+            proxy.bound = False
+            proxy.subset = rates.index(min(rates))
+            rates[proxy.subset] += sum(proxy.rates)
+        return rates
+
+    def _deal_backends(self, now: int, ready: Sequence[Backend], rates: Sequence[float]) -> None:
+        # Warm ones that most tables accept come first: a subset without one leaves its proxies without a backend.
+        def order(backend: Backend) -> tuple[bool, int, int, int, str]:
+            accepting = sum(table.allows_zone(backend.zone) for table in self._base_tables)
+            return not self._is_warm(backend, now), -accepting, backend.zone, backend.kind, backend.id
+
+        weights = [0.0] * self.count
+
+        def need(subset: int) -> tuple[bool, float]:
+            return weights[subset] == 0, (rates[subset] or 1) / (weights[subset] + 1)
+
+        for backend in sorted(ready, key=order):
+            backend.subset = max(range(self.count), key=need)
+            weights[backend.subset] += backend.weight
+
+
+def _backends_per_table(deployment: Deployment) -> float:
+    """How many backends a table may hold so that full tables for all proxies fit into the drain grace.
+
+    That is the case to prepare for: the other controllers die, and all proxies join this one.
+    """
+    channel = deployment.channel
+    lines_in_grace = channel.lines_per_second * deployment.safety.drain_grace / TICKS_PER_SECOND
+    lines_per_proxy = lines_in_grace / max(1, deployment.proxy_count)
+    # Beside the message overhead: the acknowledgement request, the assignment, and an admission level for each group.
+    return max(MIN_TABLE_BACKENDS, lines_per_proxy - (channel.message_overhead + 1) - 1 - len(deployment.groups))
--- /dev/null
+++ b/onyxhead/policy/table_changes.py
@@ -0,0 +1,130 @@
+"""Sends the lines that should have another weight, those first that move the most requests."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import NamedTuple
+
+from onyxhead.policy.channel_budget import CHANGE_QUEUE_FRACTION, ChannelBudget
+from onyxhead.policy.decisions import TableChange, Withdrawal
+from onyxhead.policy.endpoints import Backend, EndpointRegistry
+from onyxhead.policy.line_weights import LineWeights, is_significant
+from onyxhead.policy.proxies import ProxyRegistry
+from onyxhead.policy.request_rates import RequestRates
+from onyxhead.policy.slow_start import RAMP_STEPS, SlowStart
+from onyxhead.policy.subsetting import Subsetting
+from onyxhead.time_units import TICKS_PER_SECOND
+
+#: A rate in requests a second above all others, for lines that go first.
+HIGHEST_RATE = 1e6
+#: Changes wait while more than one part in so many of their own queue limit is not acknowledged.
+BUSY_DIVISOR = 4
+
+
+class LineChange(NamedTuple):
+    """New weights of a backend's lines, by table, and the requests a second that they move."""
+
+    moved_rate: float
+    backend: Backend
+    lines: dict[int, float]
+
+
+class TableUpdater:
+    """Decides which lines to send in a round."""
+
+    def __init__(
+        self,
+        channel: ChannelBudget,
+        endpoints: EndpointRegistry,
+        proxies: ProxyRegistry,
+        subsets: Subsetting,
+        slow_start: SlowStart,
+        weights: LineWeights,
+        now: int,
+    ) -> None:
+        self.last_sent = now - TICKS_PER_SECOND
+        self._channel = channel
+        self._endpoints = endpoints
+        self._proxies = proxies
+        self._subsets = subsets
+        self._slow_start = slow_start
+        self._weights = weights
+
+    def send_changes(self, now: int, rates: RequestRates) -> Iterator[Withdrawal | TableChange]:
+        """Reserves and yields as many changes as fit, and the end of the withdrawal of backends that returned."""
+        if self._must_wait(now):
+            return
+        bound = self._proxies.bound()
+        users = {table.number: table.users(self._proxies.by_id.values()) for table in self._subsets.tables}
+        room = self._channel.available(CHANGE_QUEUE_FRACTION, bound) * len(bound)
+        # Where all that is ready has returned, waiting until all proxies are bound would leave them bare for good.
+        hold_returning = self._all_tables_usable() and len(bound) < len(self._proxies)
+        chosen: dict[int, list[tuple[str, float]]] = {}
+        for _, backend, lines in self._due_changes(now, rates, hold_returning):
+            returning = backend.returning
+            lines_per_user = 2 if returning else 1  # the line, and the end of the withdrawal
+            room -= sum(len(users[number]) for number in lines) * lines_per_user
+            if room < 0:
+                break
+            for number, weight in lines.items():
+                self._channel.reserve(lines_per_user, users[number])
+                backend.lines[number] = weight
+                backend.changed_in_round[number] = self._channel.round_number + 1
+                backend.restart_measurement(now + self._channel.max_delay)
+                chosen.setdefault(number, []).append((backend.id, weight))
+            if returning:
+                backend.withdrawn_at = 0
+                yield Withdrawal(backend.id, False)
+        for number, sent in chosen.items():
+            self.last_sent = now
+            yield TableChange(number, tuple(sent))
+
+    def _must_wait(self, now: int) -> bool:
+        """Whether too much is unacknowledged: many small messages would be mostly overhead, and a slow channel must
+        keep room for what cannot wait. A message that reached nobody is never acknowledged, so not for ever."""
+        channel = self._channel
+        last = max(channel.last_sent, channel.last_acknowledged)
+        if now >= last + 2 * channel.max_delay + TICKS_PER_SECOND:
+            return False
+        return channel.queued() > CHANGE_QUEUE_FRACTION * channel.max_queued_lines / BUSY_DIVISOR
+
+    def _all_tables_usable(self) -> bool:
+        """Whether each table has a line of a backend that is ready and not withdrawn."""
+        usable = [backend for backend in self._endpoints.ready() if not backend.withdrawn_at]
+        return all(
+            any(table.accepts(backend) and backend.lines[table.number] for backend in usable)
+            for table in self._subsets.tables
+        )
+
+    def _due_changes(self, now: int, rates: RequestRates, hold_returning: bool) -> list[LineChange]:
+        found: list[LineChange] = []
+        for backend in self._endpoints.by_id.values():
+            if backend.returning:
+                # Its line comes with the end of the withdrawal, so no standing table may hold it at full weight.
+                lines = self._returning_lines(backend, now)
+                if any(lines.values()) and not hold_returning:
+                    found.append(LineChange(HIGHEST_RATE, backend, lines))
+            else:
+                found += self._changed_lines(backend, now, rates)
+        return sorted(found, key=lambda change: -change.moved_rate)
+
+    def _returning_lines(self, backend: Backend, now: int) -> dict[int, float]:
+        lines = {}
+        for table in self._subsets.tables_of(backend):
+            weight = self._weights.weight(backend, table, now)
+            lines[table.number] = self._ramped(backend, weight, backend.lines[table.number], now)
+        return lines
+
+    def _changed_lines(self, backend: Backend, now: int, rates: RequestRates) -> Iterator[LineChange]:
+        for table in self._subsets.tables_of(backend):
+            sent = backend.lines[table.number]
+            weight = self._ramped(backend, self._weights.weight(backend, table, now), sent, now)
+            if is_significant(weight, sent):
+                rate = abs(weight - sent) * (rates.per_weight[table.number] or HIGHEST_RATE)
+                yield LineChange(rate if backend.ready else 0.0, backend, {table.number: weight})
+
+    def _ramped(self, backend: Backend, weight: float, sent: float, now: int) -> float:
+        """The weight that a line may get now: that of a warming backend rises by one step a round at most."""
+        if self._slow_start.warmup_fraction(backend, now) < 1:
+            return min(weight, sent + backend.weight / RAMP_STEPS)
+        return weight
--- /dev/null
+++ b/onyxhead/policy/warmup_limits.py
@@ -0,0 +1,105 @@
+"""Keeps what all tables together bring to a warming backend below what it bears, however few are warm."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from onyxhead.policy.attempt_statistics import FleetStatistics
+from onyxhead.policy.endpoints import Backend
+from onyxhead.policy.inputs import Deployment
+from onyxhead.policy.line_weights import LineWeights
+from onyxhead.policy.request_rates import RequestRates
+from onyxhead.policy.slow_start import SlowStart
+from onyxhead.policy.tables import Table
+from onyxhead.policy.thresholds import EXCESS_LOSS
+
+#: Of the load that makes a warming backend fail, the part it may get; the rest is for chance and late reports.
+OVERLOAD_MARGIN = 0.5
+#: Where proxies eject backends after n failures, the bearable load shrinks by 1 + this / n: the newest backend,
+#: which has not failed yet, then gets what the others lose.
+EJECTION_FAILURE_SCALE = 6
+#: The fraction of failed attempts from which ejection counts whole.
+FULL_EJECTION_FAILURES = 0.1
+#: The least fraction of backends, in effect, that ejection leaves to bear the requests.
+MIN_REMAINING_FRACTION = 0.2
+#: Limiting one backend brings more to the others, so the limits are found by repetition.
+LIMIT_ITERATIONS = 8
+
+
+class WarmupLimiter:
+    """Sets `warmup_limit` of the backends."""
+
+    def __init__(self, deployment: Deployment, slow_start: SlowStart, weights: LineWeights) -> None:
+        ejection_failures = deployment.proxy_ejection_failures
+        self._ejects = ejection_failures > 0
+        self._ejection_effect = EJECTION_FAILURE_SCALE / ejection_failures if ejection_failures else 0.0
+        self._bearable_load = deployment.safety.overload_factor * OVERLOAD_MARGIN
+        self._slow_start = slow_start
+        self._weights = weights
+
+    @property
+    def least_bearable_load(self) -> float:
+        """What a backend bears, as a multiple of its normal load, while proxies eject others."""
+        return self._bearable_load / (1 + self._ejection_effect)
+
+    def limit(
+        self, now: int, ready: Sequence[Backend], tables: Sequence[Table], rates: RequestRates, fleet: FleetStatistics
+    ) -> float:
+        """Sets the limits; returns the fraction of requests that may be admitted so that they hold."""
+        expected = sum(rates.expected[table.number] for table in tables)
+        # Attempts count, not requests, and what proxies eject leaves more for the others.
+        attempts_per_request = max(1.0, fleet.attempt_rate / expected if expected else 1.0)
+        strain = attempts_per_request / max(MIN_REMAINING_FRACTION, 1 - fleet.recent_failure_fraction)
+        fractions = [self._slow_start.warmup_fraction(backend, now) for backend in ready]
+        warming = [each for each in zip(ready, fractions, strict=True) if each[1] < 1]
+        weight = sum(backend.weight * fraction for backend, fraction in zip(ready, fractions, strict=True))
+        more_than_usual = expected > rates.baseline_per_weight * weight
+        hold = 2 * len(warming) < len(ready) and self._must_hold(more_than_usual, fleet)
+        for backend, fraction in zip(ready, fractions, strict=True):
+            backend.warmup_limit = 0.0 if hold and fraction < 1 else 1.0
+        return self._find_limits(now, ready, warming, tables, rates, strain, fleet.recent_failure_fraction)
+
+    def _must_hold(self, more_than_usual: bool, fleet: FleetStatistics) -> bool:
+        """Whether warming backends get nothing yet: where proxies eject, those that have not failed would get all."""
+        tolerated = EXCESS_LOSS / 2 if more_than_usual else EXCESS_LOSS
+        return self._ejects and fleet.recent_failure_fraction > tolerated
+
+    def _find_limits(
+        self,
+        now: int,
+        ready: Sequence[Backend],
+        warming: Sequence[tuple[Backend, float]],
+        tables: Sequence[Table],
+        rates: RequestRates,
+        strain: float,
+        failure_fraction: float,
+    ) -> float:
+        # Where next to nothing fails nobody is ejected, and a fleet that grows needs its warming backends.
+        ejection = self._ejection_effect * min(1.0, failure_fraction / FULL_EJECTION_FAILURES)
+        bearable_load = self._bearable_load / (1 + ejection)
+        admissible = 1.0
+        for iteration in range(LIMIT_ITERATIONS if warming else 0):
+            admissible = 1.0
+            per_weight = self._rates_per_weight(now, ready, tables, rates, strain)
+            for backend, fraction in warming:
+                accepting = [table for table in tables if table.accepts(backend)]
+                load = sum(per_weight[t.number] * self._weights.weight(backend, t, now) for t in accepting)
+                normal = bearable_load * rates.baseline_per_weight * backend.weight
+                bearable = normal * backend.health_weight * fraction
+                if iteration == 0:
+                    backend.unlimited_load = load / bearable if bearable else 0.0
+                bearable *= backend.budget_share
+                if load > bearable:
+                    admissible = min(admissible, bearable / load)
+                    backend.warmup_limit *= bearable / load
+        return admissible
+
+    def _rates_per_weight(
+        self, now: int, ready: Sequence[Backend], tables: Sequence[Table], rates: RequestRates, strain: float
+    ) -> dict[int, float]:
+        """What a unit of line weight would attract with the limits so far, by table."""
+        per_weight = {}
+        for table in tables:
+            weight = sum(self._weights.weight(backend, table, now) for backend in ready if table.accepts(backend))
+            per_weight[table.number] = rates.expected[table.number] * strain / weight if weight else 0.0
+        return per_weight
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -131,6 +131,10 @@
         self.queue += [(self.muxes[p], p, cost, orders, turn) for p, (cost, orders) in messages.items()]
         return made
 
+    def repartition(self, count: int, connection_limited: bool) -> None:
+        proxies = self.brain.proxies.by_id.values()
+        self.brain.subsets.repartition(self.now, [count], connection_limited, self.brain.endpoints.ready(), proxies)
+
     def cost(self, decision: Decision) -> dict[int, float]:
         """Lines at each proxy, and what the order changes in the controller's own books."""
         match decision:
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -30,7 +30,7 @@
     """Every backend answers 20 tries a second in 0.1 s, but for the (failed, mean) of those named; to each proxy come so
     many flows a second."""
     for _ in range(seconds):
-        for backend, known in rig.brain.backends.items():
+        for backend, known in rig.brain.endpoints.by_id.items():
             if known.ready:
                 failed, mean = bad.get(backend, bad.get("all", (0, 1000)))
                 rig.met(backend, 20, failed, mean)
@@ -135,7 +135,7 @@
 def test_a_new_backend_starts_with_the_part_that_its_kind_can_bear() -> None:
     rig = fleet(8, 1)
     for _ in range(4):
-        for place, backend in enumerate(rig.brain.backends):
+        for place, backend in enumerate(rig.brain.endpoints.by_id):
             rig.met(backend, 20, busy=0.9 if place % 2 == 0 else 0.4)
         rig.run(1)
     rig.hear(ready("new", kind=0))
@@ -146,7 +146,7 @@
 def test_parts_stay_where_all_are_too_busy() -> None:
     rig = fleet(6, 1)
     for _ in range(8):
-        for backend in rig.brain.backends:
+        for backend in rig.brain.endpoints.by_id:
             rig.met(backend, 20, busy=1.0)
         rig.run(1)
     assert set(rig.muxes[1].lines().values()) == {1.0}
@@ -155,7 +155,7 @@
 def test_a_full_backend_steps_down_by_its_own_report_before_it_fails() -> None:
     rig = fleet(6, 1)
     for _ in range(4):
-        for backend in rig.brain.backends:
+        for backend in rig.brain.endpoints.by_id:
             rig.met(backend, 20, busy=1.0 if backend == "b1" else 0.5)
         rig.run(1)
     assert rig.muxes[1].lines()["b1"] < 0.8
@@ -200,7 +200,7 @@
     for second in range(9):
         rig.hear(ready(f"n{second}"))
         rig.run(1)
-    assert len(rig.brain.proxies[1].written) <= 4
+    assert len(rig.brain.proxies.by_id[1].message_times) <= 4
 
 
 def test_a_refused_subscription_is_asked_again_and_the_old_list_stands() -> None:
@@ -214,9 +214,9 @@
 def test_levels_order_no_second_try_that_might_be_a_second_effect() -> None:
     unsafe = group(RetrySafety.NOT_IDEMPOTENT)
     loose = deployment(unsafe, group(RetrySafety.DEDUPLICATED), group(), default_retry_mode=2)
-    assert Rig(loose, []).brain.tries == [1, 1, 2]
+    assert Rig(loose, []).brain.admission.retry_modes == [1, 1, 2]
     strict = loose._replace(safety=loose.safety._replace(rejection_may_have_effect=True))
-    assert Rig(strict, []).brain.tries == [0, 0, 2]
+    assert Rig(strict, []).brain.admission.retry_modes == [0, 0, 2]
 
 
 def test_odd_news_changes_nothing() -> None:
@@ -235,7 +235,7 @@
 
 def test_groups_with_the_same_backends_share_a_table_and_others_have_their_own() -> None:
     start = deployment(group(), group(), group(allowed_zones=frozenset((0, 1))), group(home_zone_only=True))
-    assert [(table.zones, table.home, table.groups) for table in Rig(start, []).brain.tables] == [
+    assert [(table.zones, table.home_zone, table.groups) for table in Rig(start, []).brain.subsets.tables] == [
         (None, None, [0, 1]),
         (frozenset((0, 1)), None, [2]),
         (frozenset((0,)), 0, [3]),
@@ -290,7 +290,7 @@
     for proxy in range(1, 20):
         rig.leave(proxy)
     rig.run(3)
-    assert len(rig.brain.unanswered) < 5 and len(rig.tables[0]) - list(rig.tables[0].values()).count(0) == 8
+    assert len(rig.brain.channel.unacknowledged) < 5 and len(rig.tables[0]) - list(rig.tables[0].values()).count(0) == 8
 
 
 def test_a_table_open_to_few_keeps_its_lines_though_all_of_its_backends_are_too_busy() -> None:
@@ -298,7 +298,7 @@
     rig = Rig(start, [ready(f"b{n}", zone=n % 3) for n in range(9)])
     rig.join(1, "b0")
     for _ in range(20):
-        for place, backend in enumerate(rig.brain.backends):
+        for place, backend in enumerate(rig.brain.endpoints.by_id):
             rig.met(backend, 20, busy=1.0 if place % 3 == 0 else 0.2)
         rig.run(1)
     assert max(rig.tables[1].values()) == 1
@@ -313,7 +313,7 @@
     for proxy in range(20, 80):
         rig.join(proxy, "b0", "b11")
     rig.run(12)
-    assert all(mux.ordered for mux in rig.muxes.values()) and not rig.brain.unanswered
+    assert all(mux.ordered for mux in rig.muxes.values()) and not rig.brain.channel.unacknowledged
 
 
 def test_levels_and_full_tables_wait_for_withdrawals_that_many_joiners_must_hear() -> None:
@@ -344,7 +344,7 @@
             )
             rig.met(f"b{n}", 20, 20 if dark else 0, 100)
         rig.run(1)
-    assert rig.brain.cells == 1 and rig.brain.failed < 0.1
+    assert rig.brain.subsets.count == 1 and rig.brain.fleet.failure_fraction < 0.1
 
 
 def test_levels_are_cut_to_seven_tenths_of_what_was_served_and_no_further() -> None:
@@ -353,7 +353,7 @@
     lowest = []
     for _ in range(12):
         report(rig, 1, all=(10, 12_000))
-        lowest.append(rig.brain.target)
+        lowest.append(rig.brain.admission.target_rate)
     cut = [target for target in lowest if target]
     # The first cut is to four fifths; the most that was served fades by a two-hundredth a second.
     assert cut and min(cut) > 0.82 * cut[0]
@@ -376,7 +376,7 @@
     rig = fleet(9, 1, 2, health_checks_allowed=True)
     report(rig, 3, flows=90)
     told(rig, 3, all=12_000)
-    assert rig.levels[0, 0][0] < 1 and rig.brain.slow < 0.1
+    assert rig.levels[0, 0][0] < 1 and rig.brain.fleet.late_fraction < 0.1
     told(rig, 4)
     assert rig.levels[0, 0][0] == 1
 
@@ -385,17 +385,17 @@
     rig = fleet(9, 1, 2, health_checks_allowed=True)
     report(rig, 3, flows=90)
     told(rig, 6, b0=30_000, b1=30_000, b2=30_000, b3=30_000)
-    assert rig.brain.let_in == 1
+    assert rig.brain.admission.admitted_fraction == 1
 
 
 def test_levels_go_back_to_sums_when_probes_fall_silent() -> None:
     rig = fleet(9, 1, 2, health_checks_allowed=True)
     report(rig, 3, flows=90)
     told(rig, 2)
-    assert rig.brain.told
+    assert rig.brain.admission.uses_health_checks
     told(rig, 3, all=0)
     report(rig, 6, flows=90, all=(10, 12_000))
-    assert not rig.brain.told and rig.levels[0, 0][0] < 1
+    assert not rig.brain.admission.uses_health_checks and rig.levels[0, 0][0] < 1
 
 
 def test_probes_come_twice_as_often_only_where_they_tell_how_long_answers_take() -> None:
@@ -410,12 +410,12 @@
 def test_a_little_lateness_takes_little_though_backends_look_full() -> None:
     rig = fleet(8, 1, 2)
     for _ in range(6):
-        for backend in rig.brain.backends:
+        for backend in rig.brain.endpoints.by_id:
             rig.met(backend, 4, 0, 5_000, busy=1.0)
         for proxy in rig.muxes:
             rig.brain.on_request_rate(rig.now, proxy, 0, 10, SECOND)
         rig.run(1)
-    assert 0.1 < rig.brain.late < 0.2 and 0.85 < rig.levels[0, 0][0] < 1
+    assert 0.1 < rig.brain.admission.late_fraction < 0.2 and 0.85 < rig.levels[0, 0][0] < 1
 
 
 def test_a_rate_level_holds_also_groups_that_are_let_in_whole() -> None:
@@ -427,7 +427,7 @@
     rig.run(1)
     report(rig, 3)
     report(rig, 3, all=(10, 12_000))
-    assert rig.brain.levels[0] == 1 and rig.levels[0, 0][0] < 1e6
+    assert rig.brain.admission.levels[0] == 1 and rig.levels[0, 0][0] < 1e6
 
 
 def test_what_is_said_again_to_those_that_join_starts_with_the_latest() -> None:
@@ -454,16 +454,16 @@
     rig.run(1)
     report(rig, 4)
     report(rig, 12, all=(14, 1000))
-    assert 1 < rig.brain.cells <= 4
-    for table in rig.brain.tables:
-        assert any(table.takes(backend) for backend in rig.brain.backends.values()), table.number
+    assert 1 < rig.brain.subsets.count <= 4
+    for table in rig.brain.subsets.tables:
+        assert any(table.accepts(backend) for backend in rig.brain.endpoints.by_id.values()), table.number
 
 
 def test_a_cell_whose_only_backend_leaves_is_not_left_bare() -> None:
     rig = fleet(12, *range(12))
     report(rig, 4)
     report(rig, 12, all=(14, 1000))
-    assert rig.brain.cells == 12
+    assert rig.brain.subsets.count == 12
     rig.hear(*(gone(f"b{n}") for n in range(6)))
     bare = 0
     for _ in range(60):
@@ -502,9 +502,9 @@
     rig = fleet(10, 1)
     report(rig, 4, flows=200)
     report(rig, 8, flows=200, all=(10, 12_000))
-    assert rig.brain.let_in < 1
-    coming = rig.brain.flows[0]
-    assert coming > 1.2 * rig.brain.levels[0] * 200
+    assert rig.brain.admission.admitted_fraction < 1
+    coming = rig.brain.rates.expected[0]
+    assert coming > 1.2 * rig.brain.admission.levels[0] * 200
 
 
 def test_a_growing_fleet_that_fails_nothing_uses_its_cold_backends_though_proxies_avoid() -> None:
@@ -525,7 +525,7 @@
     rig.join(2, "b0", "b1")
     rig.hear(ready("b0", started=rig.now), ready("b1", started=rig.now))
     rig.run(6)
-    assert all(set(mux.lines()) == {"b0", "b1"} for mux in rig.muxes.values()) and rig.brain.proxies[2].bound
+    assert all(set(mux.lines()) == {"b0", "b1"} for mux in rig.muxes.values()) and rig.brain.proxies.by_id[2].bound
 
 
 def test_looks_that_meet_silence_or_late_answers_step_a_backend_down_before_sums_tell() -> None:
@@ -549,7 +549,7 @@
             sight = HealthCheckResult.TIMED_OUT if n < 6 else HealthCheckResult.HEALTHY
             rig.brain.on_health_check(rig.now, f"b{n}", sight, LoadReport(latency=1000))
         report(rig, 1)
-    assert all(rig.brain.backends[f"b{n}"].trust == 1 for n in range(3, 6))
+    assert all(rig.brain.endpoints.by_id[f"b{n}"].health_weight == 1 for n in range(3, 6))
 
 
 def test_quick_answers_to_looks_hide_no_backend_whose_flows_fail() -> None:
@@ -593,7 +593,7 @@
                 rig.now, n, HealthCheckResult.HEALTHY, LoadReport(latency=3000 if n == "n" else 1000)
             )
         report(rig, 1)
-    assert rig.brain.backends["n"].quick == 1 and rig.brain.backends["n"].long == 0
+    assert rig.brain.endpoints.by_id["n"].speed_weight == 1 and rig.brain.endpoints.by_id["n"].mean_response_time == 0
 
 
 def test_a_few_that_join_in_a_deploy_get_their_tables_and_cost_the_others_nothing() -> None:
@@ -608,7 +608,7 @@
         rig.run(0.5)
     rig.run(2)
     assert sum(isinstance(made, Withdrawal) for made in rig.made) == 6
-    assert all(proxy.bound for proxy in rig.brain.proxies.values())
+    assert all(proxy.bound for proxy in rig.brain.proxies.by_id.values())
 
 
 def test_where_whole_tables_for_all_outlast_the_grace_they_are_narrow_and_a_drain_costs_few() -> None:
@@ -617,11 +617,11 @@
     rig.run(4)
     held = {proxy: set(mux.lines()) for proxy, mux in rig.muxes.items()}
     assert all(12 <= len(lines) <= 20 for lines in held.values())
-    assert set().union(*held.values()) == set(rig.brain.backends)
+    assert set().union(*held.values()) == set(rig.brain.endpoints.by_id)
     assert all({int(name[1:]) % 3 for name in lines} == {0, 1, 2} for lines in held.values())
     rig.hear(draining("b7"))
     rig.pull()
-    assert set(rig.brain.spent) == {proxy for proxy, lines in held.items() if "b7" in lines} != set(held)
+    assert set(rig.brain.round_recipients) == {proxy for proxy, lines in held.items() if "b7" in lines} != set(held)
     rig.hear(gone("b7"), ready("b50", started=rig.now - COLD_TIME, zone=1, kind=1))
     rig.run(4)
     tables = {frozenset(mux.lines()) for mux in rig.muxes.values()}
@@ -653,10 +653,10 @@
 
 def test_one_that_was_away_while_cells_became_fewer_returns_and_newcomers_are_still_dealt() -> None:
     rig = fleet(50, *range(30), proxy_count=40)
-    rig.brain._split(rig.now, [30], True)  # as where connections are few
-    last = max(rig.brain.backends.values(), key=lambda b: b.cell)
+    rig.repartition(30, connection_limited=True)  # as where connections are few
+    last = max(rig.brain.endpoints.by_id.values(), key=lambda b: b.subset)
     rig.hear(gone(last.id))
-    rig.brain._split(rig.now, [3], False)
+    rig.repartition(3, connection_limited=False)
     rig.hear(ready(last.id, started=rig.now), ready("b50", started=rig.now))
     rig.run(COLD_TIME / SECOND)
     assert {last.id, "b50"} <= {name for mux in rig.muxes.values() for name in mux.lines()}
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -220,7 +220,7 @@
     budgets = {name: Budget(name, 0, [], Disk().keep) for name in rigs}
     for step in range(300):
         for name, rig in rigs.items():
-            for proxy in rig.house.brain.proxies.values():
+            for proxy in rig.house.brain.proxies.by_id.values():
                 proxy.rates = [5.0, 5.0] if step <= 100 else [100.0, 100.0] if name == "busy" else [0.1, 0.1]
             if step == 150:
                 rig.entries["b9"] = entry("b9", started=rig.now / SECOND)
@@ -230,7 +230,7 @@
                 rig.house.shared(rig.now, budgets[name])
                 other = "idle" if name == "busy" else "busy"
                 budgets[name].told(other, read(budgets[other].word().plain()))
-    return brought(rigs["busy"]), [rig.house.brain.backends["b9"].share for rig in rigs.values()]
+    return brought(rigs["busy"]), [rig.house.brain.endpoints.by_id["b9"].budget_share for rig in rigs.values()]
 
 
 def test_a_controller_in_a_burst_uses_what_the_idle_one_leaves_at_a_cold_backend() -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -143,7 +143,12 @@
                 client.writer.close()
             while node.host.counts["left"] < 2:
                 await asyncio.sleep(0)
-            assert not node.host.joined and not node.proxies and not node.by_connection and not node.host.brain.proxies
+            assert (
+                not node.host.joined
+                and not node.proxies
+                and not node.by_connection
+                and not node.host.brain.proxies.by_id
+            )
 
     asyncio.run(play())
 
@@ -423,6 +428,8 @@
             look.write(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n")
             while not node.counts["probe outlived"]:
                 await asyncio.sleep(0)
-            assert not node.host.brain.backends["s-0"].unseen and node.counts["probe served"] >= before
+            assert (
+                not node.host.brain.endpoints.by_id["s-0"].health_check_failed and node.counts["probe served"] >= before
+            )
 
     asyncio.run(play())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -116,7 +116,7 @@
         for proxy, stream, orders in work.orders:
             assert self.streams[proxy] == stream
             # Lines that the module did not count are those that end a shut-out from an earlier stream.
-            counted = self.host.brain.round_recipients[proxy] - self.host.brain.head + 1
+            counted = self.host.brain.round_recipients[proxy] - self.host.brain.channel.message_cost + 1
             assert orders.lines <= counted + len(orders.back)
             self.muxes[proxy].obey(orders)
             told.append((proxy, orders))
@@ -236,7 +236,7 @@
     def broken(*_: object) -> object:
         raise ZeroDivisionError("division by zero")
 
-    monkeypatch.setattr(day.host.brain, "_take_turn", broken)
+    monkeypatch.setattr(day.host.brain, "_decide_changes", broken)
     day.host.list_heard(day.now, WatchEvent.DELTA, [rig.gone("s1")])
     day.now += 20_000
     work = day.host.act(day.now)
@@ -291,7 +291,7 @@
 
 
 def test_what_is_kept_of_departed_backends_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("onyxhead.policy.balancer.MOST_GONE", 20)
+    monkeypatch.setattr("onyxhead.policy.endpoints.MAX_DEPARTED_BACKENDS", 20)
     monkeypatch.setattr("onyxhead.node.host.MOST_NAMES", 60)
     day = Day()
     day.host.list_heard(day.now, WatchEvent.CACHED, fleet("s0", "s1"))
@@ -307,7 +307,7 @@
     # A late word of a forgotten one brings nothing back, and its name alone makes it no trusted backend.
     day.host.tries(day.now, "s5", 0, 50, 0, 500, 10_000, LoadReport())
     day.host.probed(day.now, "s5", HealthCheckResult.HEALTHY, LoadReport())
-    assert "s5" not in day.host.brain.backends and "s5" in day.muxes[1].shut
+    assert "s5" not in day.host.brain.endpoints.by_id and "s5" in day.muxes[1].shut
 
 
 # Start
