--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -151,7 +151,7 @@
                 not node.host.state.joined
                 and not node.streams.connections
                 and not node.streams.proxies
-                and not node.host.policy.proxies
+                and not node.host.policy.proxies.by_id
             )
 
     asyncio.run(play())
@@ -432,6 +432,9 @@
             look.write(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n")
             while not node.context.counts["probe outlived"]:
                 await asyncio.sleep(0)
-            assert not node.host.policy.backends["s-0"].unseen and node.context.counts["probe served"] >= before
+            assert (
+                not node.host.policy.endpoints.by_id["s-0"].health_check_failed
+                and node.context.counts["probe served"] >= before
+            )
 
     asyncio.run(play())
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -116,7 +116,7 @@
         for proxy, stream, update in effects.updates:
             assert self.streams[proxy] == stream
             # Lines that the module did not count are those that end a shut-out from an earlier stream.
-            counted = self.host.policy.round_recipients[proxy] - self.host.policy.head + 1
+            counted = self.host.policy.round_recipients[proxy] - self.host.policy.channel.message_cost + 1
             assert update.line_count <= counted + len(update.restored)
             self.muxes[proxy].obey(update)
             told.append((proxy, update))
@@ -236,7 +236,7 @@
     def broken(*_: object) -> object:
         raise ZeroDivisionError("division by zero")
 
-    monkeypatch.setattr(day.host.policy, "_take_turn", broken)
+    monkeypatch.setattr(day.host.policy, "_decide_changes", broken)
     day.host.on_endpoint_update(day.now, WatchEvent.DELTA, [rig.gone("s1")])
     day.now += 20_000
     effects = day.host.decide(day.now)
@@ -315,7 +315,7 @@
     # A late word of a forgotten one brings nothing back, and its name alone makes it no trusted backend.
     day.host.on_attempt_statistics(day.now, "s5", 0, 50, 0, 500, 10_000, LoadReport())
     day.host.on_health_check(day.now, "s5", HealthCheckResult.HEALTHY, LoadReport())
-    assert "s5" not in day.host.policy.backends and "s5" in day.muxes[1].shut
+    assert "s5" not in day.host.policy.endpoints.by_id and "s5" in day.muxes[1].shut
 
 
 # Start
