--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -293,7 +293,7 @@
 
 
 def test_what_is_kept_of_departed_backends_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("onyxhead.policy.balancer.MOST_GONE", 20)
+    monkeypatch.setattr("onyxhead.policy.endpoints.MAX_DEPARTED_BACKENDS", 20)
     monkeypatch.setattr("onyxhead.node.proxy_state.MAX_LISTED_ENDPOINTS", 60)
     day = Day()
     day.host.on_endpoint_update(day.now, WatchEvent.CACHED, fleet("s0", "s1"))
