--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -13,7 +13,7 @@
 
 from benchmarks.batch import house
 from onyxhead.store.store import Store
-from onyxhead.tables.history import History
+from onyxhead.tables.history import History, VersionRecord
 from onyxhead.tables.view import View
 
 
@@ -48,7 +48,7 @@
     store = Store(folder / "store")
     began = time.perf_counter()
     for number in range(2000):
-        store.append_version(number + 1, 1, number, "x", [[0, f"b{number % 82}", number + 1]])
+        store.append_version(VersionRecord(number + 1, 1, number, "x", {(0, f"b{number % 82}"): number + 1}))
     store.close()
     found = {"store": 2000 / (time.perf_counter() - began)}
     for name, batch in (("bare, flush each", 1), ("bare, flush a hundred", 100)):
@@ -68,13 +68,12 @@
     """Milliseconds from opening a store of a thousand versions to the first step at 143 x 82; and the bare read."""
     store = Store(folder / "again")
     for number in range(1000):
-        store.append_version(number + 1, 1, number, "x", [[0, f"b{number % 82}", number + 1]])
+        store.append_version(VersionRecord(number + 1, 1, number, "x", {(0, f"b{number % 82}"): number + 1}))
     store.close()
     began = time.perf_counter()
     again = Store(folder / "again")
     history = History()
-    rows = again.load_versions()
-    history.restore((n, e, at, c, {(t, b): p for t, b, p in changes}) for n, e, at, c, changes in rows)
+    history.restore(again.load_versions())
     made, _, _ = house(143, 82)
     made.act(10**9 + 10_000)
     took = time.perf_counter() - began
--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -744,7 +744,7 @@
     from onyxhead.incident.page import page
     from onyxhead.series.time_series_store import TimeSeriesStore, UnknownSeriesError
     from onyxhead.store.errors import StoreUnavailableError
-    from onyxhead.store.store import recorded
+    from onyxhead.store.period import read_period
 
     def moment(text: str, end: float) -> float:
         try:
@@ -761,11 +761,12 @@
         if not (folder / "onyxhead.db").is_file():
             stop(FAULTY, f"{folder}: no controller's state is there")
         try:
-            told = recorded(folder / "onyxhead.db", folder.name, begin, end)
+            stored = read_period(folder / "onyxhead.db", folder.name, begin, end)
         except StoreUnavailableError as error:
             stop(REFUSED, error)
-        lives = tuple(timeline.Life(*row) for row in told["lives"])
-        rows = tuple(told["orders"]), tuple(told["lists"]), tuple(told["audit"])
+        lives = tuple(timeline.Life(*row) for row in stored.incarnations)
+        orders = tuple(record.to_json() for record in stored.decisions)
+        rows = orders, tuple(stored.endpoint_lists), tuple(stored.audit)
         records.append(timeline.Records(folder.name, lives, *rows))
         if (folder / "series").is_dir():
             kept = TimeSeriesStore(folder / "series")
--- a/onyxhead/controller/alliance.py
+++ b/onyxhead/controller/alliance.py
@@ -18,14 +18,13 @@
 from onyxhead.http.messages import Fault, Request, Response, answer, problem
 from onyxhead.settings.load import Fellow, Fleet
 from onyxhead.store.errors import StoreUnavailableError
+from onyxhead.store.value_names import BUDGET_GRANTS, FLEET_MEMBERS
 from onyxhead.tables.addresses import parse_address
 
 if TYPE_CHECKING:
     from onyxhead.controller.daemon import Daemon
 
 PATH = "/v1/fleet"
-KEPT = "fleet members"
-LOANS = "fleet loans"
 LEND_EVERY = 2_500
 TENTHS = 10_000
 log = structlog.get_logger()
@@ -51,10 +50,12 @@
         self.coalition = OwnershipCoordinator(membership, members, now, settings.settle)
         self.odd: set[str] = set()
         # A disk that knows of an earlier life would know its loans; an empty one proves nothing.
-        kept = daemon.store.get(LOANS) or ([] if daemon.house.epoch > 1 else None)
-        self.budget = loans.SlowStartBudget(daemon.settings.name, now, kept, lambda made: daemon.store.put(LOANS, made))
+        kept = daemon.store.get(BUDGET_GRANTS) or ([] if daemon.house.epoch > 1 else None)
+        self.budget = loans.SlowStartBudget(
+            daemon.settings.name, now, kept, lambda made: daemon.store.put(BUDGET_GRANTS, made)
+        )
         self.lend_at = now
-        for name, each in (daemon.store.get(KEPT) or {}).items():
+        for name, each in (daemon.store.get(FLEET_MEMBERS) or {}).items():
             self._put(name, each, now)
 
     def _put(self, name: str, given: dict[str, Any] | None, now: int) -> None:
@@ -203,8 +204,8 @@
             except (ValueError, KeyError, TypeError) as error:
                 return problem(422, f"not a member: {error}")
             # Over the settings, and on disk before it is answered.
-            kept = self.daemon.store.get(KEPT) or {}
-            self.daemon.store.put(KEPT, kept | {name: each})
+            kept = self.daemon.store.get(FLEET_MEMBERS) or {}
+            self.daemon.store.put(FLEET_MEMBERS, kept | {name: each})
             log.info("fleet", said=f"{name} {'removed' if each is None else 'put in'} by command")
             return answer(200, {"members": sorted(self.settings.members)})
         if what == "who":
--- a/onyxhead/controller/daemon.py
+++ b/onyxhead/controller/daemon.py
@@ -38,10 +38,11 @@
 from onyxhead.settings.load import Controller
 from onyxhead.store.errors import StoreUnavailableError
 from onyxhead.store.store import Store
+from onyxhead.store.value_names import OPERATOR_STATE, TABLE_LABELS
 from onyxhead.tables.addresses import parse_address
 from onyxhead.tables.errors import MalformedViewError, UnknownVersionError
 from onyxhead.tables.errors import RollbackRejectedError as Impossible
-from onyxhead.tables.history import History
+from onyxhead.tables.history import History, VersionRecord
 from onyxhead.tables.updates import ProxyUpdate, coalesce
 from onyxhead.tables.view import View
 
@@ -51,8 +52,6 @@
 TICK = 0.25
 NUMBER_OF_ORDERS = 100
 TENTHS = 10_000
-LABELS = "table labels"
-STANDING = "operators' orders"
 
 if TYPE_CHECKING:
     from onyxhead.controller.configuration.desk import Desk
@@ -89,11 +88,10 @@
             self.desk = open_desk(self)
             self.tree = self.desk.stores.running
             start = deployment(self.tree, settings)
-        self.standing = Standing(self.store.get(STANDING))
+        self.standing = Standing(self.store.get(OPERATOR_STATE))
         history = History()
-        rows = self.store.load_versions()
-        history.restore((n, epoch, at, cause, _changes(changes)) for n, epoch, at, cause, changes in rows)
-        history.labels = {k: v for k, v in (self.store.get(LABELS) or {}).items() if v in history.versions}
+        history.restore(self.store.load_versions())
+        history.labels = {k: v for k, v in (self.store.get(TABLE_LABELS) or {}).items() if v in history.versions}
         self.house = self._house(start, known.epoch, known.proxy_numbers, history)
         self.follower = roster.Follower(settings.zones, self.clock.of_wall, self.clock.now)
         self.encoder = Encoder()
@@ -244,8 +242,8 @@
     def _keep_versions(self) -> None:
         fresh, self.house.fresh_versions = self.house.fresh_versions, []
         for version, changes in fresh:
-            rows = [[table, backend, parts] for (table, backend), parts in sorted(changes.items())]
-            self.store.append_version(version.number, version.epoch, version.created_at, version.cause, rows)
+            record = VersionRecord(version.number, version.epoch, version.created_at, version.cause, changes)
+            self.store.append_version(record)
 
     async def _probe(self, backend: str, address: str) -> None:
         async with self.probing:
@@ -339,7 +337,7 @@
             told = trial.run(command, self.tree or tree_of(self.settings), backends, self.facts())
             if not command.dry_run and not told.get("again"):
                 # On disk before it acts and before it is answered: the next life then knows the command, or never will.
-                self.store.put(STANDING, trial.plain())
+                self.store.put(OPERATOR_STATE, trial.plain())
         except Odd as error:
             return problem(409, str(error))
         except StoreUnavailableError as error:
@@ -530,7 +528,8 @@
                 tree = self.tree or tree_of(self.settings)
                 return answer(200, {"records": as_records(tree, self.settings.prefixes)})
             case "GET", ["v1", "orders"]:
-                return answer(200, await asyncio.to_thread(self.store.recent_decisions, NUMBER_OF_ORDERS))
+                records = await asyncio.to_thread(self.store.recent_decisions, NUMBER_OF_ORDERS)
+                return answer(200, [record.to_json() for record in records])
             case "POST", ["v1", "operate"]:
                 return self._operate(request)
             case "GET", ["v1", "operate", *names]:
@@ -634,7 +633,7 @@
             return problem(400, f"not understood: {error}")
 
     def _keep_label(self, labels: dict[str, int]) -> None:
-        self.store.put(LABELS, labels)
+        self.store.put(TABLE_LABELS, labels)
 
     def _command(self, alliance: Alliance, what: str, request: Request) -> Response:
         try:
@@ -656,10 +655,6 @@
         return answer(200, {"taken": fresh})
 
 
-def _changes(rows: list[Any]) -> dict[tuple[int, str], int]:
-    return {(int(table), str(backend)): int(parts) for table, backend, parts in rows}
-
-
 def may_ask(request: Request, parts: list[str], peer: Peer | None) -> bool:
     """An agent speaks for itself only; operators and controllers may look."""
     if parts[:2] in (["v1", "load"], ["v1", "proxies"]) and request.method != "GET":
--- a/onyxhead/controller/office.py
+++ b/onyxhead/controller/office.py
@@ -14,13 +14,13 @@
 from onyxhead.controller.configuration.tree import Problem, Tree
 from onyxhead.controller.configuration.views import deployment, tree_of
 from onyxhead.fronts.netconf import schema
+from onyxhead.store.records import CommitRecord
+from onyxhead.store.value_names import SETTINGS_TREE, STARTUP_DATASTORE
 
 if TYPE_CHECKING:
     from onyxhead.controller.daemon import Daemon
 
 log = structlog.get_logger()
-SETTINGS = "settings tree"
-STARTUP = "startup"
 
 
 def open_desk(daemon: Daemon) -> Desk:
@@ -30,19 +30,19 @@
     store, settings = daemon.store, daemon.settings
     commits = [Commit(*row) for row in store.load_commits()]
     given = tree_of(settings)
-    if not commits or store.get(SETTINGS) != given:
+    if not commits or store.get(SETTINGS_TREE) != given:
         number = commits[-1].number + 1 if commits else 1
         made = Commit(number, given, "(settings)", "settings")
-        store.save_commit(*made)
-        store.put(SETTINGS, given)
+        store.save_commit(CommitRecord(*made))
+        store.put(SETTINGS_TREE, given)
         commits.append(made)
-    stores = Datastores(schema.config(), commits, lambda tree: _check(daemon, tree), store.get(STARTUP))
+    stores = Datastores(schema.config(), commits, lambda tree: _check(daemon, tree), store.get(STARTUP_DATASTORE))
     netconf = settings.netconf
     access = Access(netconf.users if netconf else {}, netconf.rules if netconf else ())
     hands = Hands(
         facts=daemon.facts,
-        write=lambda commit: store.save_commit(*commit),
-        save=lambda tree: store.put(STARTUP, tree),
+        write=lambda commit: store.save_commit(CommitRecord(*commit)),
+        save=lambda tree: store.put(STARTUP_DATASTORE, tree),
         act=lambda tree, plan: act(daemon, tree, plan),
         state=lambda: state(daemon),
         wall=time.time,
--- a/onyxhead/store/__init__.py
+++ b/onyxhead/store/__init__.py
@@ -1,1 +1,1 @@
-"""What a controller keeps on disk, in an embedded SQLite database."""
+"""The durable state of a controller, in an embedded SQLite database."""
--- /dev/null
+++ b/onyxhead/store/writer.py
@@ -0,0 +1,90 @@
+"""A thread that writes statements to the database in batches.
+
+Each batch is one transaction that is flushed before it counts. Whoever submits a statement never waits for the disk. A
+batch that fails is retried, since a full disk may have room again; what waits meanwhile is bounded.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import queue
+import sqlite3
+import threading
+import time
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+MAX_PENDING = 10_000
+"""Statements that may wait for the disk."""
+RETRY_DELAY_S = 1.0
+CLOSE_TIMEOUT_S = 10.0
+
+
+class Statement(NamedTuple):
+    """One SQL statement with the values of its parameters."""
+
+    sql: str
+    values: tuple[Any, ...]
+
+
+class BatchWriter:
+    """`error` is why the last batch failed, empty if it did not; `dropped` counts statements that were given up."""
+
+    def __init__(self, connect: Callable[[], sqlite3.Connection]) -> None:
+        self.connect = connect
+        self.error = ""
+        self.dropped = 0
+        self._queue: queue.SimpleQueue[Statement | None] = queue.SimpleQueue()
+        self._thread = threading.Thread(target=self._run, name="store", daemon=True)
+        self._thread.start()
+
+    def submit(self, sql: str, values: tuple[Any, ...]) -> None:
+        """Hands over a statement; drops it if too many wait already."""
+        if self._queue.qsize() > MAX_PENDING:
+            self.dropped += 1
+            return
+        self._queue.put(Statement(sql, values))
+
+    def close(self) -> None:
+        """Everything handed over is on disk when this returns, if the disk takes it."""
+        self._queue.put(None)
+        self._thread.join(CLOSE_TIMEOUT_S)
+
+    def _run(self) -> None:
+        batch: list[Statement] = []
+        closing = False
+        while not closing:
+            closing = self._collect(batch)
+            try:
+                self._write(batch)
+                batch, self.error = [], ""
+            except sqlite3.Error as error:
+                self.error = str(error)
+                self._drop_excess(batch)
+                time.sleep(0 if closing else RETRY_DELAY_S)
+
+    def _collect(self, batch: list[Statement]) -> bool:
+        """Adds all that waits to the batch, at least one statement; whether the writer is to close."""
+        if not batch:
+            statement = self._queue.get()
+            if statement is None:
+                return True
+            batch.append(statement)
+        while not self._queue.empty():
+            statement = self._queue.get()
+            if statement is None:
+                return True
+            batch.append(statement)
+        return False
+
+    def _write(self, batch: list[Statement]) -> None:
+        if not batch:
+            return
+        with contextlib.closing(self.connect()) as database, database:
+            for statement in batch:
+                database.execute(statement.sql, statement.values)
+
+    def _drop_excess(self, batch: list[Statement]) -> None:
+        excess = max(0, len(batch) - MAX_PENDING)
+        self.dropped += excess
+        del batch[:excess]
--- a/onyxhead/tables/errors.py
+++ b/onyxhead/tables/errors.py
@@ -15,5 +15,9 @@
     """No version has this number or label, or the version was removed from the history."""
 
 
+class InvalidLabelError(TableError, ValueError):
+    """A name can't label a version, since it could be taken for a number or for the latest version."""
+
+
 class RollbackRejectedError(TableError):
     """A rollback would break a safety rule or change nothing; the message says which."""
--- a/onyxhead/tables/history.py
+++ b/onyxhead/tables/history.py
@@ -1,7 +1,8 @@
-"""Versions of a controller's tables, kept by shared structure: what changed when and why, and the way back. No I/O.
+"""Versions of a controller's tables: what changed when and why. No I/O.
 
-A version is the lines of all tables at one moment: (table, backend) to weight in parts. Each change costs its own
-work; the digest is the sum of the lines' hashes, as for views."""
+A version is the lines of all tables at one time. Versions share what they have in common, and the digest is the sum of
+the hashes of the lines, as for views, so that a change costs only its own work.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +12,31 @@
 
 from immutables import Map
 
-from onyxhead.tables.errors import UnknownVersionError
+from onyxhead.tables.errors import InvalidLabelError, UnknownVersionError
 from onyxhead.tables.view import MODULUS, entry_hash
 
 LineKey = tuple[int, str]
+"""A table and a backend: one line of a table."""
 Lines = Map[LineKey, int]
+"""The weight of each line, in units of `WEIGHT_SCALE`."""
+
 MAX_VERSIONS = 1_000
+LATEST = "last"
+"""The name by which the latest version is found."""
+
+
+class VersionRecord(NamedTuple):
+    """A version by what it changed, as it is stored; a weight of 0 removed the line."""
+
+    number: int
+    epoch: int
+    created_at: int
+    cause: str
+    changes: Mapping[LineKey, int]
 
 
 class Version(NamedTuple):
-    """`at` in the module's time; `epoch` is the controller's life that made it."""
+    """The lines of all tables. `created_at` is in ticks; `epoch` is the controller's incarnation that made it."""
 
     number: int
     epoch: int
@@ -31,93 +47,107 @@
 
     @property
     def digest_hex(self) -> str:
+        """Equal for versions with equal lines, whoever made them."""
         return f"{self.digest:064x}"
 
 
+class LineChange(NamedTuple):
+    """A line that differs between two versions; a weight of 0 means no line."""
+
+    key: LineKey
+    before: int
+    after: int
+
+
 class History:
-    """The last versions, and those that are labelled. Numbers go on over restarts."""
+    """The last versions and those that have a label. Numbers go on over restarts."""
 
-    def __init__(self, kept: int = MAX_VERSIONS) -> None:
-        self.max_versions = kept
+    def __init__(self, max_versions: int = MAX_VERSIONS) -> None:
+        self.max_versions = max_versions
         self.versions: OrderedDict[int, Version] = OrderedDict()
         self.labels: dict[str, int] = {}
         self.latest = Version(0, 0, 0, "", Map(), 0)
 
-    def append(self, epoch: int, at: int, cause: str, changes: Mapping[LineKey, int]) -> Version | None:
-        """The version after the changes (0 takes a line away); None if they change nothing."""
-        lines, digest, same = self.latest.lines.mutate(), self.latest.digest, True
-        for key, parts in sorted(changes.items()):
-            held = lines.get(key, 0)
-            if held == parts:
+    def append(self, epoch: int, now: int, cause: str, changes: Mapping[LineKey, int]) -> Version | None:
+        """The version after the changes, of which a weight of 0 removes a line; None if they change nothing."""
+        lines, digest, changed = self.latest.lines.mutate(), self.latest.digest, False
+        for key, weight in sorted(changes.items()):
+            old = lines.get(key, 0)
+            if old == weight:
                 continue
-            same = False
-            name = (str(key[0]), key[1])
-            if held:
-                digest -= entry_hash(name, held)
+            changed = True
+            path = (str(key[0]), key[1])
+            if old:
+                digest -= entry_hash(path, old)
                 del lines[key]
-            if parts:
-                digest += entry_hash(name, parts)
-                lines[key] = parts
-        if same:
+            if weight:
+                digest += entry_hash(path, weight)
+                lines[key] = weight
+        if not changed:
             return None
-        return self.put(Version(self.latest.number + 1, epoch, at, cause, lines.finish(), digest % MODULUS))
+        version = Version(self.latest.number + 1, epoch, now, cause, lines.finish(), digest % MODULUS)
+        self._add(version)
+        return version
 
-    def put(self, version: Version) -> Version:
+    def _add(self, version: Version) -> None:
         self.latest = self.versions[version.number] = version
-        spare = [number for number in self.versions if number not in self.labels.values()]
-        for number in spare[: max(0, len(spare) - self.max_versions)]:
+        labelled = self.labels.values()
+        removable = [number for number in self.versions if number not in labelled]
+        for number in removable[: max(0, len(removable) - self.max_versions)]:
             del self.versions[number]
-        return version
 
-    def restore(self, rows: Iterable[tuple[int, int, int, str, Mapping[LineKey, int]]]) -> int:
-        """Versions of earlier lives: number, epoch, time, cause and changes, oldest first. Returns how many were taken;
-        it stops at the first that does not follow the one before, since what comes after it can't be trusted."""
+    def restore(self, records: Iterable[VersionRecord]) -> int:
+        """Takes versions of earlier incarnations, oldest first, and returns how many were taken.
+
+        Stops at the first that does not follow the one before, since what comes after it can't be trusted.
+        """
         count = 0
-        for number, epoch, at, cause, changes in rows:
+        for number, epoch, created_at, cause, changes in records:
             if count and number != self.latest.number + 1:
                 break
             if not count:
                 self.latest = self.latest._replace(number=number - 1)
-            if self.append(epoch, at, cause, changes) is None:
+            if self.append(epoch, created_at, cause, changes) is None:
                 break
             count += 1
         return count
 
     def find(self, name: str) -> Version:
-        """By number, by label, or `last`. Raises UnknownVersionError."""
+        """The version with this number or label, or the latest. Raises UnknownVersionError."""
         number = self.labels.get(name, int(name) if name.isdigit() else -1)
-        if name == "last":
+        if name == LATEST:
             number = self.latest.number
         if number not in self.versions:
             raise UnknownVersionError(f"there is no version {name!r}")
         return self.versions[number]
 
     def label(self, name: str, number: int) -> None:
-        """Names a version and keeps it. Raises UnknownVersionError, ValueError."""
-        if not name or name.isdigit() or name == "last":
-            raise ValueError(f"{name!r} can't be a label")
+        """Labels a version, which keeps it from being removed. Raises UnknownVersionError, InvalidLabelError."""
+        if not name or name.isdigit() or name == LATEST:
+            raise InvalidLabelError(f"{name!r} can't be a label")
         self.labels[name] = self.find(str(number)).number
 
-    def recent(self, most: int) -> list[tuple[Version, int]]:
+    def recent(self, limit: int) -> list[tuple[Version, int]]:
         """The last versions, newest first, with how many lines each changed."""
         found, numbers = [], list(self.versions)
-        for place in range(len(numbers) - 1, max(-1, len(numbers) - 1 - most), -1):
-            before = self.versions[numbers[place - 1]].lines if place else Map()
-            found.append((self.versions[numbers[place]], len(diff(before, self.versions[numbers[place]].lines))))
+        for index in range(len(numbers) - 1, max(-1, len(numbers) - 1 - limit), -1):
+            version = self.versions[numbers[index]]
+            before = self.versions[numbers[index - 1]].lines if index else Map()
+            found.append((version, len(diff(before, version.lines))))
         return found
 
-    def blame(self, backend: str) -> list[tuple[Version, list[tuple[LineKey, int, int]]]]:
-        """Versions that changed a backend's lines, newest first."""
+    def blame(self, backend: str) -> list[tuple[Version, list[LineChange]]]:
+        """The versions that changed a backend's lines, newest first, with these changes."""
         found, before = [], Map[LineKey, int]()
         for version in self.versions.values():
-            own = [each for each in diff(before, version.lines) if each[0][1] == backend]
-            if own:
-                found.append((version, own))
+            changes = [change for change in diff(before, version.lines) if change.key[1] == backend]
+            if changes:
+                found.append((version, changes))
             before = version.lines
         return found[::-1]
 
 
-def diff(one: Lines, two: Lines) -> list[tuple[LineKey, int, int]]:
-    """Lines that differ: key, parts before, parts after."""
-    keys = [key for key in one if two.get(key) != one[key]] + [key for key in two if key not in one]
-    return [(key, one.get(key, 0), two.get(key, 0)) for key in sorted(keys)]
+def diff(before: Lines, after: Lines) -> list[LineChange]:
+    """The lines that differ, in the order of their keys."""
+    keys = [key for key in before if after.get(key) != before[key]] + [key for key in after if key not in before]
+    return [LineChange(key, before.get(key, 0), after.get(key, 0)) for key in sorted(keys)]
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -16,7 +16,7 @@
 from onyxhead.policy.decisions import TableChange
 from onyxhead.store.store import Store
 from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
-from onyxhead.tables.history import History, diff
+from onyxhead.tables.history import History, VersionRecord, diff
 from onyxhead.tables.rollback import CurrentEndpoints, overlay, plan_rollback
 from onyxhead.tables.view import MODULUS, entry_hash
 from tests.fleetrig import SECOND, Rig, request_of
@@ -47,7 +47,7 @@
 
 
 def test_old_versions_go_and_labelled_ones_stay() -> None:
-    own = History(kept=5)
+    own = History(max_versions=5)
     for step in range(20):
         own.append(1, step, "", {(0, "b"): step + 1})
         if step == 3:
@@ -279,19 +279,19 @@
 def test_the_longest_run_of_sound_versions_is_used_and_what_was_lost_is_told(tmp_path: Path) -> None:
     own = Store(tmp_path)
     for number in range(1, 9):
-        own.append_version(number, 1, number * 10, "x", [[0, "b", number]])
+        own.append_version(VersionRecord(number, 1, number * 10, "x", {(0, "b"): number}))
     own.close()
     again = Store(tmp_path)
-    assert [row[0] for row in again.load_versions()] == list(range(1, 9)) and not again.warnings
+    assert [record.number for record in again.load_versions()] == list(range(1, 9)) and not again.warnings
     again.close()
     with sqlite3.connect(tmp_path / "onyxhead.db") as db:
         db.execute("update versions set changes = replace(changes, '6', '7') where number = 6")
     broken = Store(tmp_path)
-    assert [row[0] for row in broken.load_versions()] == [1, 2, 3, 4, 5] and "version 6" in broken.warnings[0]
+    assert [record.number for record in broken.load_versions()] == [1, 2, 3, 4, 5] and "version 6" in broken.warnings[0]
     broken.close()
     history = History()
-    rows = [(1, 1, 0, "", lines(a=1)), (2, 1, 0, "", lines(a=2)), (4, 1, 0, "", lines(a=4))]
-    assert history.restore(rows) == 2 and dict(history.latest.lines) == lines(a=2)
+    records = [VersionRecord(number, 1, 0, "", lines(a=number)) for number in (1, 2, 4)]
+    assert history.restore(records) == 2 and dict(history.latest.lines) == lines(a=2)
 
 
 def test_a_wrong_table_is_undone_by_command_over_sockets_and_versions_outlive_the_controller(tmp_path: Path) -> None:
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -626,7 +626,7 @@
         await until(lambda: running.tasks[0].done())
         second = await running.controller()
         assert second.desk is not None and second.desk.stores.running["backend"] == [{"id": "b2", "drained": True}]
-        audit = second.store._rows("select user, what, result from audit order by number")
+        audit = second.store._query("select user, what, result from audit order by number")
         assert ("op", "commit", "refused: group 'read' would have no warm backend (rule 1)") in audit
 
     play(tmp_path, work)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,8 +11,10 @@
 import pytest
 
 from onyxhead.store import store as module
+from onyxhead.store import writer
 from onyxhead.store.errors import StoreUnavailableError
 from onyxhead.store.store import Store
+from onyxhead.tables.history import VersionRecord
 
 
 def filled(folder: Path) -> Store:
@@ -31,7 +33,7 @@
     own = Store(tmp_path)
     assert own.recovered == (2, b"list", 100.0, {"p1": 3}, {"b1": 100.0})
     (order,) = own.recent_decisions(5)
-    assert (order["turn"], order["causes"], order["decisions"]) == (9, ["list: 2 changes"], [["withdraw", "b1"]])
+    assert (order.round_number, order.causes, order.decisions) == (9, ["list: 2 changes"], [["withdraw", "b1"]])
     own.close()
 
 
@@ -67,19 +69,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     own = Store(tmp_path)
-    monkeypatch.setattr(module, "RETRY", 0.01)
-    real = own._connect
+    monkeypatch.setattr(writer, "RETRY_DELAY_S", 0.01)
+    real = own.writer.connect
 
     def full() -> sqlite3.Connection:
         raise sqlite3.OperationalError("database or disk is full")
 
-    own._connect = full  # type: ignore[method-assign]
+    own.writer.connect = full
     own.save_endpoint_list(8, b"kept")
     until = time.monotonic() + 5
     while not own.write_error and time.monotonic() < until:
         time.sleep(0.01)
     assert "full" in own.write_error
-    own._connect = real  # type: ignore[method-assign]
+    own.writer.connect = real
     own.close()
     again = Store(tmp_path)
     assert again.recovered.endpoint_list == b"kept"
@@ -99,7 +101,7 @@
         db.execute("insert into orders (at, epoch, turn, causes, decisions) values (1.0, 1, 8, '[]', '[]')")
     own = Store(tmp_path)
     older, flipped = own.recent_decisions(5)
-    assert (older["sound"], flipped["sound"], flipped["decisions"]) == (None, False, [])
+    assert (older.intact, flipped.intact, flipped.decisions) == (None, False, [])
     own.close()
 
 
@@ -110,7 +112,7 @@
     own = Store(tmp_path)
     own.append_decisions(2, 10, ["time"], [])
     own.close()
-    assert [each["sound"] for each in Store(tmp_path).recent_decisions(5)] == [True, None]
+    assert [each.intact for each in Store(tmp_path).recent_decisions(5)] == [True, None]
 
 
 PAGE, FRAME, HEAD = 4096, 4096 + 24, 32
@@ -119,8 +121,8 @@
 def test_killed_at_every_write_also_of_compaction_it_comes_back_to_what_had_been_committed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "COMPACT_EVERY", 4)
-    monkeypatch.setattr(module, "VERSIONS_KEPT", 3)
+    monkeypatch.setattr(module, "PRUNE_INTERVAL", 4)
+    monkeypatch.setattr(module, "MAX_VERSIONS", 3)
     folder = tmp_path / "own"
     own = Store(folder, lambda: 100.0)
     # While this connection is open nothing is copied from the log to the file, so the log holds every write.
@@ -128,12 +130,12 @@
     held.execute("select count(*) from versions").fetchall()
     states: list[list[int]] = [[]]
     for number in range(1, 15):
-        own.append_version(number, 1, number, "time", [[0, f"b{number}", 1]])
+        own.append_version(VersionRecord(number, 1, number, "time", {(0, f"b{number}"): 1}))
         until = time.monotonic() + 5
-        while (rows := [row[0] for row in own.load_versions()])[-1:] != [number] and time.monotonic() < until:
+        while (rows := [record.number for record in own.load_versions()])[-1:] != [number] and time.monotonic() < until:
             time.sleep(0.002)
         time.sleep(0.02)
-        states.append([row[0] for row in own.load_versions()])
+        states.append([record.number for record in own.load_versions()])
     assert len(states[-1]) < 14 and rows
     before, log = (folder / "onyxhead.db").read_bytes(), (folder / "onyxhead.db-wal").read_bytes()
     held.close()
@@ -158,7 +160,7 @@
     (folder / "onyxhead.db").write_bytes(body)
     (folder / "onyxhead.db-wal").write_bytes(log)
     again = Store(folder)
-    found = [row[0] for row in again.load_versions()]
+    found = [record.number for record in again.load_versions()]
     assert not again.warnings, again.warnings
     again.close()
     return found
