--- a/benchmarks/batch.py
+++ b/benchmarks/batch.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from benchmarks.figures import quantiles
-from onyxhead.controller.house import House, Joining
-from onyxhead.controller.roster import Entry, Follower, Roster
+from onyxhead.controller.core import ControllerCore, JoinRequest
+from onyxhead.controller.endpoint_list import EndpointEntry, EndpointList, EndpointListFollower
 from onyxhead.policy.inputs import (
     AdmissionMode,
     ChannelLimits,
@@ -23,7 +23,7 @@
 ZONES = ("x", "y", "z")
 
 
-def house(proxies: int, backends: int) -> tuple[House, Follower, Roster]:
+def house(proxies: int, backends: int) -> tuple[ControllerCore, EndpointListFollower, EndpointList]:
     groups = tuple(TrafficGroup(n, 1.0, 5000, 15000, RetrySafety.IDEMPOTENT, "all", 0, None, False) for n in ("a", "b"))
     channel = ChannelLimits(100.0 * proxies * 3, 6, 400.0 * proxies, 100, 500, 0, 100_000)
     guards = SafetyLimits(30_000, 20_000, False, 0.2, 150_000, 3, 15_000, False, 0)
@@ -31,14 +31,16 @@
         0, 3, 1, proxies, groups, channel, guards, AdmissionMode.FRACTION, 1, 1.2, 0, 10_000, False, False
     )
     now = 10**9
-    made = House(start, ("a", "b"), ZONES, 1, 1, 20_000, now)
-    entries = [Entry(f"b{i}", f"127.0.0.1:{1000 + i}", ZONES[i % 3], "k", "ready", 1.0, 0.0) for i in range(backends)]
-    follower, roster = Follower(ZONES, lambda s: int(s * 1e4), lambda: now), Roster(1, tuple(entries))
+    made = ControllerCore(start, ("a", "b"), ZONES, 1, 1, 20_000, now)
+    entries = [
+        EndpointEntry(f"b{i}", f"127.0.0.1:{1000 + i}", ZONES[i % 3], "k", "ready", 1.0, 0.0) for i in range(backends)
+    ]
+    follower, roster = EndpointListFollower(ZONES, lambda s: int(s * 1e4), lambda: now), EndpointList(1, tuple(entries))
     news = follower.follow(roster)
     assert news is not None
     made.list_heard(now, news)
     for proxy in range(proxies):
-        made.joins(now, Joining(f"p{proxy}", ZONES[proxy % 3], 10.0, True, View.EMPTY))
+        made.joins(now, JoinRequest(f"p{proxy}", ZONES[proxy % 3], 10.0, True, View.EMPTY))
     return made, follower, roster
 
 
@@ -52,7 +54,7 @@
             entries, place = list(roster.entries), chance.randrange(backends)
             state = "draining" if entries[place].state == "ready" else "ready"
             entries[place] = entries[place]._replace(state=state, started=now / 1e4)
-            roster = Roster(roster.version + 1, tuple(entries))
+            roster = EndpointList(roster.version + 1, tuple(entries))
             news = follower.follow(roster)
             assert news is not None
             made.list_heard(now, news)
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -22,7 +22,7 @@
 from benchmarks.figures import quantiles
 from benchmarks.intake import send
 from onyxhead.agent.daemon import Daemon as Agent
-from onyxhead.controller.daemon import Daemon
+from onyxhead.controller.server import ControllerServer
 from onyxhead.settings.load import Agent as AgentSettings
 from onyxhead.settings.load import Controller, read
 from onyxhead.trial.run import free_ports
@@ -82,7 +82,7 @@
         settings = read(self.folder / "c.rec")
         assert isinstance(settings, Controller)
         publish(self.folder, 1, self.backends, set())
-        self.daemon = Daemon(settings)
+        self.daemon = ControllerServer(settings)
         self.task = asyncio.create_task(self.daemon.run())
         await until(lambda: bool(self.daemon.server.listener and self.daemon.house.listed))
         assert self.daemon.server.listener is not None
@@ -168,7 +168,7 @@
     }  # fmt: skip
 
 
-def taken(daemon: Daemon) -> int:
+def taken(daemon: ControllerServer) -> int:
     return daemon.reception.counts["reports"] if daemon.reception is not None else 0
 
 
--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -93,11 +93,11 @@
 @click.argument("settings", type=EXISTING)
 def serve(settings: Path) -> None:
     """Run a controller."""
-    from onyxhead.controller.daemon import Daemon
+    from onyxhead.controller.server import ControllerServer
     from onyxhead.keys.rotate import Unusable as BadKeys
     from onyxhead.store.store import Unusable
 
-    run_daemon(settings, load.Controller, "an agent's", Daemon, (Unusable, BadKeys))
+    run_daemon(settings, load.Controller, "an agent's", ControllerServer, (Unusable, BadKeys))
 
 
 @main.command()
--- a/onyxhead/controller/configuration/access.py
+++ b/onyxhead/controller/configuration/access.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from onyxhead.controller.configuration.tree import Problem, Tree, changes
+from onyxhead.controller.configuration.tree import RpcError, Tree, changes
 from onyxhead.settings.load import Rule, User
 
 DENIED_BY_DEFAULT = frozenset({"kill-session", "delete-config"})
@@ -17,7 +17,7 @@
         self.denied = {"operations": 0, "writes": 0}
 
     def may_run(self, user: str, rpc: str) -> None:
-        """Raises Problem access-denied."""
+        """Raises RpcError access-denied."""
         if rpc == "close-session":
             return
         for rule in self._rules(user):
@@ -29,14 +29,14 @@
             if rpc not in DENIED_BY_DEFAULT:
                 return
         self.denied["operations"] += 1
-        raise Problem("access-denied", f"{user} may not run {rpc}", kind="protocol")
+        raise RpcError("access-denied", f"{user} may not run {rpc}", kind="protocol")
 
     def may_write(self, user: str, before: Tree, after: Tree, root: str) -> None:
-        """Raises Problem access-denied for the first change that no rule permits."""
+        """Raises RpcError access-denied for the first change that no rule permits."""
         for operation, path in changes(before, after, root):
             if not self._permits(user, path, operation):
                 self.denied["writes"] += 1
-                raise Problem("access-denied", f"{user} may not {operation} {path}", path)
+                raise RpcError("access-denied", f"{user} may not {operation} {path}", path)
 
     def readable(self, user: str, path: str) -> bool:
         for rule in self._rules(user):
--- a/onyxhead/controller/configuration/effects.py
+++ b/onyxhead/controller/configuration/commit_plan.py
@@ -6,14 +6,14 @@
 
 from typing import Any, NamedTuple
 
-from onyxhead.controller.configuration.tree import Problem, Tree
+from onyxhead.controller.configuration.tree import RpcError, Tree
 
 URGENT = 0.9
 """The part of the limit that withdrawals may fill, as in the module."""
 TENTHS = 10_000
 
 
-class Backend(NamedTuple):
+class BackendFacts(NamedTuple):
     """A backend as discovery lists it now."""
 
     id: str
@@ -22,16 +22,16 @@
     warm: bool
 
 
-class Facts(NamedTuple):
+class FleetFacts(NamedTuple):
     """What the controller knows when it judges. `head` in lines."""
 
-    backends: tuple[Backend, ...]
+    backends: tuple[BackendFacts, ...]
     proxies: int
     waiting: float
     head: float
 
 
-class Plan(NamedTuple):
+class CommitPlan(NamedTuple):
     """What a commit does: which backends leave or come back, whether all proxies must join anew, for how long."""
 
     drains: tuple[str, ...]
@@ -49,35 +49,35 @@
     return {each["id"]: each["weight"] for each in tree.get("backend", ()) if "weight" in each}
 
 
-def judge(before: Tree, after: Tree, facts: Facts) -> Plan:
-    """The plan of a commit. Raises Problem for one that would break a rule by itself."""
+def plan_commit(before: Tree, after: Tree, facts: FleetFacts) -> CommitPlan:
+    """The plan of a commit. Raises RpcError for one that would break a rule by itself."""
     leaving, coming = drained(after) - drained(before), drained(before) - drained(after)
     ready = {backend.id for backend in facts.backends if backend.ready}
     channel, guards = _part(after, "channel"), _part(after, "guards")
     pace, most = float(channel.get("pace", 1000)), int(channel.get("most-waiting", 2000))
     grace = guards.get("drain-grace", 20_000) / TENTHS
     if not after.get("group"):
-        raise Problem("operation-failed", "no traffic group would be left", "/fleet/group")
+        raise RpcError("operation-failed", "no traffic group would be left", "/fleet/group")
     _keep_groups(before, after, facts)
     if most < facts.waiting:
         text = f"{facts.waiting:.0f} lines wait now; a limit of {most} would be broken at once (rule 5)"
-        raise Problem("operation-failed", text, "/fleet/channel/most-waiting")
+        raise RpcError("operation-failed", text, "/fleet/channel/most-waiting")
     told = len(leaving & ready)
     lines = facts.proxies * (facts.head + 1 + told)
     room = min(URGENT * most, pace * grace)
     if told and lines > room:
         fits = max(0, int(room / max(1, facts.proxies) - facts.head - 1))
         text = f"{told} drains at once take {lines:.0f} lines, {room:.0f} pass in the grace: {fits} at a time (rule 3)"
-        raise Problem("operation-failed", text, "/fleet/backend")
+        raise RpcError("operation-failed", text, "/fleet/backend")
     rebuild = any(_part(before, name) != _part(after, name) for name in ("channel", "guards", "group"))
     tables = len(facts.backends) + 1 + facts.head
     cost = facts.proxies * tables * max(1, len(after["group"])) if rebuild else lines if told or coming else 0.0
     changed = {name for name, weight in weights(after).items() if weights(before).get(name) != weight}
     changed |= weights(before).keys() - weights(after).keys()
-    return Plan(tuple(sorted(leaving)), tuple(sorted(coming)), tuple(sorted(changed)), rebuild, cost / pace)
+    return CommitPlan(tuple(sorted(leaving)), tuple(sorted(coming)), tuple(sorted(changed)), rebuild, cost / pace)
 
 
-def _keep_groups(before: Tree, after: Tree, facts: Facts) -> None:
+def _keep_groups(before: Tree, after: Tree, facts: FleetFacts) -> None:
     """An edit must not take a group's last warm backend (rule 1); one already bare is not the edit's doing."""
     for group in after["group"]:
         zones = set(group.get("zone", ()))
@@ -90,7 +90,7 @@
         )
         if not left and (had or (earlier is None and facts.backends)):
             text = f"group {group['name']!r} would have no warm backend (rule 1)"
-            raise Problem("operation-failed", text, "/fleet/backend")
+            raise RpcError("operation-failed", text, "/fleet/backend")
 
 
 def _part(tree: Tree, name: str) -> Any:  # noqa: ANN401
--- a/onyxhead/controller/configuration/datastores.py
+++ b/onyxhead/controller/configuration/datastores.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from onyxhead.controller.configuration.tree import Edit, Node, Problem, Tree, apply
+from onyxhead.controller.configuration.tree import Edit, Node, RpcError, Tree, apply
 
 CONFIRM_TIMEOUT = 600
 NAMES = ("running", "candidate", "startup")
@@ -30,7 +30,7 @@
 
 
 class Datastores:
-    """`check` raises Problem for a tree that the schema refuses; `allowed` for one that may not take effect."""
+    """`check` raises RpcError for a tree that the schema refuses; `allowed` for one that may not take effect."""
 
     def __init__(
         self, node: Node, commits: list[Commit], check: Callable[[Tree], None], startup: Tree | None = None
@@ -47,43 +47,43 @@
 
     def get(self, name: str) -> Tree:
         if name not in NAMES:
-            raise Problem("invalid-value", f"there is no datastore {name!r}")
+            raise RpcError("invalid-value", f"there is no datastore {name!r}")
         return {"running": self.running, "candidate": self.candidate, "startup": self.startup}[name]
 
     # Locks
 
     def lock(self, session: int, name: str) -> None:
-        """Raises Problem lock-denied, with the session that holds it or stands in the way."""
+        """Raises RpcError lock-denied, with the session that holds it or stands in the way."""
         self.get(name)
         if name in self.locks:
-            raise Problem("lock-denied", f"{name} is locked", kind="protocol", session_id=str(self.locks[name]))
+            raise RpcError("lock-denied", f"{name} is locked", kind="protocol", session_id=str(self.locks[name]))
         if name == "candidate" and self.candidate != self.running:
             holder = str(self.changed_by)
-            raise Problem("lock-denied", "candidate has changes of its own", kind="protocol", session_id=holder)
+            raise RpcError("lock-denied", "candidate has changes of its own", kind="protocol", session_id=holder)
         if name == "running" and self.last.until:
-            raise Problem("lock-denied", "a commit waits to be confirmed", kind="protocol", session_id="0")
+            raise RpcError("lock-denied", "a commit waits to be confirmed", kind="protocol", session_id="0")
         self.locks[name] = session
 
     def unlock(self, session: int, name: str) -> None:
         self.get(name)
         if self.locks.get(name) != session:
-            raise Problem("operation-failed", f"{name} is not locked by this session", kind="protocol")
+            raise RpcError("operation-failed", f"{name} is not locked by this session", kind="protocol")
         del self.locks[name]
         if name == "candidate":
             self.candidate = self.running
 
     def may_write(self, session: int, name: str) -> None:
-        """Raises Problem in-use where another session holds the lock."""
+        """Raises RpcError in-use where another session holds the lock."""
         holder = self.locks.get(name, session)
         if holder != session:
-            raise Problem("in-use", f"{name} is locked by session {holder}", kind="protocol")
+            raise RpcError("in-use", f"{name} is locked by session {holder}", kind="protocol")
 
     # Changes
 
     def edited(self, session: int, name: str, edit: Edit, default: str, test: bool = True) -> Tree:
-        """What the datastore would hold after the edit; nothing is set. Raises Problem."""
+        """What the datastore would hold after the edit; nothing is set. Raises RpcError."""
         if name == "running":
-            raise Problem("operation-not-supported", "running is changed by commit", kind="protocol")
+            raise RpcError("operation-not-supported", "running is changed by commit", kind="protocol")
         before = self.get(name)
         self.may_write(session, name)
         after = apply(self.node, before, edit, default)
@@ -92,11 +92,11 @@
         return after
 
     def put(self, session: int, name: str, tree: Tree) -> None:
-        """Replaces a datastore whole. Raises Problem."""
+        """Replaces a datastore whole. Raises RpcError."""
         self.get(name)
         self.may_write(session, name)
         if name == "running":
-            raise Problem("operation-not-supported", "running is changed by commit", kind="protocol")
+            raise RpcError("operation-not-supported", "running is changed by commit", kind="protocol")
         if name == "candidate":
             self.candidate, self.changed_by = tree, session
         else:
@@ -113,15 +113,15 @@
         self, session: int, user: str, now: float, confirmed: bool = False, timeout: int = CONFIRM_TIMEOUT,
         persist: str = "", persist_id: str = "",
     ) -> Commit:  # fmt: skip
-        """The commit to write down; nothing has changed until `done`. Raises Problem."""
+        """The commit to write down; nothing has changed until `done`. Raises RpcError."""
         for name in ("running", "candidate"):
             self.may_write(session, name)
         waiting = self.last
         if waiting.until:
             if waiting.persist != persist_id or (not waiting.persist and session != self.owner):
-                raise Problem("invalid-value", "another commit waits to be confirmed, under another persist-id")
+                raise RpcError("invalid-value", "another commit waits to be confirmed, under another persist-id")
         elif persist_id:
-            raise Problem("invalid-value", "no commit waits to be confirmed")
+            raise RpcError("invalid-value", "no commit waits to be confirmed")
         self.check(self.candidate)
         # A chain of unconfirmed commits goes back to where it began, not to its last link.
         back = (waiting.back if waiting.until else waiting.number) if confirmed else 0
@@ -137,12 +137,12 @@
             self.candidate = commit.tree
 
     def cancel(self, session: int, user: str, persist_id: str = "") -> Commit:
-        """The commit that takes an unconfirmed one back. Raises Problem."""
+        """The commit that takes an unconfirmed one back. Raises RpcError."""
         waiting = self.last
         if not waiting.until:
-            raise Problem("operation-failed", "no commit waits to be confirmed")
+            raise RpcError("operation-failed", "no commit waits to be confirmed")
         if waiting.persist != persist_id or (not waiting.persist and session != self.owner):
-            raise Problem("invalid-value", "the commit that waits has another persist-id")
+            raise RpcError("invalid-value", "the commit that waits has another persist-id")
         return self._back(user)
 
     def overdue(self, now: float) -> Commit | None:
--- a/onyxhead/controller/configuration/desk.py
+++ b/onyxhead/controller/configuration/service.py
@@ -10,14 +10,14 @@
 from typing import Any, NamedTuple
 
 from onyxhead.controller.configuration.access import Access
+from onyxhead.controller.configuration.commit_plan import CommitPlan, FleetFacts, plan_commit
 from onyxhead.controller.configuration.datastores import CONFIRM_TIMEOUT, Commit, Datastores
-from onyxhead.controller.configuration.effects import Facts, Plan, judge
-from onyxhead.controller.configuration.tree import Edit, Problem, Tree
+from onyxhead.controller.configuration.tree import Edit, RpcError, Tree
 
 EVENTS_KEPT = 2_000
 
 
-class Event(NamedTuple):
+class Notification(NamedTuple):
     """Something that happened, for those who listen and for replay. `at` in seconds of the wall's clock."""
 
     at: float
@@ -25,23 +25,23 @@
     values: dict[str, Any]
 
 
-class Hands(NamedTuple):
+class ConfigurationCallbacks(NamedTuple):
     """What the host does for the desk. `write` and `save` return once it is on disk, or raise OSError."""
 
-    facts: Callable[[], Facts]
+    facts: Callable[[], FleetFacts]
     write: Callable[[Commit], None]
     save: Callable[[Tree], None]
-    act: Callable[[Tree, Plan], None]
+    act: Callable[[Tree, CommitPlan], None]
     state: Callable[[], Tree]
     wall: Callable[[], float]
     audit: Callable[[str, int, str, str], None]
 
 
-class Desk:
-    def __init__(self, stores: Datastores, access: Access, hands: Hands) -> None:
+class ConfigurationService:
+    def __init__(self, stores: Datastores, access: Access, hands: ConfigurationCallbacks) -> None:
         self.stores, self.access, self.hands = stores, access, hands
-        self.events: deque[Event] = deque(maxlen=EVENTS_KEPT)
-        self.listeners: dict[int, Callable[[Event], None]] = {}
+        self.events: deque[Notification] = deque(maxlen=EVENTS_KEPT)
+        self.listeners: dict[int, Callable[[Notification], None]] = {}
         self.killers: dict[int, Callable[[], None]] = {}
         self.next_session = 1
 
@@ -61,9 +61,9 @@
 
     def kill(self, user: str, session: int, own: int) -> None:
         if session == own:
-            raise Problem("invalid-value", "a session ends itself by close-session", kind="protocol")
+            raise RpcError("invalid-value", "a session ends itself by close-session", kind="protocol")
         if session not in self.killers:
-            raise Problem("invalid-value", f"there is no session {session}", kind="protocol")
+            raise RpcError("invalid-value", f"there is no session {session}", kind="protocol")
         self.hands.audit(user, own, f"kill-session {session}", "done")
         self.killers[session]()
         self.end(session)
@@ -90,7 +90,7 @@
         self, user: str, session: int, confirmed: bool = False, timeout: int = CONFIRM_TIMEOUT, persist: str = "",
         persist_id: str = "",
     ) -> Commit:  # fmt: skip
-        """Raises Problem, with nothing changed."""
+        """Raises RpcError, with nothing changed."""
         now = self.hands.wall()
         made = self.stores.commit(session, user, now, confirmed, timeout, persist, persist_id)
         self.access.may_write(user, self.stores.running, made.tree, "/fleet")
@@ -107,18 +107,18 @@
     def _settle(self, session: int, commit: Commit) -> Commit:
         before = self.stores.running
         try:
-            plan = judge(before, commit.tree, self.hands.facts())
-        except Problem as problem:
+            plan = plan_commit(before, commit.tree, self.hands.facts())
+        except RpcError as problem:
             # What goes back was in effect before: it is put back whatever it costs, the module keeps the rules.
             if commit.what != "roll back":
                 self.hands.audit(commit.user, session, commit.what, f"refused: {problem.text}")
                 raise
-            plan = Plan((), (), (), True, 0.0)
+            plan = CommitPlan((), (), (), True, 0.0)
         try:
             self.hands.write(commit)
         except OSError as error:
             self.hands.audit(commit.user, session, commit.what, f"not written: {error}")
-            raise Problem("operation-failed", f"the commit could not be written: {error}") from None
+            raise RpcError("operation-failed", f"the commit could not be written: {error}") from None
         self.stores.done(session, commit)
         if commit.tree != before:
             self.hands.act(commit.tree, plan)
@@ -130,7 +130,7 @@
     # Events
 
     def tell(self, name: str, values: dict[str, Any]) -> None:
-        event = Event(self.hands.wall(), name, values)
+        event = Notification(self.hands.wall(), name, values)
         self.events.append(event)
         for listener in list(self.listeners.values()):
             listener(event)
--- a/onyxhead/controller/configuration/tree.py
+++ b/onyxhead/controller/configuration/tree.py
@@ -14,7 +14,7 @@
 OPERATIONS = ("merge", "replace", "create", "delete", "remove")
 
 
-class Problem(Exception):
+class RpcError(Exception):
     """What a client is told (RFC 6241, appendix A): tag and type from the RFC, a path, words."""
 
     def __init__(self, tag: str, text: str, path: str = "", kind: str = "application", **info: str) -> None:
@@ -46,7 +46,7 @@
 
 
 def apply(node: Node, tree: Tree, edit: Edit, default: str) -> Tree:
-    """The tree after the edit of a container. Raises Problem, with nothing changed."""
+    """The tree after the edit of a container. Raises RpcError, with nothing changed."""
     return _container(node, tree, edit, edit.operation or default, "")
 
 
@@ -63,9 +63,9 @@
     where = f"{path}/{edit.name}"
     child = node.children.get(edit.name)
     if child is None:
-        raise Problem("unknown-element", f"there is no {edit.name} in {node.name}", path, bad_element=edit.name)
+        raise RpcError("unknown-element", f"there is no {edit.name} in {node.name}", path, bad_element=edit.name)
     if not child.config:
-        raise Problem("invalid-value", f"{edit.name} is state, not configuration", where)
+        raise RpcError("invalid-value", f"{edit.name} is state, not configuration", where)
     match child.kind:
         case "leaf":
             return _leaf(child, tree, edit, operation, where)
@@ -83,11 +83,11 @@
 
 
 def _there(exists: bool, operation: str, where: str) -> bool | None:
-    """True: leave as it is; False: take it away; None: write it. Raises Problem where it must or must not exist."""
+    """True: leave as it is; False: take it away; None: write it. Raises RpcError where it must or must not exist."""
     if operation == "create" and exists:
-        raise Problem("data-exists", "it exists already", where)
+        raise RpcError("data-exists", "it exists already", where)
     if operation == "delete" and not exists:
-        raise Problem("data-missing", "it does not exist", where)
+        raise RpcError("data-missing", "it does not exist", where)
     if operation in ("delete", "remove"):
         return not exists
     return None
@@ -117,7 +117,7 @@
     for name in node.keys:
         told = [child for child in edit.children if child.name == name]
         if len(told) != 1:
-            raise Problem("missing-element", f"an entry of {node.name} needs one {name}", where, bad_element=name)
+            raise RpcError("missing-element", f"an entry of {node.name} needs one {name}", where, bad_element=name)
         key.append(parsed(node.children[name], told[0].text, f"{where}/{name}"))
     named = f"{where}[{' and '.join(f'{n}={v!r}' for n, v in zip(node.keys, key, strict=True))}]"
     own = next((each for each in held if [each[name] for name in node.keys] == key), None)
@@ -125,7 +125,7 @@
     if (there := _there(own is not None, operation, named)) is not None:
         return tree if there else _put(tree, node.name, rest)
     if operation == "none" and own is None:
-        raise Problem("data-missing", "it does not exist", named)
+        raise RpcError("data-missing", "it does not exist", named)
     members = [child for child in edit.children if child.name not in node.keys]
     base = dict(zip(node.keys, key, strict=True)) | (own or {})
     if operation in ("replace", "create"):
@@ -141,10 +141,10 @@
 
 
 def parsed(node: Node, text: str, where: str) -> Any:  # noqa: ANN401
-    """The value of a leaf's text. Raises Problem."""
+    """The value of a leaf's text. Raises RpcError."""
     value = node.parse(text)
     if value is None:
-        raise Problem("invalid-value", f"{text!r} is no value of {node.name}", where)
+        raise RpcError("invalid-value", f"{text!r} is no value of {node.name}", where)
     return value
 
 
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from onyxhead.controller.configuration.tree import Tree
-from onyxhead.controller.roster import Entry, Roster
+from onyxhead.controller.endpoint_list import EndpointEntry, EndpointList
 from onyxhead.policy.inputs import Deployment, RetrySafety, TrafficGroup
 from onyxhead.records.write import Raw
 from onyxhead.settings.load import Controller
@@ -85,13 +85,13 @@
     )  # fmt: skip
 
 
-def overlaid(roster: Roster, tree: Tree) -> Roster:
+def overlaid(roster: EndpointList, tree: Tree) -> EndpointList:
     """Discovery's list with what operators say of its backends over it."""
     said = {each["id"]: each for each in tree.get("backend", ())}
     return roster._replace(entries=tuple(_overlaid(entry, said.get(entry.id, {})) for entry in roster.entries))
 
 
-def _overlaid(entry: Entry, said: Tree) -> Entry:
+def _overlaid(entry: EndpointEntry, said: Tree) -> EndpointEntry:
     weight = float(said["weight"]) if "weight" in said else entry.weight
     return entry._replace(weight=weight, state="draining" if said.get("drained") else entry.state)
 
--- a/onyxhead/controller/office.py
+++ b/onyxhead/controller/configuration_service.py
@@ -8,22 +8,22 @@
 import structlog
 
 from onyxhead.controller.configuration.access import Access
+from onyxhead.controller.configuration.commit_plan import CommitPlan
 from onyxhead.controller.configuration.datastores import Commit, Datastores
-from onyxhead.controller.configuration.desk import Desk, Hands
-from onyxhead.controller.configuration.effects import Plan
-from onyxhead.controller.configuration.tree import Problem, Tree
+from onyxhead.controller.configuration.service import ConfigurationCallbacks, ConfigurationService
+from onyxhead.controller.configuration.tree import RpcError, Tree
 from onyxhead.controller.configuration.views import deployment, tree_of
 from onyxhead.fronts.netconf import schema
 
 if TYPE_CHECKING:
-    from onyxhead.controller.daemon import Daemon
+    from onyxhead.controller.server import ControllerServer
 
 log = structlog.get_logger()
 SETTINGS = "settings tree"
 STARTUP = "startup"
 
 
-def open_desk(daemon: Daemon) -> Desk:
+def open_desk(daemon: ControllerServer) -> ConfigurationService:
     """The desk with the commits of earlier lives; what was in effect when the last one ended is again.
 
     The settings file counts as a commit whenever it says something else than at the last start. Raises OSError."""
@@ -39,7 +39,7 @@
     stores = Datastores(schema.config(), commits, lambda tree: _check(daemon, tree), store.kept(STARTUP))
     netconf = settings.netconf
     access = Access(netconf.users if netconf else {}, netconf.rules if netconf else ())
-    hands = Hands(
+    hands = ConfigurationCallbacks(
         facts=daemon.facts,
         write=lambda commit: store.committed(*commit),
         save=lambda tree: store.keep(STARTUP, tree),
@@ -48,23 +48,23 @@
         wall=time.time,
         audit=lambda user, session, what, result: _audit(daemon, user, session, what, result),
     )
-    return Desk(stores, access, hands)
+    return ConfigurationService(stores, access, hands)
 
 
-def _check(daemon: Daemon, tree: Tree) -> None:
+def _check(daemon: ControllerServer, tree: Tree) -> None:
     schema.check(tree)
     try:
         deployment(tree, daemon.settings)
     except ValueError as error:
-        raise Problem("invalid-value", str(error), "/fleet/group") from None
+        raise RpcError("invalid-value", str(error), "/fleet/group") from None
 
 
-def _audit(daemon: Daemon, user: str, session: int, what: str, result: str) -> None:
+def _audit(daemon: ControllerServer, user: str, session: int, what: str, result: str) -> None:
     log.info("audit", user=user, session=session, what=what, result=result)
     daemon.store.audited(user, session, what, result)
 
 
-def act(daemon: Daemon, tree: Tree, plan: Plan) -> None:
+def act(daemon: ControllerServer, tree: Tree, plan: CommitPlan) -> None:
     """Puts a tree into effect: by the list where that is enough, else by a new start of the module."""
     log.info("configuration", drains=plan.drains, restores=plan.restores, rebuild=plan.rebuild, about_s=plan.seconds)
     daemon.tree = tree
@@ -73,7 +73,7 @@
     daemon.list_again()
 
 
-def state(daemon: Daemon) -> Tree:
+def state(daemon: ControllerServer) -> Tree:
     known = daemon.house.state(daemon.clock.now())
     proxies = [
         {"name": name, "zone": own["zone"], "bound": own["bound"], "turn": own["turn"]}
--- a/onyxhead/controller/house.py
+++ b/onyxhead/controller/core.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from onyxhead.controller.channel import Channel, Overfull, Sent
-from onyxhead.controller.door import Door
-from onyxhead.controller.roster import Followed
-from onyxhead.controller.sums import Gate, Gathered, Report
+from onyxhead.controller.delivery_queue import DeliveryQueue, QueuedMessage, QueueFullError
+from onyxhead.controller.endpoint_list import EndpointUpdate
+from onyxhead.controller.join_backoff import JoinBackoff
+from onyxhead.controller.request_statistics import DuplicateFilter, RequestStatistics, StatisticsAggregator
 from onyxhead.fleet.budget import Budget, Life, Loan, Strain
 from onyxhead.intake.picture import Picture
 from onyxhead.policy.balancer import BalancingPolicy
@@ -39,7 +39,7 @@
 """So many causes are told with an order; more say no more."""
 
 
-class Joining(NamedTuple):
+class JoinRequest(NamedTuple):
     """A proxy that asks to join, and what it holds. `usual` in flows a second."""
 
     name: str
@@ -49,7 +49,7 @@
     held: View
 
 
-class Cut(NamedTuple):
+class Disconnect(NamedTuple):
     """A stream to give up, and why."""
 
     proxy: int
@@ -57,7 +57,7 @@
     why: str
 
 
-class Step(NamedTuple):
+class RoundResult(NamedTuple):
     """One pull of the module that sent something: its turn, what it decided, and what had been heard before."""
 
     turn: int
@@ -66,24 +66,24 @@
 
 
 @dataclass
-class Work:
+class Effects:
     """What there is to carry out."""
 
-    steps: list[Step] = field(default_factory=list)
-    leaving: list[Sent[Message]] = field(default_factory=list)
+    steps: list[RoundResult] = field(default_factory=list)
+    leaving: list[QueuedMessage[Message]] = field(default_factory=list)
     probes: list[tuple[str, str]] = field(default_factory=list)
-    cuts: list[Cut] = field(default_factory=list)
+    cuts: list[Disconnect] = field(default_factory=list)
     remarks: list[str] = field(default_factory=list)
     subscribe: bool = False
 
 
-class Joined(NamedTuple):
+class JoinedProxy(NamedTuple):
     name: str
     zone: int
     since: int
 
 
-class House:
+class ControllerCore:
     """`numbers` are the proxies' numbers of earlier lives, so that a proxy keeps its own."""
 
     def __init__(
@@ -101,15 +101,15 @@
         self.start, self.groups, self.zones, self.epoch = start, groups, zones, epoch
         self.brain = BalancingPolicy(start, seed, now)
         self.books = Books(groups, start.admission_mode, start.channel.message_overhead)
-        self.channel: Channel[Message] = Channel(start.channel, patience)
-        self.door, self.gate, self.gathered = Door(), Gate(), Gathered()
+        self.channel: DeliveryQueue[Message] = DeliveryQueue(start.channel, patience)
+        self.door, self.gate, self.gathered = JoinBackoff(), DuplicateFilter(), StatisticsAggregator()
         self.numbers = dict(numbers or {})
-        self.joined: dict[int, Joined] = {}
+        self.joined: dict[int, JoinedProxy] = {}
         self.applied: dict[int, tuple[int, str]] = {}
         self.by_address: dict[str, str] = {}
         self.listed: dict[str, Endpoint] = {}
         self.causes: list[str] = []
-        self.work = Work()
+        self.work = Effects()
         self.wake_at = self.tell_at = now
         self.counts: Counter[str] = Counter()
         self.history = history or History()
@@ -128,7 +128,7 @@
 
     # What is heard
 
-    def list_heard(self, now: int, news: Followed) -> None:
+    def list_heard(self, now: int, news: EndpointUpdate) -> None:
         for backend, place in news.places.items():
             known = self.books.places.get(backend)
             # Lines name the address they were sent with: another one is another process, to be let in anew.
@@ -165,14 +165,14 @@
             self.numbers[name] = free
         return self.numbers[name]
 
-    def joins(self, now: int, who: Joining) -> int:
+    def joins(self, now: int, who: JoinRequest) -> int:
         """The proxy's stream stands; an earlier one of the same name is over. Returns its number."""
         number = self.number(who.name)
         if number in self.joined:
             self.left(now, number)
         self.work.cuts = [cut for cut in self.work.cuts if cut.proxy != number]
         zone = self.zones.index(who.zone)
-        self.joined[number] = Joined(who.name, zone, now)
+        self.joined[number] = JoinedProxy(who.name, zone, now)
         self.channel.join(number)
         self.books.join(number, who.held)
         self.brain.on_proxy_joined(now, number, zone, who.usual, who.standing)
@@ -213,7 +213,7 @@
         self.counts["faults"] += 1
         self._cut(now, proxy, why)
 
-    def summed(self, now: int, name: str, boot: str, number: int, report: Report) -> bool:
+    def summed(self, now: int, name: str, boot: str, number: int, report: RequestStatistics) -> bool:
         """One proxy's sums; False if they were heard before or the proxy is not joined here."""
         proxy = self.numbers.get(name)
         if proxy is None or proxy not in self.joined:
@@ -245,7 +245,7 @@
 
     # What is decided
 
-    def act(self, now: int) -> Work:
+    def act(self, now: int) -> Effects:
         """One step: sums that are due are told, the module decides, messages whose time has come leave."""
         if now >= self.tell_at:
             self.tell_at = now + self.start.report_interval
@@ -271,7 +271,7 @@
         for proxy in self.channel.stuck(now):
             self.fault(now, proxy, "it takes nothing")
         self.work.leaving = self.channel.leave_now(now)
-        work, self.work = self.work, Work()
+        work, self.work = self.work, Effects()
         return work
 
     def next_at(self) -> int:
@@ -303,7 +303,7 @@
             self.brain.on_acknowledgement(now, proxy, turn, 0)
         self._remember(now, ", ".join(self.causes) or "time")
         if turn:
-            work.steps.append(Step(turn, decisions, self.causes))
+            work.steps.append(RoundResult(turn, decisions, self.causes))
             self.causes = []
 
     # Versions, and the way back
@@ -419,13 +419,13 @@
             return
         try:
             self.channel.offer(now, message.proxy, message, message.lines)
-        except Overfull as error:
+        except QueueFullError as error:
             # The module takes what it ordered as sent. Only a new join makes it think about this proxy anew.
             self.counts["refused by the limit"] += 1
             self._cut(now, message.proxy, f"the channel's limit: {error}")
 
     def _cut(self, now: int, proxy: int, why: str) -> None:
-        self.work.cuts.append(Cut(proxy, self.joined[proxy].name, why))
+        self.work.cuts.append(Disconnect(proxy, self.joined[proxy].name, why))
         self.left(now, proxy, why)
 
     def _cause(self, text: str) -> None:
--- a/onyxhead/controller/channel.py
+++ b/onyxhead/controller/delivery_queue.py
@@ -18,7 +18,7 @@
 SECOND = 10_000
 
 
-class Sent(NamedTuple, Generic[Order]):
+class QueuedMessage(NamedTuple, Generic[Order]):
     """One message: when it was ordered, and since when it waits where it is now."""
 
     proxy: int
@@ -28,17 +28,17 @@
     since: int
 
 
-class Overfull(Exception):
+class QueueFullError(Exception):
     """The limit on lines or messages does not allow this one; nothing was queued."""
 
 
-class Channel(Generic[Order]):
+class DeliveryQueue(Generic[Order]):
     """Times in tenths of a millisecond, lines as rule 5 counts them (heads included)."""
 
     def __init__(self, limits: ChannelLimits, patience: int) -> None:
         self.limits, self.patience = limits, patience
-        self.queue: deque[Sent[Order]] = deque()
-        self.streams: dict[int, deque[Sent[Order]]] = {}
+        self.queue: deque[QueuedMessage[Order]] = deque()
+        self.streams: dict[int, deque[QueuedMessage[Order]]] = {}
         self.written: dict[int, deque[int]] = {}
         self.slower = 1.0
         self.free_at = 0.0
@@ -59,25 +59,25 @@
         self.waiting -= sum(sent.lines for sent in (*lost, *queued))
 
     def offer(self, now: int, proxy: int, order: Order, lines: float) -> None:
-        """Queues one message. Raises Overfull, or KeyError for a proxy that has not joined."""
+        """Queues one message. Raises QueueFullError, or KeyError for a proxy that has not joined."""
         written = self.written[proxy]
         while written and written[0] <= now - self.limits.message_window:
             written.popleft()
         waiting = self.waiting + lines
         if waiting > self.limits.max_queued_lines:
-            raise Overfull(f"{waiting:.0f} lines would wait, {self.limits.max_queued_lines:.0f} may")
+            raise QueueFullError(f"{waiting:.0f} lines would wait, {self.limits.max_queued_lines:.0f} may")
         if self.limits.max_messages and len(written) >= self.limits.max_messages:
-            raise Overfull(f"{len(written)} messages were written to the proxy, no more may be")
+            raise QueueFullError(f"{len(written)} messages were written to the proxy, no more may be")
         written.append(now)
         self.waiting = waiting
         self.peak = max(self.peak, waiting)
         if not self.queue:
             self.free_at = max(self.free_at, now)
-        self.queue.append(Sent(proxy, order, lines, now, now))
+        self.queue.append(QueuedMessage(proxy, order, lines, now, now))
 
-    def leave_now(self, now: int) -> list[Sent[Order]]:
+    def leave_now(self, now: int) -> list[QueuedMessage[Order]]:
         """Messages whose turn has come; they now wait at their proxies' streams."""
-        out: list[Sent[Order]] = []
+        out: list[QueuedMessage[Order]] = []
         while self.queue and (done := self._done()) <= now:
             self.free_at = done
             sent = self.queue.popleft()._replace(since=now)
--- a/onyxhead/controller/discovery.py
+++ b/onyxhead/controller/discovery.py
@@ -14,11 +14,11 @@
 TIMEOUT = 8.0
 
 
-class Unheard(Exception):
+class DiscoveryUnavailableError(Exception):
     """Discovery can't be read now; the last list stands."""
 
 
-async def watch_file(path: Path, every: float) -> AsyncIterator[bytes | Unheard]:
+async def watch_file(path: Path, every: float) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
     """The file's content at first and whenever it was written anew.
 
     A file that stays half written is read again each time, since its writer need not touch it once more."""
@@ -35,11 +35,13 @@
         except OSError as error:
             if told != str(error):
                 told = str(error)
-                yield Unheard(f"cannot read {path.name}: {error.strerror}")
+                yield DiscoveryUnavailableError(f"cannot read {path.name}: {error.strerror}")
         await asyncio.sleep(every)
 
 
-async def ask_server(address: tuple[str, int], every: float, name: str) -> AsyncIterator[bytes | Unheard]:
+async def ask_server(
+    address: tuple[str, int], every: float, name: str
+) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
     """The server's list at first and whenever its tag changes; the server may hold its answer (RFC 7240, wait)."""
     tag = ""
     while True:
@@ -57,12 +59,12 @@
                         tag = response.headers.get("etag", "")
                         yield response.body
                     elif response.status != 304:
-                        yield Unheard(f"discovery answers {response.status}")
+                        yield DiscoveryUnavailableError(f"discovery answers {response.status}")
                         break
                     if not tag:
                         await asyncio.sleep(every)
         except TimeoutError:
-            yield Unheard("discovery does not answer in time")
+            yield DiscoveryUnavailableError("discovery does not answer in time")
         except (OSError, Fault) as error:
-            yield Unheard(f"discovery can't be reached: {error}")
+            yield DiscoveryUnavailableError(f"discovery can't be reached: {error}")
         await asyncio.sleep(every)
--- a/onyxhead/controller/roster.py
+++ b/onyxhead/controller/endpoint_list.py
@@ -18,11 +18,11 @@
 MOST_WEIGHT = 1000.0
 
 
-class Unlisted(ValueError):
+class InvalidEndpointListError(ValueError):
     """The document is no list that can be followed; what was known stands."""
 
 
-class Entry(NamedTuple):
+class EndpointEntry(NamedTuple):
     """One backend as listed. `started` in seconds of the wall's clock, 0 for long ago."""
 
     id: str
@@ -34,60 +34,60 @@
     started: float
 
 
-class Roster(NamedTuple):
+class EndpointList(NamedTuple):
     version: int
-    entries: tuple[Entry, ...]
+    entries: tuple[EndpointEntry, ...]
 
     def body(self) -> bytes:
         backends = [entry._asdict() for entry in self.entries]
         return json.dumps({"version": self.version, "backends": backends}).encode()
 
 
-def read(body: bytes) -> Roster:
-    """The list in a document. Raises Unlisted for what is half written or contradicts itself."""
+def read(body: bytes) -> EndpointList:
+    """The list in a document. Raises InvalidEndpointListError for what is half written or contradicts itself."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise Unlisted(f"not JSON, perhaps half written: {error}") from None
+        raise InvalidEndpointListError(f"not JSON, perhaps half written: {error}") from None
     if not isinstance(document, dict) or type(document.get("version")) is not int:
-        raise Unlisted("no list with a version")
+        raise InvalidEndpointListError("no list with a version")
     backends = document.get("backends")
     if not isinstance(backends, list):
-        raise Unlisted("backends is no list")
+        raise InvalidEndpointListError("backends is no list")
     entries = tuple(_entry(place, given) for place, given in enumerate(backends))
     for what, of in (("id", [e.id for e in entries]), ("address", [e.address for e in entries])):
         doubled = sorted({each for each in of if of.count(each) > 1}) if len(set(of)) < len(of) else []
         if doubled:
             # Two entries for one process would get its share twice, and one drain would not stop the other.
-            raise Unlisted(f"{what} {doubled[0]!r} is listed twice")
-    return Roster(document["version"], entries)
+            raise InvalidEndpointListError(f"{what} {doubled[0]!r} is listed twice")
+    return EndpointList(document["version"], entries)
 
 
-def _entry(place: int, given: Any) -> Entry:  # noqa: ANN401
+def _entry(place: int, given: Any) -> EndpointEntry:  # noqa: ANN401
     def told(name: str, kind: type, default: object = None) -> Any:  # noqa: ANN401
         value = given.get(name, default) if isinstance(given, dict) else None
         if kind is float and type(value) is int:
             value = float(value)
         if type(value) is not kind:
-            raise Unlisted(f"backend {place}: {name} is missing or of the wrong type")
+            raise InvalidEndpointListError(f"backend {place}: {name} is missing or of the wrong type")
         return value
 
-    entry = Entry(
+    entry = EndpointEntry(
         id=told("id", str), address=told("address", str), zone=told("zone", str), kind=told("kind", str, ""),
         state=told("state", str, "ready"), weight=told("weight", float, 1.0), started=told("started", float, 0.0),
     )  # fmt: skip
     if not entry.id or entry.state not in STATES:
-        raise Unlisted(f"backend {place}: no id, or a state other than {' and '.join(STATES)}")
+        raise InvalidEndpointListError(f"backend {place}: no id, or a state other than {' and '.join(STATES)}")
     if not 0 < entry.weight <= MOST_WEIGHT or not 0 <= entry.started < 1e11:
-        raise Unlisted(f"backend {entry.id}: weight or start out of range")
+        raise InvalidEndpointListError(f"backend {entry.id}: weight or start out of range")
     try:
         address_parts(entry.address)
     except Malformed as error:
-        raise Unlisted(f"backend {entry.id}: {error}") from None
+        raise InvalidEndpointListError(f"backend {entry.id}: {error}") from None
     return entry
 
 
-class Followed(NamedTuple):
+class EndpointUpdate(NamedTuple):
     """What a list changes: entries for the module, places for the books, and what an operator should read."""
 
     kind: WatchEvent
@@ -96,27 +96,27 @@
     notes: list[str]
 
 
-class Follower:
+class EndpointListFollower:
     """Keeps the last good list of one source, and what it dropped of late."""
 
     def __init__(self, zones: tuple[str, ...], of_wall: Callable[[float], int], now: Callable[[], int]) -> None:
         self.zones, self.of_wall, self.now = zones, of_wall, now
-        self.last: Roster | None = None
+        self.last: EndpointList | None = None
         self.kinds: dict[str, int] = {}
 
-    def remember(self, roster: Roster) -> Followed:
+    def remember(self, roster: EndpointList) -> EndpointUpdate:
         """The last list from disk, at a start."""
         self.last = roster
         listed, notes = self._listed(roster.entries)
-        return Followed(WatchEvent.CACHED, listed, _places(roster.entries), notes)
+        return EndpointUpdate(WatchEvent.CACHED, listed, _places(roster.entries), notes)
 
-    def follow(self, roster: Roster) -> Followed | None:
-        """A list just read; None if it says nothing new. Raises Unlisted for one older than what is known."""
+    def follow(self, roster: EndpointList) -> EndpointUpdate | None:
+        """A list just read; None if it says nothing new. Raises InvalidEndpointListError for one older than what is known."""
         if self.last is not None and roster.version < self.last.version:
-            raise Unlisted(f"version {roster.version} is older than {self.last.version}")
+            raise InvalidEndpointListError(f"version {roster.version} is older than {self.last.version}")
         if self.last is not None and not roster.entries and self.last.entries:
             # An empty list is what a failing writer leaves; following it would take all backends away.
-            raise Unlisted(f"the list shrank from {len(self.last.entries)} backends to none")
+            raise InvalidEndpointListError(f"the list shrank from {len(self.last.entries)} backends to none")
         if self.last == roster:
             return None
         before = {entry.id: entry for entry in self.last.entries} if self.last else {}
@@ -129,11 +129,11 @@
         listed = [e._replace(started_at=self.now()) if e.backend in fresh else e for e in listed]
         left, more = self._listed(sorted(gone))
         listed += [entry._replace(ready=False, draining=False) for entry in left]
-        return Followed(
+        return EndpointUpdate(
             WatchEvent.SNAPSHOT if first else WatchEvent.DELTA, listed, _places(roster.entries), notes + more
         )
 
-    def _listed(self, entries: tuple[Entry, ...] | list[Entry]) -> tuple[list[Endpoint], list[str]]:
+    def _listed(self, entries: tuple[EndpointEntry, ...] | list[EndpointEntry]) -> tuple[list[Endpoint], list[str]]:
         listed, notes = [], []
         for entry in entries:
             if entry.zone not in self.zones:
@@ -146,11 +146,11 @@
         return listed, notes
 
 
-def _new(before: Entry | None, entry: Entry) -> bool:
+def _new(before: EndpointEntry | None, entry: EndpointEntry) -> bool:
     """Whether it comes with no word of when it started, and was not in use at this address before."""
     known = before is not None and before.state == "ready" and before.address == entry.address
     return entry.state == "ready" and not entry.started and not known
 
 
-def _places(entries: tuple[Entry, ...]) -> dict[str, Place]:
+def _places(entries: tuple[EndpointEntry, ...]) -> dict[str, Place]:
     return {entry.id: Place(entry.address, entry.zone) for entry in entries}
--- a/onyxhead/controller/alliance.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -21,7 +21,7 @@
 from onyxhead.tables.view import address_parts
 
 if TYPE_CHECKING:
-    from onyxhead.controller.daemon import Daemon
+    from onyxhead.controller.server import ControllerServer
 
 PATH = "/v1/fleet"
 KEPT = "fleet members"
@@ -31,8 +31,8 @@
 log = structlog.get_logger()
 
 
-class Alliance:
-    def __init__(self, daemon: Daemon, settings: Fleet) -> None:
+class FleetTransport:
+    def __init__(self, daemon: ControllerServer, settings: Fleet) -> None:
         self.daemon, self.settings = daemon, settings
         now = daemon.clock.now()
         # A later start must win over an earlier one of the same name, also on an empty or a restored disk.
--- a/onyxhead/controller/receiver.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -30,17 +30,17 @@
 """Of a second's budget, what one bite takes at most."""
 
 
-class Frame(msgspec.Struct, array_like=True):
+class WorkerFrame(msgspec.Struct, array_like=True):
     """`counts` since the last one."""
 
     counts: dict[str, int]
     sums: list[Sums]
 
 
-ENCODE, DECODE = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Frame)
+ENCODE, DECODE = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(WorkerFrame)
 
 
-class Taking:
+class IngestWorker:
     """The decoding path, in whatever process: requests in, sums out at each beat."""
 
     def __init__(self, seed: int, budget: int, keys: Keys | None, clock: Clock) -> None:
@@ -64,7 +64,7 @@
             return problem(503, "too many senders")
         return answer(202, {})
 
-    def beat(self) -> Frame:
+    def beat(self) -> WorkerFrame:
         now = self.clock.now()
         # In bytes a second; a bite taken too large is paid back before the next one.
         self.credit = min(BITE * self.budget, self.credit + self.budget * (now - self.at) / 10_000)
@@ -72,7 +72,7 @@
         sums = self.decoder.work(now, round(self.credit)) if self.credit > 0 else []
         self.credit -= self.decoder.used if self.credit > 0 else 0
         counts, self.decoder.counts = dict(self.decoder.counts), type(self.decoder.counts)()
-        return Frame(counts, sums)
+        return WorkerFrame(counts, sums)
 
 
 async def serve(given: dict[str, Any]) -> None:
@@ -82,7 +82,7 @@
         certificate, key, authorities, revoked = (Path(each) if each else None for each in files)
         assert certificate and key and authorities
         keys = Keys(Tls(certificate, key, authorities, revoked, 1.0))
-    taking = Taking(given["seed"], given["budget"], keys, Clock(time.time, time.monotonic))
+    taking = IngestWorker(given["seed"], given["budget"], keys, Clock(time.time, time.monotonic))
     server = Server(taking.answer, MOST_BODY)
     host, port = given["listen"]
     await server.start(host, port, keys.server if keys else None)
--- a/onyxhead/controller/door.py
+++ b/onyxhead/controller/join_backoff.py
@@ -10,7 +10,7 @@
 FORGIVEN_AFTER = 20 * SECOND
 
 
-class Door:
+class JoinBackoff:
     """Times in tenths of a millisecond, proxies by name."""
 
     def __init__(self) -> None:
--- a/onyxhead/controller/reception.py
+++ b/onyxhead/controller/load_report_ingest.py
@@ -15,14 +15,14 @@
 
 import structlog
 
-from onyxhead.controller.receiver import DECODE, HEAD, Frame, Taking
+from onyxhead.controller.ingest_worker import DECODE, HEAD, IngestWorker, WorkerFrame
 from onyxhead.http.messages import Response
 from onyxhead.intake.picture import Sums, merged
 from onyxhead.series.courses import Courses
 from onyxhead.settings.load import Intake
 
 if TYPE_CHECKING:
-    from onyxhead.controller.daemon import Daemon
+    from onyxhead.controller.server import ControllerServer
 
 TENTHS = 10_000
 WEIGH = 1.0
@@ -33,10 +33,10 @@
 log = structlog.get_logger()
 
 
-class Reception:
-    def __init__(self, daemon: Daemon, settings: Intake) -> None:
+class LoadReportIngest:
+    def __init__(self, daemon: ControllerServer, settings: Intake) -> None:
         self.daemon, self.settings = daemon, settings
-        self.taking = Taking(daemon.settings.seed, settings.budget, None, daemon.clock)
+        self.taking = IngestWorker(daemon.settings.seed, settings.budget, None, daemon.clock)
         self.counts: Counter[str] = Counter()
         self.shed: Counter[str] = Counter()
         self.waiting: list[Sums] = []
@@ -67,7 +67,7 @@
                 written = now
                 await asyncio.to_thread(self.courses.write, time.time(), self._figures(now))
 
-    def _count(self, frame: Frame) -> None:
+    def _count(self, frame: WorkerFrame) -> None:
         for name, count in frame.counts.items():
             if name.startswith(SHED):
                 self.shed[name.removeprefix(SHED)] += count
@@ -108,7 +108,7 @@
         }  # fmt: skip
         while True:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "onyxhead.controller.receiver", json.dumps(given),
+                sys.executable, "-m", "onyxhead.controller.ingest_worker", json.dumps(given),
                 stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
             )  # fmt: skip
             self.begun += 1
--- a/onyxhead/controller/sums.py
+++ b/onyxhead/controller/request_statistics.py
@@ -18,11 +18,11 @@
 LATENCY, BUSY = "latency_ms", "cpu_utilization"
 
 
-class Odd(ValueError):
+class InvalidReportError(ValueError):
     """A report that can't be taken; the text says why."""
 
 
-class Met(NamedTuple):
+class BackendStatistics(NamedTuple):
     """What proxies met at one backend. `time` in tenths of a millisecond, over the good tries."""
 
     tries: int = 0
@@ -31,47 +31,47 @@
     span: int = 0
     busy: float | None = None
 
-    def plus(self, other: Met) -> Met:
+    def plus(self, other: BackendStatistics) -> BackendStatistics:
         busy = self.busy if other.busy is None else other.busy
         span = max(self.span, other.span)
-        return Met(self.tries + other.tries, self.bad + other.bad, self.time + other.time, span, busy)
+        return BackendStatistics(self.tries + other.tries, self.bad + other.bad, self.time + other.time, span, busy)
 
 
-class Report(NamedTuple):
+class RequestStatistics(NamedTuple):
     """One proxy's sums: by backend's address, and the flows of each traffic group with their span."""
 
-    met: dict[str, Met]
+    met: dict[str, BackendStatistics]
     flows: dict[str, tuple[int, int]]
 
 
-def read(document: Any) -> Report:  # noqa: ANN401
-    """The sums in a load report. Raises Odd. Metrics that are no plain figures are left out, not guessed."""
-    met: dict[str, Met] = {}
+def read(document: Any) -> RequestStatistics:  # noqa: ANN401
+    """The sums in a load report. Raises InvalidReportError. Metrics that are no plain figures are left out, not guessed."""
+    met: dict[str, BackendStatistics] = {}
     flows: dict[str, tuple[int, int]] = {}
     if not isinstance(document, dict):
-        raise Odd("no load report")
+        raise InvalidReportError("no load report")
     for cluster in _list(document, "cluster_stats"):
         name, span = cluster.get("cluster_name"), _span(cluster.get("load_report_interval"))
         if not isinstance(name, str):
-            raise Odd("a cluster with no name")
+            raise InvalidReportError("a cluster with no name")
         came = _count(cluster.get("total_dropped_requests", 0))
         for locality in _list(cluster, "upstream_locality_stats"):
             for endpoint in _list(locality, "upstream_endpoint_stats"):
                 address, own = _endpoint(endpoint, span)
-                met[address] = met.get(address, Met()).plus(own)
+                met[address] = met.get(address, BackendStatistics()).plus(own)
         for stats in _list(cluster, "load_metric_stats"):
             if stats.get("metric_name") == "flows":
                 came = _count(stats.get("num_requests_finished_with_metric"))
         known, _ = flows.get(name, (0, 0))
         flows[name] = (known + came, span)
-    return Report(met, flows)
+    return RequestStatistics(met, flows)
 
 
-def _endpoint(endpoint: dict[str, Any], span: int) -> tuple[str, Met]:
+def _endpoint(endpoint: dict[str, Any], span: int) -> tuple[str, BackendStatistics]:
     place = endpoint.get("address")
     socket = place.get("socket_address") if isinstance(place, dict) else None
     if not isinstance(socket, dict):
-        raise Odd("an endpoint with no address")
+        raise InvalidReportError("an endpoint with no address")
     good, bad = (
         _count(endpoint.get("total_successful_requests", 0)),
         _count(endpoint.get("total_error_requests", 0)),
@@ -85,13 +85,13 @@
             time = total * TENTHS_PER_MS
         elif stats.get("metric_name") == BUSY and total <= 1.5:
             busy = min(1.0, float(total))
-    return f"{socket.get('address')}:{socket.get('port_value')}", Met(good + bad, bad, time, span, busy)
+    return f"{socket.get('address')}:{socket.get('port_value')}", BackendStatistics(good + bad, bad, time, span, busy)
 
 
 def _list(document: dict[str, Any], name: str) -> list[dict[str, Any]]:
     found = document.get(name, [])
     if not isinstance(found, list) or not all(isinstance(each, dict) for each in found):
-        raise Odd(f"{name} is no list of objects")
+        raise InvalidReportError(f"{name} is no list of objects")
     return found
 
 
@@ -100,7 +100,7 @@
     if isinstance(value, str) and value.isascii() and value.isdigit():
         value = int(value)
     if type(value) is not int or not 0 <= value <= MOST_TRIES:
-        raise Odd(f"{value!r} is no count")
+        raise InvalidReportError(f"{value!r} is no count")
     return value
 
 
@@ -111,11 +111,11 @@
     except ValueError:
         seconds = math.nan
     if not 0 < seconds < 3600:
-        raise Odd(f"{value!r} is no span")
+        raise InvalidReportError(f"{value!r} is no span")
     return max(1, round(seconds * 10_000))
 
 
-class Gate:
+class DuplicateFilter:
     """Lets each report through once: a repeat or one far too old says nothing new, and would count twice."""
 
     def __init__(self) -> None:
@@ -134,28 +134,30 @@
         return True
 
 
-class Gathered:
+class StatisticsAggregator:
     """What came in since the module was last told, by zone of the proxies and backend."""
 
     def __init__(self) -> None:
-        self.met: dict[tuple[int, str], Met] = {}
+        self.met: dict[tuple[int, str], BackendStatistics] = {}
         self.flows: dict[tuple[int, int], tuple[int, int]] = {}
         self.unknown = 0
 
-    def add(self, zone: int, proxy: int, report: Report, ids: dict[str, str], groups: dict[str, int]) -> None:
+    def add(
+        self, zone: int, proxy: int, report: RequestStatistics, ids: dict[str, str], groups: dict[str, int]
+    ) -> None:
         """`ids` finds a backend by its address. Unknown ones are counted: they are gone, or were never ours."""
         for address, met in report.met.items():
             if (backend := ids.get(address)) is None:
                 self.unknown += met.tries
             elif met.tries:
                 key = (zone, backend)
-                self.met[key] = self.met.get(key, Met()).plus(met)
+                self.met[key] = self.met.get(key, BackendStatistics()).plus(met)
         for name, (came, span) in report.flows.items():
             if name in groups:
                 known, before = self.flows.get((proxy, groups[name]), (0, 0))
                 self.flows[proxy, groups[name]] = (known + came, before + span)
 
-    def tell(self) -> tuple[list[tuple[int, str, Met, LoadReport]], list[tuple[int, int, int, int]]]:
+    def tell(self) -> tuple[list[tuple[int, str, BackendStatistics, LoadReport]], list[tuple[int, int, int, int]]]:
         """Tries by zone and backend, and flows by proxy and group, in a fixed order; then it is empty."""
         met = [(zone, b, own, LoadReport(own.busy)) for (zone, b), own in sorted(self.met.items())]
         flows = [(proxy, group, came, span) for (proxy, group), (came, span) in sorted(self.flows.items())]
--- a/onyxhead/controller/daemon.py
+++ b/onyxhead/controller/server.py
@@ -1,4 +1,4 @@
-"""The running controller: sockets, clock and disk round a `House`, which makes every step.
+"""The running controller: sockets, clock and disk round a `ControllerCore`, which makes every step.
 
 One task drives the steps, one serves the controller's own interface, one follows discovery, one for each joined
 proxy carries its messages. None of them decides anything."""
@@ -16,16 +16,16 @@
 
 import structlog
 
-from onyxhead.controller import discovery, roster, sums, ways
-from onyxhead.controller.alliance import Alliance
+from onyxhead.controller import discovery, endpoint_list, request_statistics, version_requests
 from onyxhead.controller.clock import Clock
-from onyxhead.controller.configuration import effects
-from onyxhead.controller.configuration.effects import Facts
+from onyxhead.controller.configuration import commit_plan
+from onyxhead.controller.configuration.commit_plan import FleetFacts
 from onyxhead.controller.configuration.tree import Tree
 from onyxhead.controller.configuration.views import as_records, deployment, overlaid, tree_of
-from onyxhead.controller.house import House, Joining, Work
-from onyxhead.controller.probe import look
-from onyxhead.controller.reception import Reception
+from onyxhead.controller.core import ControllerCore, Effects, JoinRequest
+from onyxhead.controller.fleet_transport import FleetTransport
+from onyxhead.controller.health_check import look
+from onyxhead.controller.load_report_ingest import LoadReportIngest
 from onyxhead.fleet.fence import Fenced, next_token
 from onyxhead.fronts.files.push import Encoder, Refused, Stream
 from onyxhead.http.messages import Request, Response, answer, problem
@@ -53,13 +53,13 @@
 STANDING = "operators' orders"
 
 if TYPE_CHECKING:
-    from onyxhead.controller.configuration.desk import Desk
+    from onyxhead.controller.configuration.service import ConfigurationService
     from onyxhead.fronts.netconf.server import Front
 
 log = structlog.get_logger()
 
 
-class Line(NamedTuple):
+class ProxyStream(NamedTuple):
     """One proxy's stream: the task that carries it, and what it is to carry."""
 
     token: str
@@ -68,21 +68,21 @@
     generation: int = 0
 
 
-class Daemon:
+class ControllerServer:
     def __init__(self, settings: Controller) -> None:
         self.settings = settings
         self.clock = Clock(time.time, time.monotonic)
         self.store = Store(settings.state)
         known = self.store.remembered
         self.keys = Keys(settings.tls) if settings.tls is not None else None
-        self.raw: roster.Roster | None = None
+        self.raw: endpoint_list.EndpointList | None = None
         self.tree: Tree = {}
-        self.desk: Desk | None = None
+        self.desk: ConfigurationService | None = None
         self.front: Front | None = None
         start = settings.start
         if settings.netconf is not None:
             # Read only where it is served: its libraries take longer to load than all the rest.
-            from onyxhead.controller.office import open_desk
+            from onyxhead.controller.configuration_service import open_desk
 
             self.desk = open_desk(self)
             self.tree = self.desk.stores.running
@@ -93,9 +93,9 @@
         history.restore((n, epoch, at, cause, _changes(changes)) for n, epoch, at, cause, changes in rows)
         history.labels = {k: v for k, v in (self.store.kept(LABELS) or {}).items() if v in history.versions}
         self.house = self._house(start, known.epoch, known.numbers, history)
-        self.follower = roster.Follower(settings.zones, self.clock.of_wall, self.clock.now)
+        self.follower = endpoint_list.EndpointListFollower(settings.zones, self.clock.of_wall, self.clock.now)
         self.encoder = Encoder()
-        self.lines: dict[int, Line] = {}
+        self.lines: dict[int, ProxyStream] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.stir = asyncio.Event()
         self.over = asyncio.Event()
@@ -103,15 +103,15 @@
         self.subscribed = asyncio.Event()
         self.probing = asyncio.Semaphore(settings.probes.at_once)
         self.list_heard_at = 0.0
-        self.alliance = Alliance(self, settings.fleet) if settings.fleet is not None else None
-        self.reception = Reception(self, settings.intake) if settings.intake is not None else None
+        self.alliance = FleetTransport(self, settings.fleet) if settings.fleet is not None else None
+        self.reception = LoadReportIngest(self, settings.intake) if settings.intake is not None else None
         self._remember()
 
-    def _house(self, start: Deployment, epoch: int, numbers: dict[str, int], history: History) -> House:
+    def _house(self, start: Deployment, epoch: int, numbers: dict[str, int], history: History) -> ControllerCore:
         settings, names = self.settings, tuple(group.name for group in start.groups)
         seed = settings.seed + epoch
         now = self.clock.now()
-        return House(start, names, settings.zones, seed, epoch, settings.patience, now, numbers, history)
+        return ControllerCore(start, names, settings.zones, seed, epoch, settings.patience, now, numbers, history)
 
     # Starting and ending
 
@@ -128,9 +128,9 @@
             log.warning("the remembered list is not used", age_s=round(age), good_for_s=self.settings.list_good_for)
             return
         try:
-            self.raw = roster.read(known.list_body)
+            self.raw = endpoint_list.read(known.list_body)
             news = self.follower.remember(self._as_ordered(self.raw))
-        except roster.Unlisted as error:
+        except endpoint_list.InvalidEndpointListError as error:
             log.warning("the remembered list is not used", why=str(error))
             return
         self.house.list_heard(now, news)
@@ -213,7 +213,7 @@
                     async with asyncio.timeout(wait):
                         await self.stir.wait()
 
-    def _carry(self, now: int, work: Work) -> None:
+    def _carry(self, now: int, work: Effects) -> None:
         for sent in work.leaving:
             if (line := self.lines.get(sent.proxy)) is not None:
                 line.orders.put_nowait((sent.order, sent.ordered))
@@ -255,7 +255,7 @@
 
     async def _follow(self) -> None:
         given = self.settings.discovery
-        heard: AsyncIterator[bytes | discovery.Unheard]
+        heard: AsyncIterator[bytes | discovery.DiscoveryUnavailableError]
         if given.file is not None:
             heard = discovery.watch_file(given.file, given.every)
         else:
@@ -266,15 +266,15 @@
             await self.subscribed.wait()
         async for body in heard:
             try:
-                if isinstance(body, discovery.Unheard):
+                if isinstance(body, discovery.DiscoveryUnavailableError):
                     raise body
-                read = roster.read(body)
+                read = endpoint_list.read(body)
                 news = self.follower.follow(self._as_ordered(read))
-            except (discovery.Unheard, roster.Unlisted) as error:
+            except (discovery.DiscoveryUnavailableError, endpoint_list.InvalidEndpointListError) as error:
                 if last != str(error):
                     last = str(error)
                     log.warning("the list is not followed", why=last)
-                if asked and isinstance(error, discovery.Unheard):
+                if asked and isinstance(error, discovery.DiscoveryUnavailableError):
                     # The module asks again when it thinks best; until then discovery is left alone.
                     self.subscribed.clear()
                     self.house.list_refused(self.clock.now())
@@ -286,7 +286,7 @@
                 self._listed(news)
                 self.store.heard_list(read.version, read.body())
 
-    def _listed(self, news: roster.Followed) -> None:
+    def _listed(self, news: endpoint_list.EndpointUpdate) -> None:
         for note in news.notes:
             log.warning("list", note=note)
         self.house.list_heard(self.clock.now(), news)
@@ -298,7 +298,7 @@
         if self.raw is not None and (news := self.follower.follow(self._as_ordered(self.raw))) is not None:
             self._listed(news)
 
-    def _as_ordered(self, read: roster.Roster) -> roster.Roster:
+    def _as_ordered(self, read: endpoint_list.EndpointList) -> endpoint_list.EndpointList:
         """A list under what the configuration and operators say of its backends."""
         said = overlaid(read, self.tree)
         listed, places = self.house.listed, self.follower.last.entries if self.follower.last else ()
@@ -309,18 +309,18 @@
         )
         return said._replace(entries=entries)
 
-    def facts(self) -> Facts:
+    def facts(self) -> FleetFacts:
         """What is known now of the fleet, as discovery lists it: operators' own drains are the caller's to count."""
         now, cold = self.clock.now(), self.house.start.safety.warmup_time
         backends = tuple(
-            effects.Backend(
+            commit_plan.BackendFacts(
                 entry.id, entry.zone, entry.state == "ready",
                 not entry.started or now - self.clock.of_wall(entry.started) >= cold,
             )
             for entry in (self.raw.entries if self.raw else ())
         )  # fmt: skip
         channel = self.house.channel
-        return Facts(backends, len(self.house.joined), channel.waiting, channel.limits.message_overhead)
+        return FleetFacts(backends, len(self.house.joined), channel.waiting, channel.limits.message_overhead)
 
     def _operate(self, request: Request) -> Response:
         try:
@@ -372,7 +372,7 @@
         withdrawn = list(self.house.books.withdrawn)
         self._keep_versions()
         self.house = self._house(start, epoch, self.house.numbers, self.house.history)
-        self.follower = roster.Follower(self.settings.zones, self.clock.of_wall, self.clock.now)
+        self.follower = endpoint_list.EndpointListFollower(self.settings.zones, self.clock.of_wall, self.clock.now)
         if self.raw is not None:
             self.house.list_heard(self.clock.now(), self.follower.remember(self._as_ordered(self.raw)))
         self.house.withdrawn_before(self.clock.now(), withdrawn)
@@ -384,7 +384,7 @@
             self.store.beat(self.house.epoch)
             await asyncio.sleep(BEAT)
 
-    async def _confirming(self, desk: Desk) -> None:
+    async def _confirming(self, desk: ConfigurationService) -> None:
         while True:
             desk.tick()
             await asyncio.sleep(TICK)
@@ -426,7 +426,7 @@
 
     # Proxies
 
-    async def _proxy(self, who: Joining, address: tuple[str, int], token: str, fence: int, beat: float) -> None:
+    async def _proxy(self, who: JoinRequest, address: tuple[str, int], token: str, fence: int, beat: float) -> None:
         """One stream from its opening to its end."""
         patience = self.settings.patience / TENTHS
         stream = Stream(address, token, self.encoder, patience, fence)
@@ -444,7 +444,7 @@
                 old.task.cancel()
             number = self.house.joins(self.clock.now(), who)
             orders: asyncio.Queue[tuple[Message, int]] = asyncio.Queue()
-            self.lines[number] = Line(token, me, orders, generation)
+            self.lines[number] = ProxyStream(token, me, orders, generation)
             self.store.proxy(who.name, number, who.zone, tag, 0)
             log.info("joined", proxy=who.name, number=number, zone=who.zone, standing=who.standing)
             self.stir.set()
@@ -576,7 +576,9 @@
     def _join(self, name: str, request: Request) -> Response:
         try:
             given = request.json()
-            who = Joining(name, given["zone"], float(given["usual"]), bool(given["standing"]), View.read(given["held"]))
+            who = JoinRequest(
+                name, given["zone"], float(given["usual"]), bool(given["standing"]), View.read(given["held"])
+            )
             address, held = address_parts(given["push"]), given.get("token", 0)
             # The agent gives a stream up after this long with nothing heard; three beats fit into it.
             beat = max(0.05, min(BEAT, float(given.get("silence", 3 * BEAT)) / 3))
@@ -614,7 +616,7 @@
                     return problem(405, f"{what} is asked for by POST")
                 log.info("tables", asked=what, **{name: given.get(name) for name in ("version", "label", "seconds")})
                 self.stir.set()
-            return answer(200, ways.run(self.house, now, what, given, self._keep_label))
+            return answer(200, version_requests.run(self.house, now, what, given, self._keep_label))
         except Unknown as error:
             return problem(404, str(error.args[0]))
         except Impossible as error:
@@ -625,7 +627,7 @@
     def _keep_label(self, labels: dict[str, int]) -> None:
         self.store.keep(LABELS, labels)
 
-    def _command(self, alliance: Alliance, what: str, request: Request) -> Response:
+    def _command(self, alliance: FleetTransport, what: str, request: Request) -> Response:
         try:
             given = request.json()
             return alliance.command(what, given if isinstance(given, dict) else {})
@@ -637,8 +639,8 @@
             given = request.json()
             boot, number = given["node"]["metadata"]["boot"], given["node"]["metadata"]["number"]
             if type(boot) is not str or type(number) is not int:
-                raise sums.Odd("boot or number is missing")
-            report = sums.read(given)
+                raise request_statistics.InvalidReportError("boot or number is missing")
+            report = request_statistics.read(given)
         except (ValueError, KeyError, TypeError) as error:
             return problem(400, f"not a report: {error}")
         fresh = self.house.summed(self.clock.now(), name, boot, number, report)
--- a/onyxhead/controller/ways.py
+++ b/onyxhead/controller/version_requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from onyxhead.controller.house import House
+from onyxhead.controller.core import ControllerCore
 from onyxhead.tables.history import Back, Version, diff
 
 LONGEST = 24 * 3600.0
@@ -13,7 +13,9 @@
 MOST_ROWS = 200
 
 
-def run(house: House, now: int, what: str, given: dict[str, Any], keep: Callable[[dict[str, int]], None]) -> Any:  # noqa: ANN401
+def run(
+    house: ControllerCore, now: int, what: str, given: dict[str, Any], keep: Callable[[dict[str, int]], None]
+) -> Any:  # noqa: ANN401
     """The answer to one question or command. Raises Unknown, Refused, ValueError, KeyError, TypeError."""
     history = house.history
     match what:
--- a/onyxhead/fronts/netconf/schema.py
+++ b/onyxhead/fronts/netconf/schema.py
@@ -13,7 +13,7 @@
 from yangson.exceptions import SemanticError, ValidationError, YangTypeError
 from yangson.schemanode import ContainerNode, LeafListNode, LeafNode, ListNode
 
-from onyxhead.controller.configuration.tree import Node, Problem, Tree
+from onyxhead.controller.configuration.tree import Node, RpcError, Tree
 
 MODULE, REVISION, NAMESPACE = "onyxhead-fleet", "2026-12-01", "urn:onyxhead:fleet"
 
@@ -66,15 +66,15 @@
 
 
 def check(tree: Tree) -> None:
-    """Raises Problem for a tree that breaks the schema: what is missing, out of range, or fails a `must`."""
+    """Raises RpcError for a tree that breaks the schema: what is missing, out of range, or fails a `must`."""
     try:
         model().from_raw({f"{MODULE}:fleet": tree}).validate(ctype=ContentType.config)
     except SemanticError as error:
         path = "/".join(str(part) for part in [error.instance.json_pointer()]) if error.instance else ""
-        raise Problem("operation-failed", error.message or error.tag, path, **{"app_tag": error.tag}) from None
+        raise RpcError("operation-failed", error.message or error.tag, path, **{"app_tag": error.tag}) from None
     except (ValidationError, YangTypeError) as error:
         path = error.instance.json_pointer() if getattr(error, "instance", None) else ""
         tag = "data-missing" if getattr(error, "tag", "") == "missing-data" else "invalid-value"
-        raise Problem(tag, str(getattr(error, "message", "") or error), path) from None
+        raise RpcError(tag, str(getattr(error, "message", "") or error), path) from None
     except Exception as error:  # yangson has no one base for what a tree may do to it
-        raise Problem("operation-failed", f"{type(error).__name__}: {error}") from None
+        raise RpcError("operation-failed", f"{type(error).__name__}: {error}") from None
--- a/onyxhead/fronts/netconf/server.py
+++ b/onyxhead/fronts/netconf/server.py
@@ -9,7 +9,7 @@
 import asyncssh
 import structlog
 
-from onyxhead.controller.configuration.desk import Desk
+from onyxhead.controller.configuration.service import ConfigurationService
 from onyxhead.fronts.netconf.session import MOST_UNSENT, Session
 from onyxhead.settings.load import Netconf
 
@@ -42,7 +42,7 @@
 class Front:
     """`rotate` gives the TLS context for new handshakes; old sessions keep theirs."""
 
-    def __init__(self, settings: Netconf, desk: Desk) -> None:
+    def __init__(self, settings: Netconf, desk: ConfigurationService) -> None:
         self.settings, self.desk = settings, desk
         self.sessions: set[Session] = set()
         self.ssh: asyncssh.SSHAcceptor | None = None
--- a/onyxhead/fronts/netconf/session.py
+++ b/onyxhead/fronts/netconf/session.py
@@ -9,8 +9,8 @@
 from lxml import etree
 
 from onyxhead.controller.configuration.datastores import CONFIRM_TIMEOUT, NAMES
-from onyxhead.controller.configuration.desk import Desk, Event
-from onyxhead.controller.configuration.tree import Edit, Node, Problem, Tree, apply, with_defaults
+from onyxhead.controller.configuration.service import ConfigurationService, Notification
+from onyxhead.controller.configuration.tree import Edit, Node, RpcError, Tree, apply, with_defaults
 from onyxhead.fronts.netconf import schema, xml
 from onyxhead.fronts.netconf.framing import Framing, Unframed
 from onyxhead.fronts.netconf.xml import BASE, DEFAULTS, MONITORING, NOTIFICATION, NotXml, find, local, text
@@ -38,12 +38,14 @@
 class Session:
     """`write` hands bytes to the transport; `over` says that nothing more will come."""
 
-    def __init__(self, desk: Desk, user: str, write: Callable[[bytes], None], end: Callable[[], None]) -> None:
+    def __init__(
+        self, desk: ConfigurationService, user: str, write: Callable[[bytes], None], end: Callable[[], None]
+    ) -> None:
         self.desk, self.user, self.write, self.end_transport = desk, user, write, end
         self.framing = Framing()
         self.over = self.greeted = False
         self.stream: tuple[float, float] | None = None
-        self.replay, self.replaying = list[Event](), False
+        self.replay, self.replaying = list[Notification](), False
         self.number = desk.begin(self.killed)
         hello = xml.element("hello")
         listed = xml.add(hello, "capabilities")
@@ -81,27 +83,27 @@
             if not self.greeted:
                 self.killed()
                 return
-            problem = Problem("malformed-message", str(error), kind="rpc")
+            problem = RpcError("malformed-message", str(error), kind="rpc")
             self._send(_reply(None, _errors(problem)))
             return
         if not self.greeted:
             self._greet(root)
             return
         if local(root) != "rpc" or xml.space(root) != BASE:
-            self._send(_reply(None, _errors(Problem("operation-not-supported", "not an rpc", kind="protocol"))))
+            self._send(_reply(None, _errors(RpcError("operation-not-supported", "not an rpc", kind="protocol"))))
             return
         operations = list(root)
         try:
             if root.get("message-id") is None:
-                raise Problem("missing-attribute", "no message-id", kind="rpc", bad_attribute="message-id")
+                raise RpcError("missing-attribute", "no message-id", kind="rpc", bad_attribute="message-id")
             if len(operations) != 1:
-                raise Problem("malformed-message", "an rpc holds one operation", kind="rpc")
+                raise RpcError("malformed-message", "an rpc holds one operation", kind="rpc")
             made = self._run(operations[0])
-        except Problem as problem:
+        except RpcError as problem:
             made = _errors(problem)
         except Exception as error:  # our own fault must not leave the client without an answer
             self.desk.hands.audit(self.user, self.number, local(operations[0]), f"fault: {error!r}")
-            made = _errors(Problem("operation-failed", f"internal fault: {error!r}"))
+            made = _errors(RpcError("operation-failed", f"internal fault: {error!r}"))
         self._send(_reply(root, made))
         # What was there before the subscription follows its answer (RFC 5277, section 2.1.1).
         for event in self.replay:
@@ -130,7 +132,7 @@
         name = local(asked)
         run = OPERATIONS.get(name)
         if run is None:
-            raise Problem("operation-not-supported", f"{name} is not served", kind="protocol")
+            raise RpcError("operation-not-supported", f"{name} is not served", kind="protocol")
         self.desk.access.may_run(self.user, name)
         return run(self, asked) or [xml.element("ok")]
 
@@ -144,7 +146,7 @@
     def _config(self, name: str, asked: Any) -> list[Any]:  # noqa: ANN401
         mode = text(find(asked, "with-defaults", DEFAULTS)) or "explicit"
         if mode not in ("report-all", "trim", "explicit"):
-            raise Problem("invalid-value", f"with-defaults {mode!r} is not served", kind="protocol")
+            raise RpcError("invalid-value", f"with-defaults {mode!r} is not served", kind="protocol")
         tree = with_defaults(schema.config(), self.desk.stores.get(name), mode)
         return [xml.tree_element(schema.config(), self._readable(schema.config(), tree, "/fleet"))] if tree else []
 
@@ -169,7 +171,7 @@
                 data.append(each)
             return [data]
         if kind not in (None, "subtree"):
-            raise Problem("bad-attribute", f"a filter of type {kind!r}", kind="protocol", bad_attribute="type")
+            raise RpcError("bad-attribute", f"a filter of type {kind!r}", kind="protocol", bad_attribute="type")
         for each in found:
             kept = [each] if given is None else [xml.filtered(each, select) for select in given]
             for one in kept:
@@ -187,9 +189,9 @@
         try:
             chosen = root.xpath(given.get("select", ""), namespaces=names or {"oh": xml.FLEET})
         except (etree.XPathError, etree.XPathEvalError) as error:
-            raise Problem("invalid-value", f"XPath: {error}", kind="protocol") from None
+            raise RpcError("invalid-value", f"XPath: {error}", kind="protocol") from None
         if not isinstance(chosen, list) or not all(isinstance(each, etree._Element) for each in chosen):
-            raise Problem("invalid-value", "the expression selects no nodes", kind="protocol")
+            raise RpcError("invalid-value", "the expression selects no nodes", kind="protocol")
         keep = set(chosen)
         for each in chosen:
             keep |= set(each.iter()) | set(each.iterancestors())
@@ -206,16 +208,16 @@
         test = text(find(asked, "test-option")) or "test-then-set"
         option = text(find(asked, "error-option")) or "stop-on-error"
         if default not in ("merge", "replace", "none") or test not in ("test-then-set", "set", "test-only"):
-            raise Problem("invalid-value", "default-operation or test-option", kind="protocol")
+            raise RpcError("invalid-value", "default-operation or test-option", kind="protocol")
         if option not in ("stop-on-error", "continue-on-error", "rollback-on-error"):
-            raise Problem("invalid-value", "error-option", kind="protocol")
+            raise RpcError("invalid-value", "error-option", kind="protocol")
         given = find(asked, "config")
         if given is None:
-            raise Problem("missing-element", "no config", kind="protocol", bad_element="config")
+            raise RpcError("missing-element", "no config", kind="protocol", bad_element="config")
         edit = xml.edit_of(given, schema.config())
         fleet = edit.children[0] if edit.children else Edit("fleet")
         if len(edit.children) > 1:
-            raise Problem("malformed-message", "one fleet is edited at a time")
+            raise RpcError("malformed-message", "one fleet is edited at a time")
         if fleet.operation in ("delete", "remove"):
             fleet = Edit("fleet", "replace")
         self.desk.edit(self.user, self.number, name, fleet, default, test)
@@ -237,7 +239,7 @@
     def _delete_config(self, asked: Any) -> list[Any]:  # noqa: ANN401
         target = _datastore(asked, "target")
         if target != "startup":
-            raise Problem("operation-not-supported", f"{target} can't be deleted", kind="protocol")
+            raise RpcError("operation-not-supported", f"{target} can't be deleted", kind="protocol")
         # The state that a restart begins with is then what the settings file says.
         first = self.desk.stores.commits[min(self.desk.stores.commits)].tree
         self.desk.replace(self.user, self.number, target, self.desk.stores.startup, first)
@@ -254,11 +256,11 @@
     def _commit(self, asked: Any) -> list[Any]:  # noqa: ANN401
         timeout = text(find(asked, "confirm-timeout")) or str(CONFIRM_TIMEOUT)
         if not timeout.isdigit() or not 0 < int(timeout) < 2**32:
-            raise Problem("invalid-value", f"confirm-timeout {timeout!r}", kind="protocol")
+            raise RpcError("invalid-value", f"confirm-timeout {timeout!r}", kind="protocol")
         confirmed = find(asked, "confirmed") is not None
         persist, persist_id = text(find(asked, "persist")), text(find(asked, "persist-id"))
         if persist and not confirmed:
-            raise Problem("invalid-value", "persist goes with confirmed", kind="protocol")
+            raise RpcError("invalid-value", "persist goes with confirmed", kind="protocol")
         self.desk.commit(self.user, self.number, confirmed, int(timeout), persist, persist_id)
         return []
 
@@ -281,26 +283,28 @@
     def _kill(self, asked: Any) -> list[Any]:  # noqa: ANN401
         told = text(find(asked, "session-id"))
         if not told.isdigit():
-            raise Problem("invalid-value", "no session-id", kind="protocol")
+            raise RpcError("invalid-value", "no session-id", kind="protocol")
         self.desk.kill(self.user, int(told), self.number)
         return []
 
     def _get_schema(self, asked: Any) -> list[Any]:  # noqa: ANN401
         wanted = [text(find(asked, name, MONITORING)) for name in ("identifier", "version", "format")]
         if wanted[0] != schema.MODULE or wanted[1] not in ("", schema.REVISION):
-            raise Problem("invalid-value", f"there is no schema {wanted[0]!r}", kind="protocol")
+            raise RpcError("invalid-value", f"there is no schema {wanted[0]!r}", kind="protocol")
         if wanted[2] not in ("", "yang"):
-            raise Problem("invalid-value", f"no format {wanted[2]!r}", kind="protocol")
+            raise RpcError("invalid-value", f"no format {wanted[2]!r}", kind="protocol")
         return [xml.element("data", MONITORING, schema.module_text())]
 
     def _subscribe(self, asked: Any) -> list[Any]:  # noqa: ANN401
         if self.number in self.desk.listeners:
-            raise Problem("in-use", "this session listens already", kind="protocol")
+            raise RpcError("in-use", "this session listens already", kind="protocol")
         if (named := text(find(asked, "stream", NOTIFICATION))) not in ("", "NETCONF"):
-            raise Problem("invalid-value", f"there is no stream {named!r}", kind="protocol")
+            raise RpcError("invalid-value", f"there is no stream {named!r}", kind="protocol")
         start, stop = (_time(text(find(asked, name, NOTIFICATION))) for name in ("startTime", "stopTime"))
         if stop is not None and (start is None or stop < start):
-            raise Problem("bad-element", "stopTime needs an earlier startTime", kind="protocol", bad_element="stopTime")
+            raise RpcError(
+                "bad-element", "stopTime needs an earlier startTime", kind="protocol", bad_element="stopTime"
+            )
         self.stream = (start or 0.0, stop or float("inf"))
         self.desk.listeners[self.number] = self.notified
         if start is not None:
@@ -308,7 +312,7 @@
             self.replaying = True
         return []
 
-    def notified(self, event: Event) -> None:
+    def notified(self, event: Notification) -> None:
         if self.over or self.stream is None or event.at > self.stream[1]:
             return
         body = xml.element(event.name, xml.FLEET)
@@ -331,9 +335,9 @@
     given = find(asked, role)
     names = [local(child) for child in given] if given is not None else []
     if len(names) != 1:
-        raise Problem("missing-element", f"{role} names no datastore", kind="protocol", bad_element=role)
+        raise RpcError("missing-element", f"{role} names no datastore", kind="protocol", bad_element=role)
     if names[0] not in NAMES:
-        raise Problem("invalid-value", f"there is no datastore {names[0]!r}", kind="protocol")
+        raise RpcError("invalid-value", f"there is no datastore {names[0]!r}", kind="protocol")
     return names[0]
 
 
@@ -343,7 +347,7 @@
     try:
         at = datetime.datetime.fromisoformat(told)
     except ValueError:
-        raise Problem("invalid-value", f"{told!r} is no time", kind="protocol") from None
+        raise RpcError("invalid-value", f"{told!r} is no time", kind="protocol") from None
     return at.timestamp()
 
 
@@ -357,7 +361,7 @@
     return reply
 
 
-def _errors(problem: Problem) -> list[Any]:
+def _errors(problem: RpcError) -> list[Any]:
     error = xml.element("rpc-error")
     xml.add(error, "error-type", problem.kind)
     xml.add(error, "error-tag", problem.tag)
--- a/onyxhead/fronts/netconf/xml.py
+++ b/onyxhead/fronts/netconf/xml.py
@@ -6,7 +6,7 @@
 
 from lxml import etree
 
-from onyxhead.controller.configuration.tree import OPERATIONS, Edit, Node, Problem, Tree
+from onyxhead.controller.configuration.tree import OPERATIONS, Edit, Node, RpcError, Tree
 
 BASE = "urn:ietf:params:xml:ns:netconf:base:1.0"
 FLEET = "urn:onyxhead:fleet"
@@ -79,13 +79,13 @@
 
 
 def edit_of(config: Element, schema: Node) -> Edit:
-    """The edit in a <config>. Raises Problem for what is not of this model, or names no operation there is."""
+    """The edit in a <config>. Raises RpcError for what is not of this model, or names no operation there is."""
     found = Edit("")
     for child in config:
         if space(child) != FLEET:
-            raise Problem("unknown-namespace", f"{space(child)!r} is not served", bad_namespace=space(child))
+            raise RpcError("unknown-namespace", f"{space(child)!r} is not served", bad_namespace=space(child))
         if local(child) != schema.name:
-            raise Problem("unknown-element", f"there is no {local(child)}", bad_element=local(child))
+            raise RpcError("unknown-element", f"there is no {local(child)}", bad_element=local(child))
         found.children.append(_edit(child))
     return found
 
@@ -93,7 +93,7 @@
 def _edit(given: Element) -> Edit:
     operation = given.get(f"{{{BASE}}}operation")
     if operation is not None and operation not in OPERATIONS:
-        raise Problem("bad-attribute", f"{operation!r} is no operation", kind="protocol", bad_attribute="operation")
+        raise RpcError("bad-attribute", f"{operation!r} is no operation", kind="protocol", bad_attribute="operation")
     children = [_edit(child) for child in given]
     return Edit(local(given), operation, "" if children else text(given), children)
 
--- a/onyxhead/operate/standing.py
+++ b/onyxhead/operate/standing.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
 
-from onyxhead.controller.configuration.effects import Facts, drained, judge
-from onyxhead.controller.configuration.tree import Problem, Tree
+from onyxhead.controller.configuration.commit_plan import FleetFacts, drained, plan_commit
+from onyxhead.controller.configuration.tree import RpcError, Tree
 
 VERBS = ("drain", "restore", "cordon", "uncordon")
 KEPT = 500
@@ -91,7 +91,7 @@
     def copy(self) -> Standing:
         return Standing(self.plain())
 
-    def run(self, command: Command, tree: Tree, backends: Iterable[Backend], facts: Facts) -> dict[str, Any]:
+    def run(self, command: Command, tree: Tree, backends: Iterable[Backend], facts: FleetFacts) -> dict[str, Any]:
         """The answer to a command; what it changes is in effect in these books from now on. Raises Odd for an id that
         was given to another command."""
         known = self.done.get(command.id)
@@ -115,7 +115,7 @@
                 self.done.popitem(last=False)
         return answer | {"dry_run": command.dry_run}
 
-    def _effect(self, command: Command, tree: Tree, chosen: list[str], facts: Facts) -> dict[str, Any]:
+    def _effect(self, command: Command, tree: Tree, chosen: list[str], facts: FleetFacts) -> dict[str, Any]:
         drains, cordons = set(self.drained), set(self.cordoned)
         match command.verb:
             case "drain":
@@ -129,8 +129,8 @@
                 cordons -= set(chosen)
         changed = sorted((drains ^ self.drained) | (cordons ^ self.cordoned))
         try:
-            plan = judge(over(tree, self.drained), over(tree, drains), facts)
-        except Problem as problem:
+            plan = plan_commit(over(tree, self.drained), over(tree, drains), facts)
+        except RpcError as problem:
             return {"status": "refused", "why": problem.text, "changed": []}
         if command.verb == "restore" and (held := sorted(set(chosen) & drained(tree))):
             why = f"{', '.join(held)}: drained by the configuration, and only that can restore them"
--- a/onyxhead/standins/proxy.py
+++ b/onyxhead/standins/proxy.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from onyxhead.controller.probe import load_report
+from onyxhead.controller.health_check import load_report
 from onyxhead.http.client import Connection
 from onyxhead.http.messages import Fault, Request, Response, answer
 from onyxhead.http.server import Server
--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -6,9 +6,9 @@
 import random
 
 from onyxhead.agent.keeper import Keeper, Taken
-from onyxhead.controller.channel import Sent
-from onyxhead.controller.house import House, Joining, Work
-from onyxhead.controller.roster import Entry, Follower, Roster
+from onyxhead.controller.core import ControllerCore, Effects, JoinRequest
+from onyxhead.controller.delivery_queue import QueuedMessage
+from onyxhead.controller.endpoint_list import EndpointEntry, EndpointList, EndpointListFollower
 from onyxhead.fronts.files.push import Encoder, Stream
 from onyxhead.http.messages import JSON, MERGE_PATCH, ORDER, STREAM, Request, order_field
 from onyxhead.policy.inputs import AdmissionMode, ChannelLimits, Deployment, RetrySafety, SafetyLimits, TrafficGroup
@@ -26,9 +26,9 @@
     return Deployment(0, 2, 1, 8, groups, way, guards, AdmissionMode.FRACTION, 1, 1.2, 0, SECOND, False, False)
 
 
-def entry(name: str, state: str = "ready", started: float = 0.0, **other: object) -> Entry:
+def entry(name: str, state: str = "ready", started: float = 0.0, **other: object) -> EndpointEntry:
     port = 9000 + int(name[1:])
-    return Entry(name, f"127.0.0.1:{port}", ZONES[port % 2], "std", state, 1.0, started)._replace(**other)
+    return EndpointEntry(name, f"127.0.0.1:{port}", ZONES[port % 2], "std", state, 1.0, started)._replace(**other)
 
 
 def request_of(message: Message, stream: str, at: int) -> Request:
@@ -47,12 +47,12 @@
     def __init__(self, backends: int = 6, proxies: int = 0, seed: int = 1, **channel: float) -> None:
         self.now, self.chance = 1000 * SECOND, random.Random(seed)
         self.start = deployment(**channel)
-        self.house = House(self.start, GROUPS, ZONES, seed, 1, 2 * SECOND, self.now)
-        self.follower = Follower(ZONES, lambda s: min(self.now, int(s * SECOND)), lambda: self.now)
+        self.house = ControllerCore(self.start, GROUPS, ZONES, seed, 1, 2 * SECOND, self.now)
+        self.follower = EndpointListFollower(ZONES, lambda s: min(self.now, int(s * SECOND)), lambda: self.now)
         self.entries = {f"b{n}": entry(f"b{n}") for n in range(backends)}
         self.keepers: dict[str, Keeper] = {}
         self.slow: set[str] = set()
-        self.version, self.works = 0, list[Work]()
+        self.version, self.works = 0, list[Effects]()
         self.most = 0.0
         self.publish()
         for number in range(proxies):
@@ -60,7 +60,7 @@
 
     def publish(self) -> None:
         self.version += 1
-        news = self.follower.follow(Roster(self.version, tuple(self.entries.values())))
+        news = self.follower.follow(EndpointList(self.version, tuple(self.entries.values())))
         if news is not None:
             self.house.list_heard(self.now, news)
 
@@ -76,12 +76,12 @@
         keeper.listen_to(name)
         bound = any(path[0] == "bindings" for path in keeper.view.leaves)
         held = View.read(json.loads(json.dumps(keeper.view.document())))
-        self.house.joins(self.now, Joining(name, ZONES[len(name) % 2], 10.0, not bound, held))
+        self.house.joins(self.now, JoinRequest(name, ZONES[len(name) % 2], 10.0, not bound, held))
 
     def lose(self, name: str) -> None:
         self.house.left(self.now, self.house.number(name))
 
-    def step(self, tenths: int = 100) -> Work:
+    def step(self, tenths: int = 100) -> Effects:
         self.now += tenths
         work = self.house.act(self.now)
         self.works.append(work)
@@ -91,10 +91,10 @@
                 self.deliver(sent)
         return work
 
-    def name(self, sent: Sent[Message]) -> str:
+    def name(self, sent: QueuedMessage[Message]) -> str:
         return next(name for name, number in self.house.numbers.items() if number == sent.proxy)
 
-    def deliver(self, sent: Sent[Message]) -> None:
+    def deliver(self, sent: QueuedMessage[Message]) -> None:
         name = self.name(sent)
         keeper = self.keepers[name]
         self.house.channel.taken(sent.proxy)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from onyxhead.controller.daemon import Daemon
+from onyxhead.controller.server import ControllerServer
 from onyxhead.fleet.coalition import Coalition, News
 from onyxhead.fleet.dial import Dialer
 from onyxhead.fleet.fence import LAST, Fence, Fenced, next_token
@@ -437,14 +437,14 @@
     return f"fleet: {{members: {{{fellows}}}, period: 60ms, timeout: 40ms, suspicion: 300ms, settle: 400ms}}\n"
 
 
-async def three(running: Running, folder: Path) -> list[Daemon]:
-    ports, daemons = free_ports(3), list[Daemon]()
+async def three(running: Running, folder: Path) -> list[ControllerServer]:
+    ports, daemons = free_ports(3), list[ControllerServer]()
     for n, port in enumerate(ports):
         text = CONTROLLER.replace('"c1"', f'"c{n}"').replace(":0", f":{port}", 1).replace('"state"', f'"state{n}"')
         (folder / f"c{n}.rec").write_text(text + fleet_settings(ports))
         settings = read_settings(folder / f"c{n}.rec")
         assert isinstance(settings, Controller)
-        daemons.append(Daemon(settings))
+        daemons.append(ControllerServer(settings))
         running.tasks.append(asyncio.create_task(daemons[-1].run()))
     await until(lambda: all(d.alliance and len(d.alliance.coalition.serving()) == 3 for d in daemons))
     return daemons
@@ -463,7 +463,7 @@
         sockets.AGENT = AGENT
         names = {f"p{n}" for n in range(6)}
 
-        def served(own: list[Daemon]) -> list[set[str]]:
+        def served(own: list[ControllerServer]) -> list[set[str]]:
             return [{known.name for known in d.house.joined.values()} for d in own]
 
         await until(lambda: set().union(*served(daemons)) == names and all(shown(tmp_path, n) for n in names))
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -12,7 +12,7 @@
 
 from onyxhead.agent.keeper import Taken
 from onyxhead.cli.main import main
-from onyxhead.controller.ways import run as ask
+from onyxhead.controller.version_requests import run as ask
 from onyxhead.policy.decisions import TableChange
 from onyxhead.store.store import Store
 from onyxhead.tables.history import History, Refused, Truth, Unknown, diff, overlay, plan
@@ -167,11 +167,11 @@
 
 def report(rig: Rig, number: int, **bad: int) -> None:
     """Every proxy tells of 40 tries, of which so many failed."""
-    from onyxhead.controller import sums
+    from onyxhead.controller import request_statistics
 
     for name in rig.keepers:
-        met = {"127.0.0.1:9001": sums.Met(40, bad.get(name, 1), 400.0, SECOND)}
-        rig.house.summed(rig.now, name, "x", number, sums.Report(met, {}))
+        met = {"127.0.0.1:9001": request_statistics.BackendStatistics(40, bad.get(name, 1), 400.0, SECOND)}
+        rig.house.summed(rig.now, name, "x", number, request_statistics.RequestStatistics(met, {}))
 
 
 def on_trial(seconds: float = 20.0) -> tuple[Rig, str, list[str]]:
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -8,12 +8,12 @@
 import pytest
 
 from onyxhead.agent.keeper import Keeper, Taken
-from onyxhead.controller import sums
-from onyxhead.controller.channel import Channel, Overfull
+from onyxhead.controller import request_statistics
 from onyxhead.controller.clock import Clock
-from onyxhead.controller.door import Door
-from onyxhead.controller.probe import busy_share, latency, load_report
-from onyxhead.controller.roster import Follower, Roster, Unlisted, read
+from onyxhead.controller.delivery_queue import DeliveryQueue, QueueFullError
+from onyxhead.controller.endpoint_list import EndpointList, EndpointListFollower, InvalidEndpointListError, read
+from onyxhead.controller.health_check import busy_share, latency, load_report
+from onyxhead.controller.join_backoff import JoinBackoff
 from onyxhead.policy.decisions import TableChange, Withdrawal
 from onyxhead.policy.inputs import ChannelLimits, WatchEvent
 from onyxhead.tables.orders import Place
@@ -24,7 +24,7 @@
 
 
 def test_messages_leave_in_order_at_the_pace() -> None:
-    channel: Channel[str] = Channel(LIMITS, SECOND)
+    channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     for proxy in (1, 2):
         channel.join(proxy)
         channel.offer(0, proxy, f"to {proxy}", 10)
@@ -34,26 +34,26 @@
 
 
 def test_what_would_wait_beyond_the_limit_is_refused_and_not_queued() -> None:
-    channel: Channel[str] = Channel(LIMITS, SECOND)
+    channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     channel.join(1)
     channel.offer(0, 1, "a", 40)
-    with pytest.raises(Overfull):
+    with pytest.raises(QueueFullError):
         channel.offer(0, 1, "b", 11)
     assert channel.waiting == 40
 
 
 def test_no_more_messages_are_written_to_one_proxy_than_the_cap() -> None:
-    channel: Channel[str] = Channel(LIMITS, SECOND)
+    channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     channel.join(1)
     for _ in range(3):
         channel.offer(0, 1, "a", 1)
-    with pytest.raises(Overfull):
+    with pytest.raises(QueueFullError):
         channel.offer(SECOND - 1, 1, "a", 1)
     channel.offer(SECOND + 1, 1, "a", 1)
 
 
 def test_a_stream_that_takes_nothing_holds_only_its_own_back_counts_on_and_is_given_up() -> None:
-    channel: Channel[str] = Channel(LIMITS, SECOND)
+    channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     for proxy in (1, 2):
         channel.join(proxy)
     channel.offer(0, 1, "a", 10)
@@ -82,33 +82,33 @@
     ],
 )  # fmt: skip
 def test_a_list_that_is_half_written_or_contradicts_itself_is_not_followed(given: bytes) -> None:
-    with pytest.raises(Unlisted):
+    with pytest.raises(InvalidEndpointListError):
         read(given)
 
 
-def follower(now: int = 50 * SECOND) -> Follower:
-    return Follower(ZONES, lambda seconds: min(now, int(seconds * SECOND)), lambda: now)
+def follower(now: int = 50 * SECOND) -> EndpointListFollower:
+    return EndpointListFollower(ZONES, lambda seconds: min(now, int(seconds * SECOND)), lambda: now)
 
 
 def test_a_list_that_goes_back_or_shrinks_to_nothing_is_not_followed() -> None:
     own = follower()
-    own.follow(Roster(5, (entry("b1"),)))
-    with pytest.raises(Unlisted, match="older"):
-        own.follow(Roster(4, (entry("b2"),)))
-    with pytest.raises(Unlisted, match="none"):
-        own.follow(Roster(6, ()))
-    assert own.last == Roster(5, (entry("b1"),))
+    own.follow(EndpointList(5, (entry("b1"),)))
+    with pytest.raises(InvalidEndpointListError, match="older"):
+        own.follow(EndpointList(4, (entry("b2"),)))
+    with pytest.raises(InvalidEndpointListError, match="none"):
+        own.follow(EndpointList(6, ()))
+    assert own.last == EndpointList(5, (entry("b1"),))
 
 
 def test_changes_name_what_left_and_a_newcomer_with_no_start_counts_as_just_started() -> None:
     own = follower()
-    first = own.follow(Roster(1, (entry("b1"), entry("b2"))))
+    first = own.follow(EndpointList(1, (entry("b1"), entry("b2"))))
     assert first is not None and first.kind is WatchEvent.SNAPSHOT and {e.started_at for e in first.listed} == {0}
-    news = own.follow(Roster(2, (entry("b2"), entry("b3"), entry("b4", zone="moon"))))
+    news = own.follow(EndpointList(2, (entry("b2"), entry("b3"), entry("b4", zone="moon"))))
     assert news is not None and [(e.backend, e.ready, e.started_at) for e in news.listed] == [
         ("b3", True, 50 * SECOND), ("b1", False, 0),
     ]  # fmt: skip
-    assert "moon" in news.notes[0] and own.follow(Roster(2, own.last.entries if own.last else ())) is None
+    assert "moon" in news.notes[0] and own.follow(EndpointList(2, own.last.entries if own.last else ())) is None
 
 
 def test_the_clock_never_goes_back_and_a_start_ahead_of_it_counts_as_now() -> None:
@@ -128,39 +128,39 @@
 
 def test_sums_are_read_from_a_load_report() -> None:
     latency = {"metric_name": "latency_ms", "num_requests_finished_with_metric": "8", "total_metric_value": 400.0}
-    told = sums.read(load_report_of(total_error_requests="2", load_metric_stats=[latency]))
-    assert told.met == {"127.0.0.1:9001": sums.Met(10, 2, 4000.0, 15_000, None)}
+    told = request_statistics.read(load_report_of(total_error_requests="2", load_metric_stats=[latency]))
+    assert told.met == {"127.0.0.1:9001": request_statistics.BackendStatistics(10, 2, 4000.0, 15_000, None)}
     assert told.flows == {"read": (2, 15_000)}
 
 
 @pytest.mark.parametrize("bad", [{"total_error_requests": "-1"}, {"total_error_requests": 1e99}, {"address": 5}])
 def test_sums_that_are_no_counts_are_refused(bad: dict[str, Any]) -> None:
-    with pytest.raises(sums.Odd):
-        sums.read(load_report_of(**bad))
+    with pytest.raises(request_statistics.InvalidReportError):
+        request_statistics.read(load_report_of(**bad))
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -1.0, "1", 7.0])
 def test_a_load_that_can_not_be_is_left_out(value: object) -> None:
     stats = [{"metric_name": "cpu_utilization", "total_metric_value": value}]
-    assert sums.read(load_report_of(load_metric_stats=stats)).met["127.0.0.1:9001"].busy is None
+    assert request_statistics.read(load_report_of(load_metric_stats=stats)).met["127.0.0.1:9001"].busy is None
 
 
 def test_sums_count_once_whatever_their_order_and_those_of_strangers_never() -> None:
     rig = Rig(proxies=1)
-    told = sums.read(load_report_of("127.0.0.1:9001"))
+    told = request_statistics.read(load_report_of("127.0.0.1:9001"))
     assert rig.house.summed(rig.now, "p0", "x", 5, told)
     assert not rig.house.summed(rig.now, "p0", "x", 5, told)
     assert rig.house.summed(rig.now, "p0", "x", 3, told)
     assert not rig.house.summed(rig.now, "p9", "x", 1, told)
     assert rig.house.summed(rig.now, "p0", "restarted", 5, told)
-    rig.house.summed(rig.now, "p0", "x", 6, sums.read(load_report_of("127.0.0.1:9999")))
+    rig.house.summed(rig.now, "p0", "x", 6, request_statistics.read(load_report_of("127.0.0.1:9999")))
     met, _ = rig.house.gathered.tell()
     assert [(backend, own.tries) for _, backend, own, _ in met] == [("b1", 24)]
     assert rig.house.gathered.unknown == 8
 
 
 def test_a_report_far_older_than_the_last_is_not_counted() -> None:
-    gate = sums.Gate()
+    gate = request_statistics.DuplicateFilter()
     assert gate.fresh("p", "x", 1000) and not gate.fresh("p", "x", 900)
 
 
@@ -177,7 +177,7 @@
 
 
 def test_one_broken_stream_costs_no_wait_and_repeated_faults_ever_longer_ones() -> None:
-    door = Door()
+    door = JoinBackoff()
     door.fault(0, "p")
     assert door.wait(1, "p") == 0
     waits = []
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -19,10 +19,10 @@
 
 from onyxhead.cli.main import main
 from onyxhead.controller.configuration.access import Access
+from onyxhead.controller.configuration.commit_plan import BackendFacts, CommitPlan, FleetFacts, plan_commit
 from onyxhead.controller.configuration.datastores import Commit, Datastores
-from onyxhead.controller.configuration.desk import Desk, Hands
-from onyxhead.controller.configuration.effects import Backend, Facts, Plan, judge
-from onyxhead.controller.configuration.tree import Edit, Problem, Tree, apply, changes, with_defaults
+from onyxhead.controller.configuration.service import ConfigurationCallbacks, ConfigurationService
+from onyxhead.controller.configuration.tree import Edit, RpcError, Tree, apply, changes, with_defaults
 from onyxhead.controller.configuration.views import as_records, deployment, tree_of
 from onyxhead.fronts.netconf import schema, xml
 from onyxhead.fronts.netconf.framing import END, Framing, Unframed
@@ -135,7 +135,7 @@
     ],
 )  # fmt: skip
 def test_edits_that_do_not_fit_are_told_by_the_tag_of_the_rfc(text: str, default: str, tag: str) -> None:
-    with pytest.raises(Problem) as caught:
+    with pytest.raises(RpcError) as caught:
         schema.check(after(text, default))
     assert caught.value.tag == tag
 
@@ -233,7 +233,7 @@
         try:
             run(own, what, who, value, now)
             did = True
-        except Problem:
+        except RpcError:
             did = False
         assert did == plain.do(what, who, value, now), (seed, step, what, who)
         assert (weight(own.running), weight(own.candidate)) == (plain.running, plain.candidate), (seed, step, what)
@@ -269,7 +269,7 @@
     run(own, "edit", 1, 3, 0)
     own.done(1, own.commit(1, "u", 0.0, True, 60, persist="k"))
     assert own.ended(1) is None and weight(own.running) == 3
-    with pytest.raises(Problem):
+    with pytest.raises(RpcError):
         own.commit(2, "u", 1.0, persist_id="other")
     own.done(2, own.commit(2, "u", 1.0, persist_id="k"))
     assert own.overdue(1000.0) is None and weight(own.running) == 3
@@ -278,9 +278,9 @@
 # What a commit may break
 
 
-def facts(count: int = 4, proxies: int = 10, **other: Any) -> Facts:
-    backends = tuple(Backend(f"b{n}", "north", True, True) for n in range(count))
-    return Facts(backends, proxies, 0.0, 6.0)._replace(**other)
+def facts(count: int = 4, proxies: int = 10, **other: Any) -> FleetFacts:
+    backends = tuple(BackendFacts(f"b{n}", "north", True, True) for n in range(count))
+    return FleetFacts(backends, proxies, 0.0, 6.0)._replace(**other)
 
 
 def drain(*names: str) -> Tree:
@@ -291,22 +291,22 @@
     ("tree", "known", "words"),
     [
         (drain("b0", "b1", "b2", "b3"), facts(), "no warm backend (rule 1)"),
-        (drain("b0"), facts(backends=(Backend("b0", "n", True, True), Backend("b1", "n", True, False))), "rule 1"),
+        (drain("b0"), facts(backends=(BackendFacts("b0", "n", True, True), BackendFacts("b1", "n", True, False))), "rule 1"),
         (drain(*(f"b{n}" for n in range(30))), facts(40, 100), "at a time (rule 3)"),
         (TREE | {"channel": {"most-waiting": 50}}, facts(waiting=60.0), "rule 5"),
         (TREE | {"group": []}, facts(), "no traffic group"),
     ],
 )  # fmt: skip
-def test_an_edit_that_would_break_a_rule_by_itself_is_refused(tree: Tree, known: Facts, words: str) -> None:
-    with pytest.raises(Problem, match=words.replace("(", r"\(").replace(")", r"\)")):
-        judge(TREE, tree, known)
+def test_an_edit_that_would_break_a_rule_by_itself_is_refused(tree: Tree, known: FleetFacts, words: str) -> None:
+    with pytest.raises(RpcError, match=words.replace("(", r"\(").replace(")", r"\)")):
+        plan_commit(TREE, tree, known)
 
 
 def test_what_is_allowed_is_planned() -> None:
-    plan = judge(drain("b0"), drain("b1"), facts())
+    plan = plan_commit(drain("b0"), drain("b1"), facts())
     assert (plan.drains, plan.restores, plan.rebuild) == (("b1",), ("b0",), False) and plan.seconds > 0
-    assert judge(TREE, TREE | {"guards": {"drain-grace": 9000}}, facts()).rebuild
-    assert judge(TREE, TREE, facts()) == Plan((), (), (), False, 0.0)
+    assert plan_commit(TREE, TREE | {"guards": {"drain-grace": 9000}}, facts()).rebuild
+    assert plan_commit(TREE, TREE, facts()) == CommitPlan((), (), (), False, 0.0)
 
 
 def test_settings_and_trees_are_two_views_of_one_thing(tmp_path: Path) -> None:
@@ -337,11 +337,11 @@
     own = Access({"o": User((), ("ops",)), "v": User((), ())}, rules)
     own.may_write("o", TREE, after(backend("b1")), "/fleet")
     for user, tree in (("v", after(backend("b1"))), ("o", after("<channel><pace>9</pace></channel>")), ("o", {})):
-        with pytest.raises(Problem, match="may not"):
+        with pytest.raises(RpcError, match="may not"):
             own.may_write(user, TREE, tree, "/fleet")
     own.may_run("o", "kill-session")
     own.may_run("v", "get")
-    with pytest.raises(Problem):
+    with pytest.raises(RpcError):
         own.may_run("v", "kill-session")
     assert not own.readable("v", "/fleet/guards/drain-grace") and own.readable("v", "/fleet/channel")
 
@@ -368,12 +368,12 @@
 
         return call
 
-    hands = Hands(
+    hands = ConfigurationCallbacks(
         facts, step(disk.append), lambda _: None, step(lambda tree, _: acted.append(tree)), dict, time.time,
         lambda *_: None,
     )  # fmt: skip
     rule = Rule("all", ("*",), None, None, ("*",), True)
-    desk = Desk(Datastores(schema.config(), list(disk), schema.check), Access({}, (rule,)), hands)
+    desk = ConfigurationService(Datastores(schema.config(), list(disk), schema.check), Access({}, (rule,)), hands)
     desk.edit("u", 1, "candidate", edit(backend("b1", "", "<drained>true</drained>")), "merge", "set")
     answered = False
     try:
@@ -403,10 +403,10 @@
 def quiet_session() -> tuple[Session, list[bytes], list[bool]]:
     sent, over = list[bytes](), list[bool]()
     rule = Rule("all", ("*",), None, None, ("*",), True)
-    hands = Hands(
+    hands = ConfigurationCallbacks(
         facts, lambda _: None, lambda _: None, lambda *_: None, lambda: {"epoch": 3}, time.time, lambda *_: None
     )
-    desk = Desk(stores(), Access({}, (rule,)), hands)
+    desk = ConfigurationService(stores(), Access({}, (rule,)), hands)
     return Session(desk, "u", sent.append, lambda: over.append(True)), sent, over
 
 
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -12,8 +12,8 @@
 from click.testing import CliRunner
 
 from onyxhead.cli.main import main
-from onyxhead.controller.configuration.effects import Backend as Known
-from onyxhead.controller.configuration.effects import Facts
+from onyxhead.controller.configuration.commit_plan import BackendFacts as Known
+from onyxhead.controller.configuration.commit_plan import FleetFacts
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Request, Response, answer
 from onyxhead.http.server import Server
@@ -25,7 +25,7 @@
 
 TREE = {"group": [{"name": "read", "latency-budget": 5000, "expiry": 10000, "repeats": "retriable"}]}
 ALL = [Backend(f"b{n}", "north" if n < 4 else "south", "std" if n % 2 else "big") for n in range(8)]
-FACTS = Facts(tuple(Known(each.id, each.zone, True, True) for each in ALL), 10, 0.0, 6.0)
+FACTS = FleetFacts(tuple(Known(each.id, each.zone, True, True) for each in ALL), 10, 0.0, 6.0)
 
 
 def asked(verb: str, *names: str, number: str = "1", dry_run: bool = False) -> Command:
--- a/tests/test_reception.py
+++ b/tests/test_reception.py
@@ -12,7 +12,7 @@
 import pytest
 import whisper
 
-from onyxhead.controller.daemon import Daemon
+from onyxhead.controller.server import ControllerServer
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Request
 from onyxhead.series.courses import Courses, Unknown
@@ -35,7 +35,7 @@
     return (await ask_once(("127.0.0.1", port), Request("POST", f"/v1/load/{sender}", {}, sent), 5.0)).status
 
 
-def busy(controller: Daemon, backend: str) -> float:
+def busy(controller: ControllerServer, backend: str) -> float:
     return controller.house.picture.busy(controller.clock.now(), backend) or 0.0
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -11,7 +11,7 @@
 import pytest
 
 from onyxhead.agent.daemon import Daemon as Agent
-from onyxhead.controller.daemon import Daemon
+from onyxhead.controller.server import ControllerServer
 from onyxhead.fronts.files.push import Refused
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Request, Response, answer
@@ -56,11 +56,11 @@
         self.folder, self.tasks, self.more = folder, list[asyncio.Task[None]](), ""
         list_of(folder, 1, BACKENDS)
 
-    async def controller(self) -> Daemon:
+    async def controller(self) -> ControllerServer:
         (self.folder / "c.rec").write_text(CONTROLLER + self.more)
         settings = read(self.folder / "c.rec")
         assert isinstance(settings, Controller)
-        daemon = Daemon(settings)
+        daemon = ControllerServer(settings)
         self.tasks.append(asyncio.create_task(daemon.run()))
         await until(lambda: daemon.server.listener and daemon.house.listed)
         return daemon
@@ -79,7 +79,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
 
-def port_of(daemon: Daemon) -> int:
+def port_of(daemon: ControllerServer) -> int:
     assert daemon.server.listener is not None
     return int(daemon.server.listener.sockets[0].getsockname()[1])
 
@@ -336,7 +336,7 @@
         (tmp_path / "c.rec").write_text(text)
         settings = read(tmp_path / "c.rec")
         assert isinstance(settings, Controller)
-        daemon = Daemon(settings)
+        daemon = ControllerServer(settings)
         running.tasks.append(asyncio.create_task(daemon.run()))
         await until(lambda: daemon.house.listed)
         assert len(asked) == 3
