--- a/benchmarks/batch.py
+++ b/benchmarks/batch.py
@@ -23,7 +23,7 @@
 ZONES = ("x", "y", "z")
 
 
-def house(proxies: int, backends: int) -> tuple[ControllerCore, EndpointListFollower, EndpointList]:
+def loaded_core(proxies: int, backends: int) -> tuple[ControllerCore, EndpointListFollower, EndpointList]:
     groups = tuple(TrafficGroup(n, 1.0, 5000, 15000, RetrySafety.IDEMPOTENT, "all", 0, None, False) for n in ("a", "b"))
     channel = ChannelLimits(100.0 * proxies * 3, 6, 400.0 * proxies, 100, 500, 0, 100_000)
     guards = SafetyLimits(30_000, 20_000, False, 0.2, 150_000, 3, 15_000, False, 0)
@@ -36,16 +36,16 @@
         EndpointEntry(f"b{i}", f"127.0.0.1:{1000 + i}", ZONES[i % 3], "k", "ready", 1.0, 0.0) for i in range(backends)
     ]
     follower, roster = EndpointListFollower(ZONES, lambda s: int(s * 1e4), lambda: now), EndpointList(1, tuple(entries))
-    news = follower.follow(roster)
+    news = follower.update(roster)
     assert news is not None
-    made.list_heard(now, news)
+    made.on_endpoint_update(now, news)
     for proxy in range(proxies):
-        made.joins(now, JoinRequest(f"p{proxy}", ZONES[proxy % 3], 10.0, True, View.EMPTY))
+        made.on_proxy_joined(now, JoinRequest(f"p{proxy}", ZONES[proxy % 3], 10.0, True, View.EMPTY))
     return made, follower, roster
 
 
 def one(proxies: int, backends: int, steps: int = 600) -> dict[str, float]:
-    made, follower, roster = house(proxies, backends)
+    made, follower, roster = loaded_core(proxies, backends)
     chance, now, times = random.Random(1), 10**9, list[float]()
     for step in range(steps):
         now += 500
@@ -55,19 +55,19 @@
             state = "draining" if entries[place].state == "ready" else "ready"
             entries[place] = entries[place]._replace(state=state, started=now / 1e4)
             roster = EndpointList(roster.version + 1, tuple(entries))
-            news = follower.follow(roster)
+            news = follower.update(roster)
             assert news is not None
-            made.list_heard(now, news)
+            made.on_endpoint_update(now, news)
         if step % 20 == 10:
-            for name in made.listed:
-                made.brain.on_attempt_statistics(now, name, 0, 20, chance.randint(0, 2), 1000, 10_000, LoadReport(0.5))
+            for name in made.endpoints:
+                made.policy.on_attempt_statistics(now, name, 0, 20, chance.randint(0, 2), 1000, 10_000, LoadReport(0.5))
             for proxy in range(proxies):
-                made.brain.on_request_rate(now, proxy, 0, 10, 10_000)
-        work = made.act(now)
+                made.policy.on_request_rate(now, proxy, 0, 10, 10_000)
+        work = made.decide(now)
         times.append(time.perf_counter() - began)
-        for sent in work.leaving:
-            made.channel.taken(sent.proxy)
-            made.answered(now, sent.proxy, sent.order, sent.order.result.tag, sent.ordered)
+        for sent in work.deliveries:
+            made.delivery_queue.on_written(sent.proxy)
+            made.on_acknowledgement(now, sent.proxy, sent.message, sent.message.result.tag, sent.queued_at)
     return quantiles(times[100:])
 
 
--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -30,8 +30,8 @@
 
 async def run(folder: Path, count: int, backends: int = 40, rounds: int = 12) -> dict[str, Any]:
     async with fan.Fleet(folder, count, backends) as fleet:
-        house, desk = fleet.daemon.house, fleet.daemon.desk
-        assert desk is not None
+        core, configuration = fleet.daemon.core, fleet.daemon.configuration
+        assert configuration is not None
         from onyxhead.controller.configuration.tree import Edit
 
         def drain(name: str, value: str) -> Edit:
@@ -40,22 +40,24 @@
 
         began, edits = time.perf_counter(), 0
         while time.perf_counter() < began + 2:
-            desk.edit("u", 1, "candidate", drain("b1", "true" if edits % 2 else "false"), "merge", "test-then-set")
+            configuration.edit(
+                "u", 1, "candidate", drain("b1", "true" if edits % 2 else "false"), "merge", "test-then-set"
+            )
             edits += 1
         per_second = edits / (time.perf_counter() - began)
-        desk.stores.discard(1)
+        configuration.datastores.discard(1)
         by_commit, by_file = list[float](), list[float]()
         for number in range(rounds):
             for times, change in (
-                (by_commit, lambda: commit(desk, drain(f"b{2 * number + 2}", "true"))),
+                (by_commit, lambda: commit(configuration, drain(f"b{2 * number + 2}", "true"))),
                 (by_file, lambda: fleet.drain(2 * number + 3)),
             ):
                 name = f"b{2 * number + (2 if times is by_commit else 3)}"
                 began = time.perf_counter()
                 change()  # type: ignore[no-untyped-call]
-                await fan.until(lambda: name in house.books.withdrawn)
-                turn = house.brain.turn
-                await fan.until(lambda: all(done[0] >= turn for done in list(house.applied.values())))
+                await fan.until(lambda: name in core.proxy_tables.withdrawn)
+                turn = core.policy.turn
+                await fan.until(lambda: all(done[0] >= turn for done in list(core.applied.values())))
                 times.append(time.perf_counter() - began)
                 await asyncio.sleep(1.2)
     return {
@@ -64,6 +66,6 @@
     }  # fmt: skip
 
 
-def commit(desk: Any, edit: Any) -> None:
-    desk.edit("u", 1, "candidate", edit, "merge", "set")
-    desk.commit("u", 1)
+def commit(configuration: Any, edit: Any) -> None:
+    configuration.edit("u", 1, "candidate", edit, "merge", "set")
+    configuration.commit("u", 1)
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -84,9 +84,9 @@
         publish(self.folder, 1, self.backends, set())
         self.daemon = ControllerServer(settings)
         self.task = asyncio.create_task(self.daemon.run())
-        await until(lambda: bool(self.daemon.server.listener and self.daemon.house.listed))
-        assert self.daemon.server.listener is not None
-        port = int(self.daemon.server.listener.sockets[0].getsockname()[1])
+        await until(lambda: bool(self.daemon.http_server.listener and self.daemon.core.endpoints))
+        assert self.daemon.http_server.listener is not None
+        port = int(self.daemon.http_server.listener.sockets[0].getsockname()[1])
         names = [f"p{n}" for n in range(self.count)]
         # Started anew, not forked: a fork would share the running loop's own descriptors.
         context = multiprocessing.get_context("spawn")
@@ -99,8 +99,8 @@
             process.start()
             self.ends.append(here)
             self.processes.append(process)
-        house = self.daemon.house
-        await until(lambda: len(house.joined) == self.count and all(house.books.bound(n) for n in house.joined))
+        core = self.daemon.core
+        await until(lambda: len(core.joined) == self.count and all(core.proxy_tables.bound(n) for n in core.joined))
         await asyncio.sleep(2.0)
         for place in range(SENDERS if self.rate else 0):
             here, there = context.Pipe()
@@ -118,7 +118,7 @@
     async def __aexit__(self, *_: object) -> None:
         for end in self.ends:
             end.send(True)
-        self.daemon.over.set()
+        self.daemon.stopping.set()
         await self.task
         for process in self.processes:
             process.join()
@@ -135,25 +135,25 @@
     joining = max(2, count // 10)
     changes, withdrawals, paced, sent = [], [], 0.0, 0
     async with Fleet(folder, count, backends, rate, receivers) as fleet:
-        daemon, house = fleet.daemon, fleet.daemon.house
+        daemon, core = fleet.daemon, fleet.daemon.core
         since, reports = time.perf_counter(), taken(daemon)
         for drained in range(2, 2 + rounds):
-            for number in list(house.joined)[:joining]:
-                daemon.lines[number].task.cancel()
-                house.left(daemon.clock.now(), number, "for the measurement")
+            for number in list(core.joined)[:joining]:
+                daemon.streams[number].task.cancel()
+                core.on_proxy_left(daemon.clock.now(), number, "for the measurement")
             await asyncio.sleep(0.02)
             began = time.perf_counter()
             fleet.drain(drained)
-            told = list(house.joined)
-            await until(lambda: f"b{drained}" in house.books.withdrawn)
-            turn = house.brain.turn
-            await until(lambda: all(house.applied.get(n, (turn,))[0] >= turn for n in told))
+            told = list(core.joined)
+            await until(lambda: f"b{drained}" in core.proxy_tables.withdrawn)
+            turn = core.policy.turn
+            await until(lambda: all(core.applied.get(n, (turn,))[0] >= turn for n in told))
             withdrawals.append(time.perf_counter() - began)
-            sent, paced = len(told), (house.channel.limits.message_overhead + 2) * len(told) / fleet.pace
-            await until(lambda: all(f"b{drained}" not in lines for lines in house.books.tables.values()))
+            sent, paced = len(told), (core.delivery_queue.limits.message_overhead + 2) * len(told) / fleet.pace
+            await until(lambda: all(f"b{drained}" not in lines for lines in core.proxy_tables.tables.values()))
             # Not the newest turn: that may have gone to one that joins alone.
-            turn, began = max(house.brain.backends[f"b{drained}"].versions.values()), time.perf_counter()
-            await until(lambda: all(done[0] >= turn for done in list(house.applied.values())))
+            turn, began = max(core.policy.backends[f"b{drained}"].versions.values()), time.perf_counter()
+            await until(lambda: all(done[0] >= turn for done in list(core.applied.values())))
             changes.append(time.perf_counter() - began)
             await asyncio.sleep(0.6)
         came = (taken(daemon) - reports) / (time.perf_counter() - since)
@@ -169,7 +169,7 @@
 
 
 def taken(daemon: ControllerServer) -> int:
-    return daemon.reception.counts["reports"] if daemon.reception is not None else 0
+    return daemon.load_reports.counts["reports"] if daemon.load_reports is not None else 0
 
 
 async def until(what: Callable[[], bool]) -> None:
--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.batch import house
+from benchmarks.batch import loaded_core
 from onyxhead.store.store import Store
 from onyxhead.tables.history import History
 from onyxhead.tables.view import View
@@ -75,8 +75,8 @@
     history = History()
     rows = again.versions()
     history.restore((n, e, at, c, {(t, b): p for t, b, p in changes}) for n, e, at, c, changes in rows)
-    made, _, _ = house(143, 82)
-    made.act(10**9 + 10_000)
+    made, _, _ = loaded_core(143, 82)
+    made.decide(10**9 + 10_000)
     took = time.perf_counter() - began
     again.close()
     began = time.perf_counter()
--- a/onyxhead/controller/clock.py
+++ b/onyxhead/controller/clock.py
@@ -12,13 +12,13 @@
 
 class Clock:
     def __init__(self, wall: Callable[[], float], steady: Callable[[], float]) -> None:
-        self.steady, self.began = steady, steady()
+        self.monotonic, self.started = steady, steady()
         self.base = wall() * TENTHS
 
     def now(self) -> int:
-        return int(self.base + (self.steady() - self.began) * TENTHS)
+        return int(self.base + (self.monotonic() - self.started) * TENTHS)
 
-    def of_wall(self, seconds: float) -> int:
+    def from_wall_time(self, seconds: float) -> int:
         """The module's time for a moment of the wall's clock; what lies ahead counts as now.
 
         A backend said to start in the future is either a clock that runs ahead or a wall set back; taking it as
--- a/onyxhead/controller/configuration/commit_plan.py
+++ b/onyxhead/controller/configuration/commit_plan.py
@@ -27,8 +27,8 @@
 
     backends: tuple[BackendFacts, ...]
     proxies: int
-    waiting: float
-    head: float
+    queued_lines: float
+    message_overhead: float
 
 
 class CommitPlan(NamedTuple):
@@ -59,18 +59,18 @@
     if not after.get("group"):
         raise RpcError("operation-failed", "no traffic group would be left", "/fleet/group")
     _keep_groups(before, after, facts)
-    if most < facts.waiting:
-        text = f"{facts.waiting:.0f} lines wait now; a limit of {most} would be broken at once (rule 5)"
+    if most < facts.queued_lines:
+        text = f"{facts.queued_lines:.0f} lines wait now; a limit of {most} would be broken at once (rule 5)"
         raise RpcError("operation-failed", text, "/fleet/channel/most-waiting")
     told = len(leaving & ready)
-    lines = facts.proxies * (facts.head + 1 + told)
+    lines = facts.proxies * (facts.message_overhead + 1 + told)
     room = min(URGENT * most, pace * grace)
     if told and lines > room:
-        fits = max(0, int(room / max(1, facts.proxies) - facts.head - 1))
+        fits = max(0, int(room / max(1, facts.proxies) - facts.message_overhead - 1))
         text = f"{told} drains at once take {lines:.0f} lines, {room:.0f} pass in the grace: {fits} at a time (rule 3)"
         raise RpcError("operation-failed", text, "/fleet/backend")
     rebuild = any(_part(before, name) != _part(after, name) for name in ("channel", "guards", "group"))
-    tables = len(facts.backends) + 1 + facts.head
+    tables = len(facts.backends) + 1 + facts.message_overhead
     cost = facts.proxies * tables * max(1, len(after["group"])) if rebuild else lines if told or coming else 0.0
     changed = {name for name, weight in weights(after).items() if weights(before).get(name) != weight}
     changed |= weights(before).keys() - weights(after).keys()
--- a/onyxhead/controller/configuration/datastores.py
+++ b/onyxhead/controller/configuration/datastores.py
@@ -23,10 +23,10 @@
     number: int
     tree: Tree
     user: str
-    what: str
-    until: float = 0.0
-    back: int = 0
-    persist: str = ""
+    kind: str
+    confirm_by: float = 0.0
+    rollback_to: int = 0
+    persist_id: str = ""
 
 
 class Datastores:
@@ -41,8 +41,8 @@
         self.running, self.candidate = self.last.tree, self.last.tree
         self.startup = startup if startup is not None else commits[0].tree
         self.locks: dict[str, int] = {}
-        self.changed_by = 0
-        self.owner = 0
+        self.candidate_session = 0
+        self.commit_session = 0
         self.sessions: set[int] = set()
 
     def get(self, name: str) -> Tree:
@@ -58,9 +58,9 @@
         if name in self.locks:
             raise RpcError("lock-denied", f"{name} is locked", kind="protocol", session_id=str(self.locks[name]))
         if name == "candidate" and self.candidate != self.running:
-            holder = str(self.changed_by)
+            holder = str(self.candidate_session)
             raise RpcError("lock-denied", "candidate has changes of its own", kind="protocol", session_id=holder)
-        if name == "running" and self.last.until:
+        if name == "running" and self.last.confirm_by:
             raise RpcError("lock-denied", "a commit waits to be confirmed", kind="protocol", session_id="0")
         self.locks[name] = session
 
@@ -98,7 +98,7 @@
         if name == "running":
             raise RpcError("operation-not-supported", "running is changed by commit", kind="protocol")
         if name == "candidate":
-            self.candidate, self.changed_by = tree, session
+            self.candidate, self.candidate_session = tree, session
         else:
             self.check(tree)
             self.startup = tree
@@ -117,53 +117,53 @@
         for name in ("running", "candidate"):
             self.may_write(session, name)
         waiting = self.last
-        if waiting.until:
-            if waiting.persist != persist_id or (not waiting.persist and session != self.owner):
+        if waiting.confirm_by:
+            if waiting.persist_id != persist_id or (not waiting.persist_id and session != self.commit_session):
                 raise RpcError("invalid-value", "another commit waits to be confirmed, under another persist-id")
         elif persist_id:
             raise RpcError("invalid-value", "no commit waits to be confirmed")
         self.check(self.candidate)
         # A chain of unconfirmed commits goes back to where it began, not to its last link.
-        back = (waiting.back if waiting.until else waiting.number) if confirmed else 0
+        back = (waiting.rollback_to if waiting.confirm_by else waiting.number) if confirmed else 0
         until = now + timeout if confirmed else 0.0
-        what = "commit" if not confirmed and not waiting.until else "confirmed commit" if confirmed else "confirm"
+        what = "commit" if not confirmed and not waiting.confirm_by else "confirmed commit" if confirmed else "confirm"
         return Commit(waiting.number + 1, self.candidate, user, what, until, back, persist if confirmed else "")
 
-    def done(self, session: int, commit: Commit) -> None:
+    def committed(self, session: int, commit: Commit) -> None:
         """The commit is on disk and holds from now on."""
         self.commits[commit.number] = self.last = commit
-        self.running, self.owner = commit.tree, session
-        if commit.what == "roll back" and self.candidate != commit.tree and not self.locks.get("candidate"):
+        self.running, self.commit_session = commit.tree, session
+        if commit.kind == "roll back" and self.candidate != commit.tree and not self.locks.get("candidate"):
             self.candidate = commit.tree
 
     def cancel(self, session: int, user: str, persist_id: str = "") -> Commit:
         """The commit that takes an unconfirmed one back. Raises RpcError."""
         waiting = self.last
-        if not waiting.until:
+        if not waiting.confirm_by:
             raise RpcError("operation-failed", "no commit waits to be confirmed")
-        if waiting.persist != persist_id or (not waiting.persist and session != self.owner):
+        if waiting.persist_id != persist_id or (not waiting.persist_id and session != self.commit_session):
             raise RpcError("invalid-value", "the commit that waits has another persist-id")
-        return self._back(user)
+        return self._rollback(user)
 
-    def overdue(self, now: float) -> Commit | None:
+    def expired(self, now: float) -> Commit | None:
         """The commit that takes back what nobody confirmed in time, if there is one to be made."""
-        return self._back("(time-out)") if self.last.until and now >= self.last.until else None
+        return self._rollback("(time-out)") if self.last.confirm_by and now >= self.last.confirm_by else None
 
-    def _back(self, user: str) -> Commit:
-        before = self.commits[self.last.back]
+    def _rollback(self, user: str) -> Commit:
+        before = self.commits[self.last.rollback_to]
         return Commit(self.last.number + 1, before.tree, user, "roll back")
 
     # Sessions
 
-    def began(self, session: int) -> None:
+    def open_session(self, session: int) -> None:
         self.sessions.add(session)
 
-    def ended(self, session: int) -> Commit | None:
+    def close_session(self, session: int) -> Commit | None:
         """The session is over: its locks go, its candidate with its lock, and a commit that only it could confirm."""
         self.sessions.discard(session)
         if self.locks.get("candidate") == session:
             self.candidate = self.running
         self.locks = {name: holder for name, holder in self.locks.items() if holder != session}
-        if self.last.until and not self.last.persist and self.owner == session:
-            return self._back("(session ended)")
+        if self.last.confirm_by and not self.last.persist_id and self.commit_session == session:
+            return self._rollback("(session ended)")
         return None
--- a/onyxhead/controller/configuration/service.py
+++ b/onyxhead/controller/configuration/service.py
@@ -29,50 +29,50 @@
     """What the host does for the desk. `write` and `save` return once it is on disk, or raise OSError."""
 
     facts: Callable[[], FleetFacts]
-    write: Callable[[Commit], None]
-    save: Callable[[Tree], None]
-    act: Callable[[Tree, CommitPlan], None]
+    write_commit: Callable[[Commit], None]
+    save_startup: Callable[[Tree], None]
+    apply: Callable[[Tree, CommitPlan], None]
     state: Callable[[], Tree]
-    wall: Callable[[], float]
+    wall_time: Callable[[], float]
     audit: Callable[[str, int, str, str], None]
 
 
 class ConfigurationService:
     def __init__(self, stores: Datastores, access: Access, hands: ConfigurationCallbacks) -> None:
-        self.stores, self.access, self.hands = stores, access, hands
+        self.datastores, self.access, self.callbacks = stores, access, hands
         self.events: deque[Notification] = deque(maxlen=EVENTS_KEPT)
         self.listeners: dict[int, Callable[[Notification], None]] = {}
-        self.killers: dict[int, Callable[[], None]] = {}
+        self.terminators: dict[int, Callable[[], None]] = {}
         self.next_session = 1
 
     # Sessions
 
-    def begin(self, kill: Callable[[], None]) -> int:
+    def open_session(self, kill: Callable[[], None]) -> int:
         number, self.next_session = self.next_session, self.next_session + 1
-        self.killers[number] = kill
-        self.stores.began(number)
+        self.terminators[number] = kill
+        self.datastores.open_session(number)
         return number
 
-    def end(self, session: int) -> None:
-        self.killers.pop(session, None)
+    def close_session(self, session: int) -> None:
+        self.terminators.pop(session, None)
         self.listeners.pop(session, None)
-        if (back := self.stores.ended(session)) is not None:
-            self._settle(session, back)
+        if (back := self.datastores.close_session(session)) is not None:
+            self._apply(session, back)
 
-    def kill(self, user: str, session: int, own: int) -> None:
+    def kill_session(self, user: str, session: int, own: int) -> None:
         if session == own:
             raise RpcError("invalid-value", "a session ends itself by close-session", kind="protocol")
-        if session not in self.killers:
+        if session not in self.terminators:
             raise RpcError("invalid-value", f"there is no session {session}", kind="protocol")
-        self.hands.audit(user, own, f"kill-session {session}", "done")
-        self.killers[session]()
-        self.end(session)
+        self.callbacks.audit(user, own, f"kill-session {session}", "done")
+        self.terminators[session]()
+        self.close_session(session)
 
     # Changes
 
     def edit(self, user: str, session: int, name: str, edit: Edit, default: str, test: str) -> None:
-        before = self.stores.get(name)
-        after = self.stores.edited(session, name, edit, default, test != "set")
+        before = self.datastores.get(name)
+        after = self.datastores.edited(session, name, edit, default, test != "set")
         self.replace(user, session, name, before, after, test)
 
     def replace(self, user: str, session: int, name: str, before: Tree, after: Tree, test: str = "set") -> None:
@@ -81,56 +81,56 @@
         if test == "test-only":
             return
         if name == "startup":
-            self.stores.check(after)
-            self.hands.save(after)
-        self.stores.put(session, name, after)
-        self.hands.audit(user, session, f"edit {name}", "done")
+            self.datastores.check(after)
+            self.callbacks.save_startup(after)
+        self.datastores.put(session, name, after)
+        self.callbacks.audit(user, session, f"edit {name}", "done")
 
     def commit(
         self, user: str, session: int, confirmed: bool = False, timeout: int = CONFIRM_TIMEOUT, persist: str = "",
         persist_id: str = "",
     ) -> Commit:  # fmt: skip
         """Raises RpcError, with nothing changed."""
-        now = self.hands.wall()
-        made = self.stores.commit(session, user, now, confirmed, timeout, persist, persist_id)
-        self.access.may_write(user, self.stores.running, made.tree, "/fleet")
-        return self._settle(session, made)
+        now = self.callbacks.wall_time()
+        made = self.datastores.commit(session, user, now, confirmed, timeout, persist, persist_id)
+        self.access.may_write(user, self.datastores.running, made.tree, "/fleet")
+        return self._apply(session, made)
 
     def cancel(self, user: str, session: int, persist_id: str) -> Commit:
-        return self._settle(session, self.stores.cancel(session, user, persist_id))
+        return self._apply(session, self.datastores.cancel(session, user, persist_id))
 
-    def tick(self) -> Commit | None:
+    def expire_commit(self) -> Commit | None:
         """Takes back what nobody confirmed in time."""
-        back = self.stores.overdue(self.hands.wall())
-        return self._settle(0, back) if back is not None else None
+        back = self.datastores.expired(self.callbacks.wall_time())
+        return self._apply(0, back) if back is not None else None
 
-    def _settle(self, session: int, commit: Commit) -> Commit:
-        before = self.stores.running
+    def _apply(self, session: int, commit: Commit) -> Commit:
+        before = self.datastores.running
         try:
-            plan = plan_commit(before, commit.tree, self.hands.facts())
+            plan = plan_commit(before, commit.tree, self.callbacks.facts())
         except RpcError as problem:
             # What goes back was in effect before: it is put back whatever it costs, the module keeps the rules.
-            if commit.what != "roll back":
-                self.hands.audit(commit.user, session, commit.what, f"refused: {problem.text}")
+            if commit.kind != "roll back":
+                self.callbacks.audit(commit.user, session, commit.kind, f"refused: {problem.text}")
                 raise
             plan = CommitPlan((), (), (), True, 0.0)
         try:
-            self.hands.write(commit)
+            self.callbacks.write_commit(commit)
         except OSError as error:
-            self.hands.audit(commit.user, session, commit.what, f"not written: {error}")
+            self.callbacks.audit(commit.user, session, commit.kind, f"not written: {error}")
             raise RpcError("operation-failed", f"the commit could not be written: {error}") from None
-        self.stores.done(session, commit)
+        self.datastores.committed(session, commit)
         if commit.tree != before:
-            self.hands.act(commit.tree, plan)
-        self.hands.audit(commit.user, session, f"{commit.what} {commit.number}", "done")
-        values = {"user": commit.user, "number": commit.number, "what": commit.what}
-        self.tell("configuration-changed", values)
+            self.callbacks.apply(commit.tree, plan)
+        self.callbacks.audit(commit.user, session, f"{commit.kind} {commit.number}", "done")
+        values = {"user": commit.user, "number": commit.number, "what": commit.kind}
+        self.notify("configuration-changed", values)
         return commit
 
     # Events
 
-    def tell(self, name: str, values: dict[str, Any]) -> None:
-        event = Notification(self.hands.wall(), name, values)
+    def notify(self, name: str, values: dict[str, Any]) -> None:
+        event = Notification(self.callbacks.wall_time(), name, values)
         self.events.append(event)
         for listener in list(self.listeners.values()):
             listener(event)
--- a/onyxhead/controller/configuration_service.py
+++ b/onyxhead/controller/configuration_service.py
@@ -41,11 +41,11 @@
     access = Access(netconf.users if netconf else {}, netconf.rules if netconf else ())
     hands = ConfigurationCallbacks(
         facts=daemon.facts,
-        write=lambda commit: store.committed(*commit),
-        save=lambda tree: store.keep(STARTUP, tree),
-        act=lambda tree, plan: act(daemon, tree, plan),
+        write_commit=lambda commit: store.committed(*commit),
+        save_startup=lambda tree: store.keep(STARTUP, tree),
+        apply=lambda tree, plan: act(daemon, tree, plan),
         state=lambda: state(daemon),
-        wall=time.time,
+        wall_time=time.time,
         audit=lambda user, session, what, result: _audit(daemon, user, session, what, result),
     )
     return ConfigurationService(stores, access, hands)
@@ -74,7 +74,7 @@
 
 
 def state(daemon: ControllerServer) -> Tree:
-    known = daemon.house.state(daemon.clock.now())
+    known = daemon.core.state(daemon.clock.now())
     proxies = [
         {"name": name, "zone": own["zone"], "bound": own["bound"], "turn": own["turn"]}
         for name, own in sorted(known["proxies"].items())
--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -44,9 +44,9 @@
 
     name: str
     zone: str
-    usual: float
-    standing: bool
-    held: View
+    baseline_rate: float
+    has_standing_table: bool
+    view: View
 
 
 class Disconnect(NamedTuple):
@@ -54,13 +54,13 @@
 
     proxy: int
     name: str
-    why: str
+    reason: str
 
 
 class RoundResult(NamedTuple):
     """One pull of the module that sent something: its turn, what it decided, and what had been heard before."""
 
-    turn: int
+    round_number: int
     decisions: list[Decision]
     causes: list[str]
 
@@ -69,18 +69,18 @@
 class Effects:
     """What there is to carry out."""
 
-    steps: list[RoundResult] = field(default_factory=list)
-    leaving: list[QueuedMessage[Message]] = field(default_factory=list)
-    probes: list[tuple[str, str]] = field(default_factory=list)
-    cuts: list[Disconnect] = field(default_factory=list)
-    remarks: list[str] = field(default_factory=list)
+    rounds: list[RoundResult] = field(default_factory=list)
+    deliveries: list[QueuedMessage[Message]] = field(default_factory=list)
+    health_checks: list[tuple[str, str]] = field(default_factory=list)
+    disconnects: list[Disconnect] = field(default_factory=list)
+    log_messages: list[str] = field(default_factory=list)
     subscribe: bool = False
 
 
 class JoinedProxy(NamedTuple):
     name: str
     zone: int
-    since: int
+    joined_at: int
 
 
 class ControllerCore:
@@ -98,65 +98,69 @@
         numbers: dict[str, int] | None = None,
         history: History | None = None,
     ) -> None:
-        self.start, self.groups, self.zones, self.epoch = start, groups, zones, epoch
-        self.brain = BalancingPolicy(start, seed, now)
-        self.books = Books(groups, start.admission_mode, start.channel.message_overhead)
-        self.channel: DeliveryQueue[Message] = DeliveryQueue(start.channel, patience)
-        self.door, self.gate, self.gathered = JoinBackoff(), DuplicateFilter(), StatisticsAggregator()
+        self.deployment, self.groups, self.zones, self.epoch = start, groups, zones, epoch
+        self.policy = BalancingPolicy(start, seed, now)
+        self.proxy_tables = Books(groups, start.admission_mode, start.channel.message_overhead)
+        self.delivery_queue: DeliveryQueue[Message] = DeliveryQueue(start.channel, patience)
+        self.join_backoff, self.duplicate_filter, self.statistics = (
+            JoinBackoff(),
+            DuplicateFilter(),
+            StatisticsAggregator(),
+        )
         self.numbers = dict(numbers or {})
         self.joined: dict[int, JoinedProxy] = {}
         self.applied: dict[int, tuple[int, str]] = {}
-        self.by_address: dict[str, str] = {}
-        self.listed: dict[str, Endpoint] = {}
+        self.backend_by_address: dict[str, str] = {}
+        self.endpoints: dict[str, Endpoint] = {}
         self.causes: list[str] = []
-        self.work = Effects()
-        self.wake_at = self.tell_at = now
+        self.effects = Effects()
+        self.wake_at = self.report_at = now
         self.counts: Counter[str] = Counter()
         self.history = history or History()
-        self.fresh_versions: list[tuple[Version, dict[Key, int]]] = []
+        self.new_versions: list[tuple[Version, dict[Key, int]]] = []
         self.last_sent: dict[Key, int] = {}
         self.unsettled, self.at, self.seen_revision = False, now, 0
         # Proxies of earlier lives hold other tables; a version begins from what this life has sent.
         if self.history.last.lines:
             gone = dict.fromkeys(self.history.last.lines, 0)
             if (version := self.history.append(epoch, now, "restart", gone)) is not None:
-                self.fresh_versions.append((version, gone))
+                self.new_versions.append((version, gone))
         self.pin: Pin | None = None
         self.canary: Canary | None = None
-        self.picture = Picture()
+        self.load_estimator = Picture()
         self.group_numbers = {name: place for place, name in enumerate(groups)}
 
     # What is heard
 
-    def list_heard(self, now: int, news: EndpointUpdate) -> None:
-        for backend, place in news.places.items():
-            known = self.books.places.get(backend)
+    def on_endpoint_update(self, now: int, news: EndpointUpdate) -> None:
+        for backend, place in news.addresses.items():
+            known = self.proxy_tables.places.get(backend)
             # Lines name the address they were sent with: another one is another process, to be let in anew.
-            if known is not None and known.address != place.address and backend in self.listed:
-                gone = self.listed[backend]._replace(ready=False, draining=False)
-                self.brain.on_endpoint_update(now, WatchEvent.DELTA, [gone])
-                self._cause(f"backend {backend} moved from {known.address} to {place.address}")
-                self._decide(now)
-            self.books.places[backend] = place
-            self.by_address[place.address] = backend
-        self.listed |= {entry.backend: entry for entry in news.listed}
-        serving = [entry for entry in self.listed.values() if entry.ready or entry.draining]
-        self.picture.listed({entry.backend: str(entry.kind) for entry in serving})
-        self.brain.on_endpoint_update(now, news.kind, news.listed)
-        self._cause(f"list: {len(news.listed)} {'entries' if news.kind is WatchEvent.SNAPSHOT else 'changes'}")
-
-    def list_refused(self, now: int) -> None:
-        self.brain.on_endpoint_update(now, WatchEvent.REJECTED, [])
-        self._cause("discovery refused")
-
-    def withdrawn_before(self, now: int, backends: Iterable[str]) -> None:
+            if known is not None and known.address != place.address and backend in self.endpoints:
+                gone = self.endpoints[backend]._replace(ready=False, draining=False)
+                self.policy.on_endpoint_update(now, WatchEvent.DELTA, [gone])
+                self._add_cause(f"backend {backend} moved from {known.address} to {place.address}")
+                self._take_decisions(now)
+            self.proxy_tables.places[backend] = place
+            self.backend_by_address[place.address] = backend
+        self.endpoints |= {entry.backend: entry for entry in news.endpoints}
+        serving = [entry for entry in self.endpoints.values() if entry.ready or entry.draining]
+        self.load_estimator.listed({entry.backend: str(entry.kind) for entry in serving})
+        self.policy.on_endpoint_update(now, news.event, news.endpoints)
+        self._add_cause(f"list: {len(news.endpoints)} {'entries' if news.event is WatchEvent.SNAPSHOT else 'changes'}")
+
+    def on_subscription_rejected(self, now: int) -> None:
+        self.policy.on_endpoint_update(now, WatchEvent.REJECTED, [])
+        self._add_cause("discovery refused")
+
+    def restore_withdrawals(self, now: int, backends: Iterable[str]) -> None:
         """Backends that an earlier life had withdrawn and the list no longer names: proxies may still hold them."""
-        gone = [Endpoint(b, 0, 0, False, False, 1.0, 0) for b in backends if b not in self.listed]
+        gone = [Endpoint(b, 0, 0, False, False, 1.0, 0) for b in backends if b not in self.endpoints]
         if gone:
-            self.listed |= {entry.backend: entry for entry in gone}
-            self.brain.on_endpoint_update(now, WatchEvent.DELTA, gone)
+            self.endpoints |= {entry.backend: entry for entry in gone}
+            self.policy.on_endpoint_update(now, WatchEvent.DELTA, gone)
 
-    def number(self, name: str) -> int:
+    def proxy_number(self, name: str) -> int:
         """The proxy's number. Raises OverflowError when there are none left."""
         if name not in self.numbers:
             free = max(self.numbers.values(), default=-1) + 1
@@ -165,228 +169,230 @@
             self.numbers[name] = free
         return self.numbers[name]
 
-    def joins(self, now: int, who: JoinRequest) -> int:
+    def on_proxy_joined(self, now: int, who: JoinRequest) -> int:
         """The proxy's stream stands; an earlier one of the same name is over. Returns its number."""
-        number = self.number(who.name)
+        number = self.proxy_number(who.name)
         if number in self.joined:
-            self.left(now, number)
-        self.work.cuts = [cut for cut in self.work.cuts if cut.proxy != number]
+            self.on_proxy_left(now, number)
+        self.effects.disconnects = [cut for cut in self.effects.disconnects if cut.proxy != number]
         zone = self.zones.index(who.zone)
         self.joined[number] = JoinedProxy(who.name, zone, now)
-        self.channel.join(number)
-        self.books.join(number, who.held)
-        self.brain.on_proxy_joined(now, number, zone, who.usual, who.standing)
+        self.delivery_queue.add_proxy(number)
+        self.proxy_tables.join(number, who.view)
+        self.policy.on_proxy_joined(now, number, zone, who.baseline_rate, who.has_standing_table)
         self.counts["joins"] += 1
-        self._cause(f"{who.name} joined")
+        self._add_cause(f"{who.name} joined")
         return number
 
-    def left(self, now: int, proxy: int, why: str = "") -> None:
+    def on_proxy_left(self, now: int, proxy: int, why: str = "") -> None:
         """The proxy's stream is over; what waits for it is lost."""
         if (known := self.joined.pop(proxy, None)) is None:
             return
-        self.channel.leave(proxy)
-        self.books.leave(proxy)
+        self.delivery_queue.remove_proxy(proxy)
+        self.proxy_tables.leave(proxy)
         self.applied.pop(proxy, None)
-        self.brain.on_proxy_left(now, proxy)
+        self.policy.on_proxy_left(now, proxy)
         self.counts["breaks"] += 1
-        self.picture.left(known.name)
-        self._cause(f"{known.name} left{': ' + why if why else ''}")
+        self.load_estimator.left(known.name)
+        self._add_cause(f"{known.name} left{': ' + why if why else ''}")
 
-    def answered(self, now: int, proxy: int, message: Message, tag: str, ordered: int) -> None:
+    def on_acknowledgement(self, now: int, proxy: int, message: Message, tag: str, ordered: int) -> None:
         """The proxy says that it applied a message and holds the view with this tag."""
         if proxy not in self.joined:
             return
         if tag != message.result.tag:
-            self.fault(now, proxy, "it holds another view than it was sent")
+            self.on_stream_fault(now, proxy, "it holds another view than it was sent")
             return
         if not message.turn:
             return
         self.applied[proxy] = (message.turn, tag)
-        self.brain.on_acknowledgement(now, proxy, message.turn, now - ordered)
-        self._cause(f"{self.joined[proxy].name} applied {message.turn}")
+        self.policy.on_acknowledgement(now, proxy, message.turn, now - ordered)
+        self._add_cause(f"{self.joined[proxy].name} applied {message.turn}")
 
-    def fault(self, now: int, proxy: int, why: str) -> None:
+    def on_stream_fault(self, now: int, proxy: int, why: str) -> None:
         """The proxy's side broke what was agreed; its stream is given up, and its next join may have to wait."""
         if (known := self.joined.get(proxy)) is None:
             return
-        self.door.fault(now, known.name)
+        self.join_backoff.on_stream_fault(now, known.name)
         self.counts["faults"] += 1
-        self._cut(now, proxy, why)
+        self._disconnect(now, proxy, why)
 
-    def summed(self, now: int, name: str, boot: str, number: int, report: RequestStatistics) -> bool:
+    def on_request_statistics(self, now: int, name: str, boot: str, number: int, report: RequestStatistics) -> bool:
         """One proxy's sums; False if they were heard before or the proxy is not joined here."""
         proxy = self.numbers.get(name)
         if proxy is None or proxy not in self.joined:
             self.counts["sums of strangers"] += 1
             return False
-        if not self.gate.fresh(name, boot, number):
+        if not self.duplicate_filter.is_new(name, boot, number):
             self.counts["sums repeated"] += 1
             return False
         zone = self.joined[proxy].zone
-        self.gathered.add(zone, proxy, report, self.by_address, self.group_numbers)
+        self.statistics.add(zone, proxy, report, self.backend_by_address, self.group_numbers)
         # What was counted before the trial's lines were in force says nothing about them.
-        if self.canary is not None and now - self.canary.since > 2 * self.start.report_interval:
-            met = report.met.values()
-            self.canary.count(name, sum(each.tries for each in met), sum(each.bad for each in met))
+        if self.canary is not None and now - self.canary.since > 2 * self.deployment.report_interval:
+            met = report.backends.values()
+            self.canary.count(name, sum(each.attempts for each in met), sum(each.failures for each in met))
         return True
 
-    def probed(self, now: int, backend: str, sight: HealthCheckResult, load: LoadReport) -> None:
-        self.brain.on_health_check(now, backend, sight, load)
+    def on_health_check(self, now: int, backend: str, sight: HealthCheckResult, load: LoadReport) -> None:
+        self.policy.on_health_check(now, backend, sight, load)
 
-    def shared(self, now: int, budget: Budget) -> list[Loan]:
+    def update_budget_shares(self, now: int, budget: Budget) -> list[Loan]:
         """Rule 4's budget among controllers: tells it what is cold here, lends, and tells the module its shares. Raises
         what `budget.keep` does; the module's shares are then as they were."""
-        found = self.brain.warming_backends(now)
+        found = self.policy.warming_backends(now)
         budget.strained({Life(name, started): Strain(usual, asked) for name, started, usual, asked in found})
         made = budget.lend()
         for name, started, _, _ in found:
-            self.brain.on_budget_share(now, name, budget.share(Life(name, started)))
+            self.policy.on_budget_share(now, name, budget.share(Life(name, started)))
         return made
 
     # What is decided
 
-    def act(self, now: int) -> Effects:
+    def decide(self, now: int) -> Effects:
         """One step: sums that are due are told, the module decides, messages whose time has come leave."""
-        if now >= self.tell_at:
-            self.tell_at = now + self.start.report_interval
-            met, flows = self.gathered.tell()
+        if now >= self.report_at:
+            self.report_at = now + self.deployment.report_interval
+            met, flows = self.statistics.drain()
             for zone, backend, own, load in met:
-                mean = round(own.time / (own.tries - own.bad)) if own.tries > own.bad else 0
-                span = own.span or self.start.report_interval
-                self.picture.met(now, backend, own.tries, own.bad, mean / 10, span, span // 2)
+                mean = round(own.latency_sum / (own.attempts - own.failures)) if own.attempts > own.failures else 0
+                span = own.window or self.deployment.report_interval
+                self.load_estimator.met(now, backend, own.attempts, own.failures, mean / 10, span, span // 2)
                 # A word that agrees with what proxies met, and is young, tells more than the last answer's header.
-                if (busy := self.picture.busy(now, backend)) is not None:
+                if (busy := self.load_estimator.busy(now, backend)) is not None:
                     load = load._replace(utilization=busy)
-                if (latency := self.picture.latency(now, backend)) is not None:
+                if (latency := self.load_estimator.latency(now, backend)) is not None:
                     load = load._replace(latency=latency)
-                self.brain.on_attempt_statistics(now, backend, zone, own.tries, own.bad, mean, span, load)
+                self.policy.on_attempt_statistics(now, backend, zone, own.attempts, own.failures, mean, span, load)
             for proxy, group, came, span in flows:
                 if span > 0 and proxy in self.joined:
-                    self.picture.came(now, self.joined[proxy].name, self.groups[group], came * 10_000 / span)
-                self.brain.on_request_rate(now, proxy, group, came, span)
-        self._decide(now)
+                    self.load_estimator.came(now, self.joined[proxy].name, self.groups[group], came * 10_000 / span)
+                self.policy.on_request_rate(now, proxy, group, came, span)
+        self._take_decisions(now)
         if self.pin is not None and now >= self.pin.until:
             self.release(now, "its time is over")
         self._settle(now)
-        for proxy in self.channel.stuck(now):
-            self.fault(now, proxy, "it takes nothing")
-        self.work.leaving = self.channel.leave_now(now)
-        work, self.work = self.work, Effects()
+        for proxy in self.delivery_queue.stalled_proxies(now):
+            self.on_stream_fault(now, proxy, "it takes nothing")
+        self.effects.deliveries = self.delivery_queue.release_due(now)
+        work, self.effects = self.effects, Effects()
         return work
 
-    def next_at(self) -> int:
+    def next_decision_at(self) -> int:
         """When to act again if nothing is heard before."""
-        at = self.channel.next_at()
-        return min(self.wake_at, self.tell_at, at if at is not None else self.wake_at)
+        at = self.delivery_queue.next_event_at()
+        return min(self.wake_at, self.report_at, at if at is not None else self.wake_at)
 
-    def _decide(self, now: int) -> None:
-        decisions, turn, work = list(self.brain.decisions(now)), 0, self.work
+    def _take_decisions(self, now: int) -> None:
+        decisions, turn, work = list(self.policy.decisions(now)), 0, self.effects
         for decision in decisions:
             match decision:
                 case AcknowledgementRequest(marked, _):
                     turn = marked
-                case HealthCheckRequest(backend) if backend in self.books.places:
-                    work.probes.append((backend, self.books.places[backend].address))
+                case HealthCheckRequest(backend) if backend in self.proxy_tables.places:
+                    work.health_checks.append((backend, self.proxy_tables.places[backend].address))
                 case WakeUp(after):
                     self.wake_at = now + after
                 case SubscribeToEndpoints():
                     work.subscribe = True
                 case LogMessage(text):
-                    work.remarks.append(text)
+                    work.log_messages.append(text)
         # Also with no one to tell: lines decided while no proxy is joined are what the first to join must get.
         reached = set()
-        for message in self.books.messages(turn, decisions):
+        for message in self.proxy_tables.messages(turn, decisions):
             reached.add(message.proxy)
-            self._send(now, message)
+            self._enqueue(now, message)
         # While tables are held some get no message; the module must not wait for answers that can't come.
-        for proxy in [proxy for proxy in self.brain.spent if turn and proxy not in reached]:
-            self.brain.on_acknowledgement(now, proxy, turn, 0)
-        self._remember(now, ", ".join(self.causes) or "time")
+        for proxy in [proxy for proxy in self.policy.spent if turn and proxy not in reached]:
+            self.policy.on_acknowledgement(now, proxy, turn, 0)
+        self._record_version(now, ", ".join(self.causes) or "time")
         if turn:
-            work.steps.append(RoundResult(turn, decisions, self.causes))
+            work.rounds.append(RoundResult(turn, decisions, self.causes))
             self.causes = []
 
     # Versions, and the way back
 
-    def _remember(self, now: int, cause: str) -> None:
-        if self.books.revision == self.seen_revision:
+    def _record_version(self, now: int, cause: str) -> None:
+        if self.proxy_tables.revision == self.seen_revision:
             return
-        self.seen_revision, sent = self.books.revision, self.books.sent()
+        self.seen_revision, sent = self.proxy_tables.revision, self.proxy_tables.sent()
         keys = {*sent, *self.last_sent}
         changes = {key: sent.get(key, 0) for key in keys if sent.get(key, 0) != self.last_sent.get(key, 0)}
         self.last_sent = sent
         if (version := self.history.append(self.epoch, now, cause, changes)) is not None:
-            self.fresh_versions.append((version, changes))
+            self.new_versions.append((version, changes))
 
-    def truth(self, now: int) -> Truth:
+    def current_endpoints(self, now: int) -> Truth:
         """Backends that are ready, and since when each is warm."""
-        cold = self.start.safety.warmup_time
+        cold = self.deployment.safety.warmup_time
         found: dict[str, int | None] = {}
-        for name, entry in self.listed.items():
+        for name, entry in self.endpoints.items():
             if entry.ready:
                 warm = entry.started_at + cold if entry.started_at else 0
                 found[name] = (entry.started_at if warm <= now else None) if entry.started_at else 0
         return Truth(found)
 
-    def preview(self, now: int, name: str) -> tuple[Back, float]:
+    def preview_rollback(self, now: int, name: str) -> tuple[Back, float]:
         """What going back would do, and the seconds that the channel takes. Raises Refused, Unknown."""
-        back = plan(self.history.find(name), self.books.wanted, self.books.sent(), self.truth(now))
-        users = max((len(users) for users in self.books.users.values()), default=0)
-        return back, users * (back.changes + self.books.head + 1) / self.start.channel.lines_per_second
+        back = plan(
+            self.history.find(name), self.proxy_tables.wanted, self.proxy_tables.sent(), self.current_endpoints(now)
+        )
+        users = max((len(users) for users in self.proxy_tables.users.values()), default=0)
+        return back, users * (back.changes + self.proxy_tables.head + 1) / self.deployment.channel.lines_per_second
 
     def roll_back(self, now: int, name: str, seconds: float) -> tuple[Back, float]:
         """Holds the tables as in a version for so long; returns what `preview` does. Withdrawals and levels go on.
         Raises Refused, Unknown."""
-        back, took = self.preview(now, name)
-        self._pin(Pin(self.history.find(name), now + round(seconds * 10_000)))
-        self._cause(f"rolled back to version {back.version}")
+        back, took = self.preview_rollback(now, name)
+        self._set_pin(Pin(self.history.find(name), now + round(seconds * 10_000)))
+        self._add_cause(f"rolled back to version {back.version}")
         return back, took
 
     def freeze(self, now: int, seconds: float) -> int:
         """Holds the tables as they are now, for so long. Returns the version that they are in."""
         version = self.history.last._replace(at=now)
-        self._pin(Pin(version, now + round(seconds * 10_000)))
-        self._cause(f"held as in version {version.number}")
+        self._set_pin(Pin(version, now + round(seconds * 10_000)))
+        self._add_cause(f"held as in version {version.number}")
         return version.number
 
-    def _pin(self, pin: Pin) -> None:
-        self.pin, self.books.main.hold, self.unsettled = pin, self._hold(pin), True
+    def _set_pin(self, pin: Pin) -> None:
+        self.pin, self.proxy_tables.main.hold, self.unsettled = pin, self._freeze_to(pin), True
 
-    def _hold(self, pin: Pin) -> Hold:
-        return lambda wanted: pin.target(wanted, self.truth(self.at))
+    def _freeze_to(self, pin: Pin) -> Hold:
+        return lambda wanted: pin.target(wanted, self.current_endpoints(self.at))
 
     def release(self, now: int, why: str) -> bool:
         """Follows the module again; its lines are sent as the channel has room. False if nothing was held."""
-        held, self.pin, self.books.main.hold = self.pin is not None, None, None
+        held, self.pin, self.proxy_tables.main.hold = self.pin is not None, None, None
         if held:
-            self._cause(f"released: {why}")
+            self._add_cause(f"released: {why}")
         return held
 
-    def try_version(self, now: int, name: str, share: float, seconds: float) -> tuple[Back, Canary]:
+    def start_canary(self, now: int, name: str, share: float, seconds: float) -> tuple[Back, Canary]:
         """Holds a share of the proxies as in a version; worse than the others, it is taken back, else it is held for
         all when the time is over. Raises Refused, Unknown."""
         if self.canary is not None:
             raise Refused(f"version {self.canary.version} is on trial already")
-        back, _ = self.preview(now, name)
-        bound = {known.name: number for number, known in self.joined.items() if self.books.bound(number)}
+        back, _ = self.preview_rollback(now, name)
+        bound = {known.name: number for number, known in self.joined.items() if self.proxy_tables.bound(number)}
         names = chosen(bound, share)
         if not names:
             raise Refused("a trial needs two proxies at least")
         pin = Pin(self.history.find(name), now + round(seconds * 10_000))
         self.canary = canary = Canary(back.version, frozenset(names), now, pin.until)
-        self.books.begin_trial(frozenset(bound[name] for name in names), self._hold(pin))
+        self.proxy_tables.begin_trial(frozenset(bound[name] for name in names), self._freeze_to(pin))
         self.unsettled = True
-        self._cause(f"version {back.version} is tried on {len(names)} of {len(bound)} proxies")
+        self._add_cause(f"version {back.version} is tried on {len(names)} of {len(bound)} proxies")
         return back, canary
 
-    def _judge_trial(self, now: int) -> None:
+    def _evaluate_canary(self, now: int) -> None:
         if (canary := self.canary) is None:
             return
         verdict = canary.verdict()
         if verdict is not Verdict.WORSE and now < canary.until:
             return
         self.canary = None
-        self.books.end_trial()
+        self.proxy_tables.end_trial()
         self.unsettled = True
         told = f"version {canary.version} on trial: {verdict.value}"
         told += f" ({canary.tried.bad}/{canary.tried.tries} failed, elsewhere {canary.rest.bad}/{canary.rest.tries})"
@@ -396,39 +402,39 @@
                 told += "; held for all"
             except (Refused, Unknown) as error:
                 told += f"; not held for all: {error}"
-        self.work.remarks.append(told)
-        self._cause(told)
+        self.effects.log_messages.append(told)
+        self._add_cause(told)
 
     def _settle(self, now: int) -> None:
         self.at = now
-        self._judge_trial(now)
+        self._evaluate_canary(now)
         if self.pin is None and self.canary is None and not self.unsettled:
             return
-        room = SETTLE_SHARE * self.channel.limits.max_queued_lines - self.channel.waiting
-        for message in self.books.settle(room):
-            self._send(now, message)
-        left = self.books.unsettled()
-        if self.canary is None and not any(own is self.books.trial for own, _, _ in left):
+        room = SETTLE_SHARE * self.delivery_queue.limits.max_queued_lines - self.delivery_queue.queued_lines
+        for message in self.proxy_tables.settle(room):
+            self._enqueue(now, message)
+        left = self.proxy_tables.unsettled()
+        if self.canary is None and not any(own is self.proxy_tables.trial for own, _, _ in left):
             # Those that were on trial hold what all others hold, and are like all others again.
-            self.books.apart = frozenset()
-        self.unsettled = self.pin is not None or bool(left) or bool(self.books.apart)
-        self._remember(now, "held tables" if self.pin is not None else "released tables")
+            self.proxy_tables.apart = frozenset()
+        self.unsettled = self.pin is not None or bool(left) or bool(self.proxy_tables.apart)
+        self._record_version(now, "held tables" if self.pin is not None else "released tables")
 
-    def _send(self, now: int, message: Message) -> None:
+    def _enqueue(self, now: int, message: Message) -> None:
         if message.proxy not in self.joined:
             return
         try:
-            self.channel.offer(now, message.proxy, message, message.lines)
+            self.delivery_queue.enqueue(now, message.proxy, message, message.lines)
         except QueueFullError as error:
             # The module takes what it ordered as sent. Only a new join makes it think about this proxy anew.
             self.counts["refused by the limit"] += 1
-            self._cut(now, message.proxy, f"the channel's limit: {error}")
+            self._disconnect(now, message.proxy, f"the channel's limit: {error}")
 
-    def _cut(self, now: int, proxy: int, why: str) -> None:
-        self.work.cuts.append(Disconnect(proxy, self.joined[proxy].name, why))
-        self.left(now, proxy, why)
+    def _disconnect(self, now: int, proxy: int, why: str) -> None:
+        self.effects.disconnects.append(Disconnect(proxy, self.joined[proxy].name, why))
+        self.on_proxy_left(now, proxy, why)
 
-    def _cause(self, text: str) -> None:
+    def _add_cause(self, text: str) -> None:
         if len(self.causes) < CAUSES:
             self.causes.append(text)
 
@@ -436,24 +442,24 @@
 
     def state(self, now: int) -> dict[str, Any]:
         """All that is known, in plain values."""
-        up = {e.backend: e for e in self.listed.values()}
+        up = {e.backend: e for e in self.endpoints.values()}
         return {
             "epoch": self.epoch,
             "now": now,
             "channel": {
-                "waiting": round(self.channel.waiting, 1),
-                "most": self.channel.limits.max_queued_lines,
-                "peak": round(self.channel.peak, 1),
+                "waiting": round(self.delivery_queue.queued_lines, 1),
+                "most": self.delivery_queue.limits.max_queued_lines,
+                "peak": round(self.delivery_queue.peak_queued_lines, 1),
             },
             "version": self.history.last.number,
             "trial": self.canary.version if self.canary is not None else None,
             "held": self.pin.version.number if self.pin is not None else None,
-            "counts": dict(sorted(self.counts.items())) | {"tries at unknown": self.gathered.unknown},
+            "counts": dict(sorted(self.counts.items())) | {"tries at unknown": self.statistics.unknown_attempts},
             "proxies": {
                 known.name: {
                     "zone": self.zones[known.zone],
-                    "joined_for_s": round((now - known.since) / 10_000, 1),
-                    "bound": bool(self.books.bound(number)),
+                    "joined_for_s": round((now - known.joined_at) / 10_000, 1),
+                    "bound": bool(self.proxy_tables.bound(number)),
                     "turn": self.applied.get(number, (0, ""))[0],
                     "tag": self.applied.get(number, (0, ""))[1],
                 }
@@ -465,9 +471,11 @@
                     "zone": place.zone,
                     "ready": name in up and up[name].ready,
                     "draining": name in up and up[name].draining,
-                    "withdrawn": name in self.books.withdrawn,
-                    "lines": {str(table): lines[name] for table, lines in self.books.tables.items() if name in lines},
+                    "withdrawn": name in self.proxy_tables.withdrawn,
+                    "lines": {
+                        str(table): lines[name] for table, lines in self.proxy_tables.tables.items() if name in lines
+                    },
                 }
-                for name, place in sorted(self.books.places.items())
+                for name, place in sorted(self.proxy_tables.places.items())
             },
         }
--- a/onyxhead/controller/endpoint_list.py
+++ b/onyxhead/controller/endpoint_list.py
@@ -38,7 +38,7 @@
     version: int
     entries: tuple[EndpointEntry, ...]
 
-    def body(self) -> bytes:
+    def encode(self) -> bytes:
         backends = [entry._asdict() for entry in self.entries]
         return json.dumps({"version": self.version, "backends": backends}).encode()
 
@@ -90,28 +90,28 @@
 class EndpointUpdate(NamedTuple):
     """What a list changes: entries for the module, places for the books, and what an operator should read."""
 
-    kind: WatchEvent
-    listed: list[Endpoint]
-    places: dict[str, Place]
-    notes: list[str]
+    event: WatchEvent
+    endpoints: list[Endpoint]
+    addresses: dict[str, Place]
+    warnings: list[str]
 
 
 class EndpointListFollower:
     """Keeps the last good list of one source, and what it dropped of late."""
 
     def __init__(self, zones: tuple[str, ...], of_wall: Callable[[float], int], now: Callable[[], int]) -> None:
-        self.zones, self.of_wall, self.now = zones, of_wall, now
+        self.zones, self.from_wall_time, self.now = zones, of_wall, now
         self.last: EndpointList | None = None
         self.kinds: dict[str, int] = {}
 
-    def remember(self, roster: EndpointList) -> EndpointUpdate:
+    def restore(self, roster: EndpointList) -> EndpointUpdate:
         """The last list from disk, at a start."""
         self.last = roster
-        listed, notes = self._listed(roster.entries)
+        listed, notes = self._endpoints(roster.entries)
         return EndpointUpdate(WatchEvent.CACHED, listed, _places(roster.entries), notes)
 
-    def follow(self, roster: EndpointList) -> EndpointUpdate | None:
-        """A list just read; None if it says nothing new. Raises InvalidEndpointListError for one older than what is known."""
+    def update(self, roster: EndpointList) -> EndpointUpdate | None:
+        """The change that a new list makes; None if there is none. Raises InvalidEndpointListError for an older version."""
         if self.last is not None and roster.version < self.last.version:
             raise InvalidEndpointListError(f"version {roster.version} is older than {self.last.version}")
         if self.last is not None and not roster.entries and self.last.entries:
@@ -124,23 +124,23 @@
         gone = [before[name] for name in before.keys() - {entry.id for entry in roster.entries}]
         first, self.last = self.last is None, roster
         fresh = set() if first else {e.id for e in changed if _new(before.get(e.id), e)}
-        listed, notes = self._listed(roster.entries if first else changed)
+        listed, notes = self._endpoints(roster.entries if first else changed)
         # With no start told, one that was not there before has most likely just started, and bears little.
         listed = [e._replace(started_at=self.now()) if e.backend in fresh else e for e in listed]
-        left, more = self._listed(sorted(gone))
+        left, more = self._endpoints(sorted(gone))
         listed += [entry._replace(ready=False, draining=False) for entry in left]
         return EndpointUpdate(
             WatchEvent.SNAPSHOT if first else WatchEvent.DELTA, listed, _places(roster.entries), notes + more
         )
 
-    def _listed(self, entries: tuple[EndpointEntry, ...] | list[EndpointEntry]) -> tuple[list[Endpoint], list[str]]:
+    def _endpoints(self, entries: tuple[EndpointEntry, ...] | list[EndpointEntry]) -> tuple[list[Endpoint], list[str]]:
         listed, notes = [], []
         for entry in entries:
             if entry.zone not in self.zones:
                 notes.append(f"backend {entry.id}: zone {entry.zone!r} is not in the settings; left out")
                 continue
             kind = self.kinds.setdefault(entry.kind, len(self.kinds))
-            started = self.of_wall(entry.started) if entry.started else 0
+            started = self.from_wall_time(entry.started) if entry.started else 0
             zone, ready = self.zones.index(entry.zone), entry.state == "ready"
             listed.append(Endpoint(entry.id, zone, kind, ready, not ready, entry.weight, started))
         return listed, notes
--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -43,15 +43,15 @@
         )  # fmt: skip
         members = {name: Member(name, each.zone, each.pace) for name, each in settings.members.items()}
         self.coalition = Coalition(membership, members, now, settings.settle)
-        self.odd: set[str] = set()
+        self.logged_errors: set[str] = set()
         # A disk that knows of an earlier life would know its loans; an empty one proves nothing.
-        kept = daemon.store.kept(LOANS) or ([] if daemon.house.epoch > 1 else None)
+        kept = daemon.store.kept(LOANS) or ([] if daemon.core.epoch > 1 else None)
         self.budget = loans.Budget(daemon.settings.name, now, kept, lambda made: daemon.store.keep(LOANS, made))
         self.lend_at = now
         for name, each in (daemon.store.kept(KEPT) or {}).items():
-            self._put(name, each, now)
+            self._set_member(name, each, now)
 
-    def _put(self, name: str, given: dict[str, Any] | None, now: int) -> None:
+    def _set_member(self, name: str, given: dict[str, Any] | None, now: int) -> None:
         """Adds, changes or (with None) removes a member. Raises ValueError, KeyError, Malformed for what is none."""
         coalition, members = self.coalition, self.settings.members
         if given is None:
@@ -67,12 +67,12 @@
         coalition.members[name] = Member(name, fellow.zone, fellow.pace)
         coalition.membership.add(name, now)
 
-    def own(self) -> dict[str, str]:
-        house = self.daemon.house
+    def joined_zones(self) -> dict[str, str]:
+        house = self.daemon.core
         return {known.name: house.zones[known.zone] for known in house.joined.values()}
 
-    def better(self, proxy: str, zone: str) -> str | None:
-        return self.coalition.better(proxy, zone, self.own(), self.daemon.clock.now())
+    def better_owner(self, proxy: str, zone: str) -> str | None:
+        return self.coalition.better(proxy, zone, self.joined_zones(), self.daemon.clock.now())
 
     # Carrying
 
@@ -87,7 +87,9 @@
                 for name in [name for name in self.budget.lacks if name not in self.coalition.seen]:
                     self.budget.gone(name)
             self._share(now)
-            if (move := self.coalition.move(self.own(), now, round(2 * self.daemon.join_time() * TENTHS))) is not None:
+            if (
+                move := self.coalition.move(self.joined_zones(), now, round(2 * self.daemon.join_time() * TENTHS))
+            ) is not None:
                 proxy, to = move
                 log.info("handed over", proxy=proxy, to=to)
                 self.daemon.end_stream(proxy, f"handed over to {to}")
@@ -98,7 +100,7 @@
             return
         self.lend_at = now + LEND_EVERY
         try:
-            made = self.daemon.house.shared(now, self.budget)
+            made = self.daemon.core.update_budget_shares(now, self.budget)
         except Unusable as error:
             log.warning("nothing is lent", why=str(error))
             return
@@ -107,8 +109,8 @@
 
     def _renew(self, now: int) -> None:
         """What members kept withdrawn and no list names any more is kept withdrawn here too."""
-        grace = self.daemon.house.start.safety.drain_grace
-        self.daemon.house.withdrawn_before(now, sorted(self.coalition.withdrawn_elsewhere(now, 10 * grace)))
+        grace = self.daemon.core.deployment.safety.drain_grace
+        self.daemon.core.restore_withdrawals(now, sorted(self.coalition.withdrawn_elsewhere(now, 10 * grace)))
 
     async def _send(self, packet: Packet) -> None:
         member = self.settings.members.get(packet.to)
@@ -123,11 +125,11 @@
                 keys.client if keys is not None else None,
             )  # fmt: skip
             given = told.json()
-            self._take(given["packets"], given.get("news"), packet.to)
+            self._receive(given["packets"], given.get("news"), packet.to)
         except (OSError, Fault, TimeoutError, ValueError, KeyError, TypeError):
             return
 
-    def _take(self, packets: list[Any], news: Any, sender: str) -> list[Packet]:  # noqa: ANN401
+    def _receive(self, packets: list[Any], news: Any, sender: str) -> list[Packet]:  # noqa: ANN401
         now = self.daemon.clock.now()
         replies = []
         for each in packets:
@@ -141,15 +143,15 @@
                 self.budget.told(sender, loans.read(news["budget"]))
         return replies
 
-    def heard(self, request: Request) -> Response:
+    def handle_packet(self, request: Request) -> Response:
         """Another member's packet. The answer carries what goes back to it; the rest is sent."""
         try:
             given = request.json()
             sender = str(given["packet"]["sender"])
-            replies = self._take([given["packet"]], given.get("news"), sender)
+            replies = self._receive([given["packet"]], given.get("news"), sender)
         except Odd as error:
-            if str(error) not in self.odd and len(self.odd) < 100:
-                self.odd.add(str(error))
+            if str(error) not in self.logged_errors and len(self.logged_errors) < 100:
+                self.logged_errors.add(str(error))
                 log.warning("fleet", refused=str(error))
             return problem(422, str(error))
         except (ValueError, KeyError, TypeError) as error:
@@ -162,10 +164,10 @@
 
     def _news(self) -> dict[str, Any]:
         last = self.daemon.follower.last
-        house = self.daemon.house
+        house = self.daemon.core
         return {
-            "proxies": self.own(), "withdrawn": sorted(house.books.withdrawn), "list": last.version if last else 0,
-            "budget": self.budget.word().plain(),
+            "proxies": self.joined_zones(), "withdrawn": sorted(house.proxy_tables.withdrawn),
+            "list": last.version if last else 0, "budget": self.budget.word().plain(),
         }  # fmt: skip
 
     # What operators ask
@@ -175,19 +177,19 @@
         if what == "handover":
             coalition.membership.leave()
             log.info("fleet", said="leaving: all proxies are handed over")
-            return answer(200, {"proxies": len(self.own())})
+            return answer(200, {"proxies": len(self.joined_zones())})
         if what == "move":
             proxy, to = str(given.get("proxy")), str(given.get("to"))
             if to not in coalition.serving():
                 return problem(409, f"{to} is not known to serve now")
             coalition.pinned[proxy] = to
-            return answer(200, {"proxy": proxy, "to": to, "here": proxy in self.own()})
+            return answer(200, {"proxy": proxy, "to": to, "here": proxy in self.joined_zones()})
         if what == "members":
             name, each = str(given.get("name")), given.get("member")
             if name == coalition.own and each is None:
                 return problem(409, "a controller leaves by handover, not by removing itself")
             try:
-                self._put(name, each, now)
+                self._set_member(name, each, now)
             except (ValueError, KeyError, TypeError) as error:
                 return problem(422, f"not a member: {error}")
             # Over the settings, and on disk before it is answered.
@@ -200,6 +202,6 @@
             # A member that is gone serves nobody, whatever it said last; of the others the newest word counts.
             heard = sorted(coalition.news.items(), key=lambda item: -item[1].at)
             told: list[str | None] = [n for n, news in heard if n in coalition.seen and proxy in news.proxies]
-            found = coalition.own if proxy in self.own() else (told or [None])[0]
+            found = coalition.own if proxy in self.joined_zones() else (told or [None])[0]
             return answer(200, {"proxy": proxy, "served_by": found})
         return answer(200, coalition.state(now) | {"budget": self.budget.state()})
--- a/onyxhead/controller/ingest_worker.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -47,7 +47,7 @@
         self.decoder, self.budget, self.keys, self.clock = Decoder(seed), budget, keys, clock
         self.credit, self.at = 0.0, clock.now()
 
-    async def answer(self, request: Request, writer: asyncio.StreamWriter) -> Response:
+    async def handle_request(self, request: Request, writer: asyncio.StreamWriter) -> Response:
         parts = request.target.strip("/").split("/")
         if request.method != "POST" or parts[:2] != ["v1", "load"] or len(parts) != 3:
             return problem(404, "nothing here")
@@ -55,16 +55,16 @@
             peer = peer_of(writer.get_extra_info("peercert"))
             if peer != Peer("agent", parts[2]):
                 return problem(403, "this certificate may not report that")
-        return self.take(parts[2], request.body)
+        return self.accept(parts[2], request.body)
 
-    def take(self, sender: str, body: bytes) -> Response:
+    def accept(self, sender: str, body: bytes) -> Response:
         if len(body) > MOST_BODY:
             return problem(413, f"a body of over {MOST_BODY} bytes")
         if not self.decoder.offer(sender, body, self.clock.now()):
             return problem(503, "too many senders")
         return answer(202, {})
 
-    def beat(self) -> WorkerFrame:
+    def decode_slice(self) -> WorkerFrame:
         now = self.clock.now()
         # In bytes a second; a bite taken too large is paid back before the next one.
         self.credit = min(BITE * self.budget, self.credit + self.budget * (now - self.at) / 10_000)
@@ -83,7 +83,7 @@
         assert certificate and key and authorities
         keys = Keys(Tls(certificate, key, authorities, revoked, 1.0))
     taking = IngestWorker(given["seed"], given["budget"], keys, Clock(time.time, time.monotonic))
-    server = Server(taking.answer, MOST_BODY)
+    server = Server(taking.handle_request, MOST_BODY)
     host, port = given["listen"]
     await server.start(host, port, keys.server if keys else None)
     loop = asyncio.get_running_loop()
@@ -96,7 +96,7 @@
     looked = 0
     while not over.done():
         await asyncio.sleep(given["every"])
-        body = ENCODE.encode(taking.beat())
+        body = ENCODE.encode(taking.decode_slice())
         writer.write(HEAD.pack(len(body)) + body)
         await writer.drain()
         looked += 1
--- a/onyxhead/controller/join_backoff.py
+++ b/onyxhead/controller/join_backoff.py
@@ -16,12 +16,12 @@
     def __init__(self) -> None:
         self.faults: dict[str, tuple[int, int]] = {}
 
-    def fault(self, now: int, name: str) -> None:
+    def on_stream_fault(self, now: int, name: str) -> None:
         """The stream was given up for something that the proxy's side did."""
         count, last = self.faults.get(name, (0, now))
         self.faults[name] = (1 if now - last > FORGIVEN_AFTER else count + 1, now)
 
-    def wait(self, now: int, name: str) -> int:
+    def remaining(self, now: int, name: str) -> int:
         """How long the proxy must wait before it may join; 0 for now."""
         count, last = self.faults.get(name, (0, 0))
         if not count or now - last > FORGIVEN_AFTER + LONGEST_WAIT:
--- a/onyxhead/controller/load_report_ingest.py
+++ b/onyxhead/controller/load_report_ingest.py
@@ -36,66 +36,66 @@
 class LoadReportIngest:
     def __init__(self, daemon: ControllerServer, settings: Intake) -> None:
         self.daemon, self.settings = daemon, settings
-        self.taking = IngestWorker(daemon.settings.seed, settings.budget, None, daemon.clock)
+        self.worker = IngestWorker(daemon.settings.seed, settings.budget, None, daemon.clock)
         self.counts: Counter[str] = Counter()
-        self.shed: Counter[str] = Counter()
-        self.waiting: list[Sums] = []
-        self.courses = Courses(settings.series) if settings.series is not None else None
-        self.begun = self.ended = 0
+        self.shed_senders: Counter[str] = Counter()
+        self.pending: list[Sums] = []
+        self.series = Courses(settings.series) if settings.series is not None else None
+        self.workers_started = self.workers_ended = 0
 
-    def take(self, sender: str, body: bytes) -> Response:
-        return self.taking.take(sender, body)
+    def accept(self, sender: str, body: bytes) -> Response:
+        return self.worker.accept(sender, body)
 
     async def run(self) -> None:
         for number in range(self.settings.processes):
-            self.daemon.start(self._receiver(number))
+            self.daemon.start(self._supervise_worker(number))
         weighed = written = self.daemon.clock.now()
         while True:
             await asyncio.sleep(self.settings.every)
-            frame = self.taking.beat()
+            frame = self.worker.decode_slice()
             self._count(frame)
             # All that came since the last beat, from whomever, is one picture: none is judged on half of it.
-            sums, self.waiting = merged([*frame.sums, *self.waiting]), []
+            sums, self.pending = merged([*frame.sums, *self.pending]), []
             now = self.daemon.clock.now()
-            self.daemon.house.picture.absorb(now, sums)
+            self.daemon.core.load_estimator.absorb(now, sums)
             if now - weighed >= WEIGH * TENTHS:
                 weighed = now
-                self.daemon.house.picture.weigh(now)
-                for notice in self.daemon.house.picture.told_notices():
+                self.daemon.core.load_estimator.weigh(now)
+                for notice in self.daemon.core.load_estimator.told_notices():
                     log.info("changed", where=notice.where, what=notice.what, way=notice.way)
-            if self.courses is not None and now - written >= COURSE * TENTHS:
+            if self.series is not None and now - written >= COURSE * TENTHS:
                 written = now
-                await asyncio.to_thread(self.courses.write, time.time(), self._figures(now))
+                await asyncio.to_thread(self.series.write, time.time(), self._figures(now))
 
     def _count(self, frame: WorkerFrame) -> None:
         for name, count in frame.counts.items():
             if name.startswith(SHED):
-                self.shed[name.removeprefix(SHED)] += count
+                self.shed_senders[name.removeprefix(SHED)] += count
             else:
                 self.counts[name] += count
-        if len(self.shed) > 2 * MOST_SHED:
+        if len(self.shed_senders) > 2 * MOST_SHED:
             # Whoever sends under ever new names must not fill the memory with them.
-            self.shed = Counter(dict(self.shed.most_common(MOST_SHED)))
+            self.shed_senders = Counter(dict(self.shed_senders.most_common(MOST_SHED)))
 
     def _figures(self, now: int) -> dict[str, float]:
-        house, found = self.daemon.house, {}
-        for backend in house.picture.known:
-            figures = house.picture.figures(now, backend)
+        house, found = self.daemon.core, {}
+        for backend in house.load_estimator.known:
+            figures = house.load_estimator.figures(now, backend)
             if figures is None or figures.age > 2 * COURSE * TENTHS:
                 continue
             for name in ("rate", "busy", "queue", "loss", "p99"):
                 if (figure := getattr(figures, name)) is not None:
                     found[f"{name}.{backend}"] = figure.value
             found[f"trust.{backend}"] = figures.trust
-        for (proxy, group), trend in house.picture.demand.items():
+        for (proxy, group), trend in house.load_estimator.demand.items():
             if (level := trend.level.figure()) is not None and now - trend.at < 2 * COURSE * TENTHS:
                 found[f"flows.{proxy}/{group}"] = level.value
-        found["channel.waiting"] = house.channel.waiting
+        found["channel.waiting"] = house.delivery_queue.queued_lines
         return found
 
     # Receivers
 
-    async def _receiver(self, number: int) -> None:
+    async def _supervise_worker(self, number: int) -> None:
         """Keeps one receiver going; one that ends is started again, and what it had not told is lost, as reports may
         be."""
         settings, tls = self.settings, self.daemon.settings.tls
@@ -111,7 +111,7 @@
                 sys.executable, "-m", "onyxhead.controller.ingest_worker", json.dumps(given),
                 stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
             )  # fmt: skip
-            self.begun += 1
+            self.workers_started += 1
             log.info("receiver", number=number, pid=process.pid)
             try:
                 assert process.stdout is not None
@@ -119,9 +119,9 @@
                     (length,) = HEAD.unpack(await process.stdout.readexactly(HEAD.size))
                     frame = DECODE.decode(await process.stdout.readexactly(length))
                     self._count(frame)
-                    self.waiting += frame.sums
+                    self.pending += frame.sums
             except asyncio.IncompleteReadError:
-                self.ended += 1
+                self.workers_ended += 1
                 log.warning("a receiver ended", number=number, pid=process.pid)
                 await asyncio.sleep(AGAIN)
             finally:
@@ -132,21 +132,21 @@
 
     # What operators ask
 
-    def brief(self) -> dict[str, Any]:
+    def utilization(self) -> dict[str, Any]:
         """Busy shares only, for who asks often."""
-        picture = self.daemon.house.picture
+        picture = self.daemon.core.load_estimator
         figures = {name: picture.believed(name) for name in picture.known}
         found = {name: {"value": own.value, "error": own.error} for name, own in figures.items() if own is not None}
         return {"counts": dict(self.counts), "busy": found}
 
     def state(self) -> dict[str, Any]:
-        now, view = self.daemon.clock.now(), self.daemon.house.picture
+        now, view = self.daemon.clock.now(), self.daemon.core.load_estimator
         backends = {}
         for name in sorted(view.known):
             if (figures := view.figures(now, name)) is not None:
                 backends[name] = figures.plain()
         return {
-            "counts": dict(self.counts) | dict(view.counts), "shed_most": dict(self.shed.most_common(10)),
-            "receivers": self.begun - self.ended,
-            "series": self.courses.failing if self.courses is not None else None, "backends": backends,
+            "counts": dict(self.counts) | dict(view.counts), "shed_most": dict(self.shed_senders.most_common(10)),
+            "receivers": self.workers_started - self.workers_ended,
+            "series": self.series.failing if self.series is not None else None, "backends": backends,
         }  # fmt: skip
--- a/onyxhead/controller/request_statistics.py
+++ b/onyxhead/controller/request_statistics.py
@@ -25,27 +25,33 @@
 class BackendStatistics(NamedTuple):
     """What proxies met at one backend. `time` in tenths of a millisecond, over the good tries."""
 
-    tries: int = 0
-    bad: int = 0
-    time: float = 0.0
-    span: int = 0
-    busy: float | None = None
+    attempts: int = 0
+    failures: int = 0
+    latency_sum: float = 0.0
+    window: int = 0
+    utilization: float | None = None
 
     def plus(self, other: BackendStatistics) -> BackendStatistics:
-        busy = self.busy if other.busy is None else other.busy
-        span = max(self.span, other.span)
-        return BackendStatistics(self.tries + other.tries, self.bad + other.bad, self.time + other.time, span, busy)
+        busy = self.utilization if other.utilization is None else other.utilization
+        span = max(self.window, other.window)
+        return BackendStatistics(
+            self.attempts + other.attempts,
+            self.failures + other.failures,
+            self.latency_sum + other.latency_sum,
+            span,
+            busy,
+        )
 
 
 class RequestStatistics(NamedTuple):
     """One proxy's sums: by backend's address, and the flows of each traffic group with their span."""
 
-    met: dict[str, BackendStatistics]
-    flows: dict[str, tuple[int, int]]
+    backends: dict[str, BackendStatistics]
+    request_counts: dict[str, tuple[int, int]]
 
 
 def read(document: Any) -> RequestStatistics:  # noqa: ANN401
-    """The sums in a load report. Raises InvalidReportError. Metrics that are no plain figures are left out, not guessed."""
+    """The statistics in a load report. Raises InvalidReportError. Metrics without a plain number are left out."""
     met: dict[str, BackendStatistics] = {}
     flows: dict[str, tuple[int, int]] = {}
     if not isinstance(document, dict):
@@ -122,7 +128,7 @@
         self.seen: dict[str, OrderedDict[int, None]] = {}
         self.boots: dict[str, str] = {}
 
-    def fresh(self, name: str, boot: str, number: int) -> bool:
+    def is_new(self, name: str, boot: str, number: int) -> bool:
         if self.boots.get(name) != boot:
             self.boots[name], self.seen[name] = boot, OrderedDict()
         seen = self.seen[name]
@@ -138,28 +144,28 @@
     """What came in since the module was last told, by zone of the proxies and backend."""
 
     def __init__(self) -> None:
-        self.met: dict[tuple[int, str], BackendStatistics] = {}
-        self.flows: dict[tuple[int, int], tuple[int, int]] = {}
-        self.unknown = 0
+        self.backends: dict[tuple[int, str], BackendStatistics] = {}
+        self.request_counts: dict[tuple[int, int], tuple[int, int]] = {}
+        self.unknown_attempts = 0
 
     def add(
         self, zone: int, proxy: int, report: RequestStatistics, ids: dict[str, str], groups: dict[str, int]
     ) -> None:
         """`ids` finds a backend by its address. Unknown ones are counted: they are gone, or were never ours."""
-        for address, met in report.met.items():
+        for address, met in report.backends.items():
             if (backend := ids.get(address)) is None:
-                self.unknown += met.tries
-            elif met.tries:
+                self.unknown_attempts += met.attempts
+            elif met.attempts:
                 key = (zone, backend)
-                self.met[key] = self.met.get(key, BackendStatistics()).plus(met)
-        for name, (came, span) in report.flows.items():
+                self.backends[key] = self.backends.get(key, BackendStatistics()).plus(met)
+        for name, (came, span) in report.request_counts.items():
             if name in groups:
-                known, before = self.flows.get((proxy, groups[name]), (0, 0))
-                self.flows[proxy, groups[name]] = (known + came, before + span)
+                known, before = self.request_counts.get((proxy, groups[name]), (0, 0))
+                self.request_counts[proxy, groups[name]] = (known + came, before + span)
 
-    def tell(self) -> tuple[list[tuple[int, str, BackendStatistics, LoadReport]], list[tuple[int, int, int, int]]]:
+    def drain(self) -> tuple[list[tuple[int, str, BackendStatistics, LoadReport]], list[tuple[int, int, int, int]]]:
         """Tries by zone and backend, and flows by proxy and group, in a fixed order; then it is empty."""
-        met = [(zone, b, own, LoadReport(own.busy)) for (zone, b), own in sorted(self.met.items())]
-        flows = [(proxy, group, came, span) for (proxy, group), (came, span) in sorted(self.flows.items())]
-        self.met, self.flows = {}, {}
+        met = [(zone, b, own, LoadReport(own.utilization)) for (zone, b), own in sorted(self.backends.items())]
+        flows = [(proxy, group, came, span) for (proxy, group), (came, span) in sorted(self.request_counts.items())]
+        self.backends, self.request_counts = {}, {}
         return met, flows
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -64,7 +64,7 @@
 
     token: str
     task: asyncio.Task[None]
-    orders: asyncio.Queue[tuple[Message, int]]
+    messages: asyncio.Queue[tuple[Message, int]]
     generation: int = 0
 
 
@@ -75,37 +75,37 @@
         self.store = Store(settings.state)
         known = self.store.remembered
         self.keys = Keys(settings.tls) if settings.tls is not None else None
-        self.raw: endpoint_list.EndpointList | None = None
+        self.endpoint_list: endpoint_list.EndpointList | None = None
         self.tree: Tree = {}
-        self.desk: ConfigurationService | None = None
-        self.front: Front | None = None
+        self.configuration: ConfigurationService | None = None
+        self.netconf: Front | None = None
         start = settings.start
         if settings.netconf is not None:
             # Read only where it is served: its libraries take longer to load than all the rest.
             from onyxhead.controller.configuration_service import open_desk
 
-            self.desk = open_desk(self)
-            self.tree = self.desk.stores.running
+            self.configuration = open_desk(self)
+            self.tree = self.configuration.datastores.running
             start = deployment(self.tree, settings)
-        self.standing = Standing(self.store.kept(STANDING))
+        self.operator_orders = Standing(self.store.kept(STANDING))
         history = History()
         rows = self.store.versions()
         history.restore((n, epoch, at, cause, _changes(changes)) for n, epoch, at, cause, changes in rows)
         history.labels = {k: v for k, v in (self.store.kept(LABELS) or {}).items() if v in history.versions}
-        self.house = self._house(start, known.epoch, known.numbers, history)
-        self.follower = endpoint_list.EndpointListFollower(settings.zones, self.clock.of_wall, self.clock.now)
+        self.core = self._house(start, known.epoch, known.numbers, history)
+        self.follower = endpoint_list.EndpointListFollower(settings.zones, self.clock.from_wall_time, self.clock.now)
         self.encoder = Encoder()
-        self.lines: dict[int, ProxyStream] = {}
+        self.streams: dict[int, ProxyStream] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.stir = asyncio.Event()
-        self.over = asyncio.Event()
-        self.server = Server(self.answer)
+        self.wake = asyncio.Event()
+        self.stopping = asyncio.Event()
+        self.http_server = Server(self.handle_request)
         self.subscribed = asyncio.Event()
-        self.probing = asyncio.Semaphore(settings.probes.at_once)
-        self.list_heard_at = 0.0
-        self.alliance = FleetTransport(self, settings.fleet) if settings.fleet is not None else None
-        self.reception = LoadReportIngest(self, settings.intake) if settings.intake is not None else None
-        self._remember()
+        self.health_check_slots = asyncio.Semaphore(settings.probes.at_once)
+        self.list_received_at = 0.0
+        self.fleet = FleetTransport(self, settings.fleet) if settings.fleet is not None else None
+        self.load_reports = LoadReportIngest(self, settings.intake) if settings.intake is not None else None
+        self._restore_endpoints()
 
     def _house(self, start: Deployment, epoch: int, numbers: dict[str, int], history: History) -> ControllerCore:
         settings, names = self.settings, tuple(group.name for group in start.groups)
@@ -115,7 +115,7 @@
 
     # Starting and ending
 
-    def _remember(self) -> None:
+    def _restore_endpoints(self) -> None:
         known, now = self.store.remembered, self.clock.now()
         for note in self.store.notes:
             log.warning("store", note=note)
@@ -128,20 +128,20 @@
             log.warning("the remembered list is not used", age_s=round(age), good_for_s=self.settings.list_good_for)
             return
         try:
-            self.raw = endpoint_list.read(known.list_body)
-            news = self.follower.remember(self._as_ordered(self.raw))
+            self.endpoint_list = endpoint_list.read(known.list_body)
+            news = self.follower.restore(self._as_ordered(self.endpoint_list))
         except endpoint_list.InvalidEndpointListError as error:
             log.warning("the remembered list is not used", why=str(error))
             return
-        self.house.list_heard(now, news)
-        self.list_heard_at = known.heard
+        self.core.on_endpoint_update(now, news)
+        self.list_received_at = known.heard
         grace = self.settings.start.safety.drain_grace / TENTHS
         recent = [b for b, at in known.withdrawn.items() if time.time() - at < max(60.0, 10 * grace)]
-        self.house.withdrawn_before(now, sorted(recent))
+        self.core.restore_withdrawals(now, sorted(recent))
         log.info(
             "remembered",
             epoch=known.epoch,
-            backends=len(news.listed),
+            backends=len(news.endpoints),
             list_age_s=round(age, 1),
             gone=len(recent),
         )
@@ -149,32 +149,32 @@
     async def run(self) -> None:
         """Serves until told to end. Raises OSError if the address can't be had."""
         tls = self.keys.server if self.keys is not None else None
-        host, port = await self.server.start(*self.settings.listen, tls)
+        host, port = await self.http_server.start(*self.settings.listen, tls)
         loop = asyncio.get_running_loop()
         for name in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(name, self.over.set)
-        log.info("serving", name=self.settings.name, host=host, port=port, epoch=self.house.epoch)
-        if self.desk is not None and self.settings.netconf is not None:
+            loop.add_signal_handler(name, self.stopping.set)
+        log.info("serving", name=self.settings.name, host=host, port=port, epoch=self.core.epoch)
+        if self.configuration is not None and self.settings.netconf is not None:
             from onyxhead.fronts.netconf.server import Front
 
-            self.front = Front(self.settings.netconf, self.desk)
-            await self.front.start(tls)
-            self.start(self._confirming(self.desk))
+            self.netconf = Front(self.settings.netconf, self.configuration)
+            await self.netconf.start(tls)
+            self.start(self._expire_commits(self.configuration))
         if self.keys is not None and self.settings.tls is not None:
-            self.start(self._rotate(self.keys, (host, port), self.settings.tls.every))
-        if self.alliance is not None:
-            self.start(self.alliance.run())
-        if self.reception is not None:
-            self.start(self.reception.run())
-        self.start(self._beating())
-        self.start(self._follow())
-        self.start(self._steps())
+            self.start(self._rotate_keys(self.keys, (host, port), self.settings.tls.every))
+        if self.fleet is not None:
+            self.start(self.fleet.run())
+        if self.load_reports is not None:
+            self.start(self.load_reports.run())
+        self.start(self._heartbeat())
+        self.start(self._watch_discovery())
+        self.start(self._run_rounds())
         try:
-            await self.over.wait()
+            await self.stopping.wait()
         finally:
-            self.server.close()
-            if self.front is not None:
-                self.front.close()
+            self.http_server.close()
+            if self.netconf is not None:
+                self.netconf.close()
             for task in list(self.tasks):
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -197,63 +197,63 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             # A step that fails leaves the books in doubt; the next life starts from what is on disk.
             log.error("a task failed", error=repr(error), exc_info=error)
-            self.over.set()
+            self.stopping.set()
 
     # The steps
 
-    async def _steps(self) -> None:
+    async def _run_rounds(self) -> None:
         while True:
-            self.stir.clear()
+            self.wake.clear()
             now = self.clock.now()
-            self._carry(now, self.house.act(now))
+            self._apply_effects(now, self.core.decide(now))
             await asyncio.sleep(SHORTEST_STEP)
-            wait = (self.house.next_at() - self.clock.now()) / TENTHS
+            wait = (self.core.next_decision_at() - self.clock.now()) / TENTHS
             if wait > 0:
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(wait):
-                        await self.stir.wait()
+                        await self.wake.wait()
 
-    def _carry(self, now: int, work: Effects) -> None:
-        for sent in work.leaving:
-            if (line := self.lines.get(sent.proxy)) is not None:
-                line.orders.put_nowait((sent.order, sent.ordered))
-        for step in work.steps:
+    def _apply_effects(self, now: int, work: Effects) -> None:
+        for sent in work.deliveries:
+            if (line := self.streams.get(sent.proxy)) is not None:
+                line.messages.put_nowait((sent.message, sent.queued_at))
+        for step in work.rounds:
             told = [_told(decision) for decision in step.decisions]
             told = [each for each in told if each]
-            log.info("orders", turn=step.turn, causes=step.causes, orders=told)
-            self.store.ordered(self.house.epoch, step.turn, step.causes, told)
-            if self.desk is not None:
-                self.desk.tell("orders-sent", {"turn": step.turn, "cause": step.causes})
+            log.info("orders", turn=step.round_number, causes=step.causes, orders=told)
+            self.store.ordered(self.core.epoch, step.round_number, step.causes, told)
+            if self.configuration is not None:
+                self.configuration.notify("orders-sent", {"turn": step.round_number, "cause": step.causes})
             for decision in step.decisions:
                 if isinstance(decision, Withdrawal):
                     self.store.withdrew(decision.backend, decision.withdrawn)
-        self._keep_versions()
-        for cut in work.cuts:
-            log.warning("stream given up", proxy=cut.name, why=cut.why)
-            if (line := self.lines.pop(cut.proxy, None)) is not None:
+        self._save_versions()
+        for cut in work.disconnects:
+            log.warning("stream given up", proxy=cut.name, why=cut.reason)
+            if (line := self.streams.pop(cut.proxy, None)) is not None:
                 line.task.cancel()
         if work.subscribe:
             self.subscribed.set()
-        for backend, address in work.probes:
-            self.start(self._probe(backend, address), vital=False)
-        for remark in work.remarks:
+        for backend, address in work.health_checks:
+            self.start(self._check_health(backend, address), vital=False)
+        for remark in work.log_messages:
             log.info("remark", text=remark)
 
-    def _keep_versions(self) -> None:
-        fresh, self.house.fresh_versions = self.house.fresh_versions, []
+    def _save_versions(self) -> None:
+        fresh, self.core.new_versions = self.core.new_versions, []
         for version, changes in fresh:
             rows = [[table, backend, parts] for (table, backend), parts in sorted(changes.items())]
             self.store.version(version.number, version.epoch, version.at, version.cause, rows)
 
-    async def _probe(self, backend: str, address: str) -> None:
-        async with self.probing:
+    async def _check_health(self, backend: str, address: str) -> None:
+        async with self.health_check_slots:
             sight, load = await look(address, self.settings.probes.path, self.settings.probes.timeout)
-        self.house.probed(self.clock.now(), backend, sight, load)
-        self.stir.set()
+        self.core.on_health_check(self.clock.now(), backend, sight, load)
+        self.wake.set()
 
     # Discovery
 
-    async def _follow(self) -> None:
+    async def _watch_discovery(self) -> None:
         given = self.settings.discovery
         heard: AsyncIterator[bytes | discovery.DiscoveryUnavailableError]
         if given.file is not None:
@@ -269,7 +269,7 @@
                 if isinstance(body, discovery.DiscoveryUnavailableError):
                     raise body
                 read = endpoint_list.read(body)
-                news = self.follower.follow(self._as_ordered(read))
+                news = self.follower.update(self._as_ordered(read))
             except (discovery.DiscoveryUnavailableError, endpoint_list.InvalidEndpointListError) as error:
                 if last != str(error):
                     last = str(error)
@@ -277,60 +277,63 @@
                 if asked and isinstance(error, discovery.DiscoveryUnavailableError):
                     # The module asks again when it thinks best; until then discovery is left alone.
                     self.subscribed.clear()
-                    self.house.list_refused(self.clock.now())
-                    self.stir.set()
+                    self.core.on_subscription_rejected(self.clock.now())
+                    self.wake.set()
                     await self.subscribed.wait()
                 continue
-            last, self.list_heard_at, self.raw = "", time.time(), read
+            last, self.list_received_at, self.endpoint_list = "", time.time(), read
             if news is not None:
                 self._listed(news)
-                self.store.heard_list(read.version, read.body())
+                self.store.heard_list(read.version, read.encode())
 
     def _listed(self, news: endpoint_list.EndpointUpdate) -> None:
-        for note in news.notes:
+        for note in news.warnings:
             log.warning("list", note=note)
-        self.house.list_heard(self.clock.now(), news)
-        log.info("list", kind=news.kind.value, entries=len(news.listed))
-        self.stir.set()
+        self.core.on_endpoint_update(self.clock.now(), news)
+        log.info("list", kind=news.event.value, entries=len(news.endpoints))
+        self.wake.set()
 
     def list_again(self) -> None:
         """The last list, under what operators say now."""
-        if self.raw is not None and (news := self.follower.follow(self._as_ordered(self.raw))) is not None:
+        if (
+            self.endpoint_list is not None
+            and (news := self.follower.update(self._as_ordered(self.endpoint_list))) is not None
+        ):
             self._listed(news)
 
     def _as_ordered(self, read: endpoint_list.EndpointList) -> endpoint_list.EndpointList:
         """A list under what the configuration and operators say of its backends."""
         said = overlaid(read, self.tree)
-        listed, places = self.house.listed, self.follower.last.entries if self.follower.last else ()
+        listed, places = self.core.endpoints, self.follower.last.entries if self.follower.last else ()
         serving = {e.id: e.started for e in places if e.id in listed and listed[e.id].ready}
         entries = tuple(
-            each._replace(state="draining") if held_out(self.standing, each.id, each.started, serving) else each
+            each._replace(state="draining") if held_out(self.operator_orders, each.id, each.started, serving) else each
             for each in said.entries
         )
         return said._replace(entries=entries)
 
     def facts(self) -> FleetFacts:
         """What is known now of the fleet, as discovery lists it: operators' own drains are the caller's to count."""
-        now, cold = self.clock.now(), self.house.start.safety.warmup_time
+        now, cold = self.clock.now(), self.core.deployment.safety.warmup_time
         backends = tuple(
             commit_plan.BackendFacts(
                 entry.id, entry.zone, entry.state == "ready",
-                not entry.started or now - self.clock.of_wall(entry.started) >= cold,
+                not entry.started or now - self.clock.from_wall_time(entry.started) >= cold,
             )
-            for entry in (self.raw.entries if self.raw else ())
+            for entry in (self.endpoint_list.entries if self.endpoint_list else ())
         )  # fmt: skip
-        channel = self.house.channel
-        return FleetFacts(backends, len(self.house.joined), channel.waiting, channel.limits.message_overhead)
+        channel = self.core.delivery_queue
+        return FleetFacts(backends, len(self.core.joined), channel.queued_lines, channel.limits.message_overhead)
 
     def _operate(self, request: Request) -> Response:
         try:
             command = Command.read(request.json())
         except ValueError as error:
             return problem(400, str(error))
-        if self.raw is None:
+        if self.endpoint_list is None:
             return problem(503, "no list has been heard yet")
-        trial = self.standing.copy()
-        backends = [Backend(each.id, each.zone, each.kind) for each in self.raw.entries]
+        trial = self.operator_orders.copy()
+        backends = [Backend(each.id, each.zone, each.kind) for each in self.endpoint_list.entries]
         try:
             told = trial.run(command, self.tree or tree_of(self.settings), backends, self.facts())
             if not command.dry_run and not told.get("again"):
@@ -341,7 +344,7 @@
         except Unusable as error:
             return problem(503, f"not written: {error}")
         if not command.dry_run and not told.get("again"):
-            self.standing = trial
+            self.operator_orders = trial
             said = {name: told[name] for name in ("asked", "status", "why")}
             log.info("operator", id=command.id, by=command.by, **said)
             self.store.audited(command.by, 0, f"{command.verb} {' '.join(command.names)}", told["status"])
@@ -350,15 +353,18 @@
 
     def progress(self, names: list[str]) -> dict[str, Any]:
         """How far drains have come: which of the backends proxies may still use, as far as their answers prove."""
-        house = self.house
+        house = self.core
         behind = sorted(
             known.name for number, known in house.joined.items()
-            if (view := house.books.views.get(number)) is not None and house.applied.get(number, (0, ""))[1] != view.tag
+            if (view := house.proxy_tables.views.get(number)) is not None
+            and house.applied.get(number, (0, ""))[1] != view.tag
         )  # fmt: skip
         backends = {}
-        for name in selected(names, [Backend(b, p.zone, "") for b, p in house.books.places.items()]):
-            entry = house.listed.get(name)
-            out = name in house.books.withdrawn or not any(name in lines for lines in house.books.tables.values())
+        for name in selected(names, [Backend(b, p.zone, "") for b, p in house.proxy_tables.places.items()]):
+            entry = house.endpoints.get(name)
+            out = name in house.proxy_tables.withdrawn or not any(
+                name in lines for lines in house.proxy_tables.tables.values()
+            )
             backends[name] = {"ready": bool(entry and entry.ready), "out": out}
         return {"backends": backends, "behind": behind}
 
@@ -366,30 +372,32 @@
         """A new start of the module under other settings. Proxies keep their tables and join again, as after a crash:
         their full tables are then paced like any others."""
         epoch = self.store.next_epoch()
-        for line in self.lines.values():
+        for line in self.streams.values():
             line.task.cancel()
-        self.lines.clear()
-        withdrawn = list(self.house.books.withdrawn)
-        self._keep_versions()
-        self.house = self._house(start, epoch, self.house.numbers, self.house.history)
-        self.follower = endpoint_list.EndpointListFollower(self.settings.zones, self.clock.of_wall, self.clock.now)
-        if self.raw is not None:
-            self.house.list_heard(self.clock.now(), self.follower.remember(self._as_ordered(self.raw)))
-        self.house.withdrawn_before(self.clock.now(), withdrawn)
+        self.streams.clear()
+        withdrawn = list(self.core.proxy_tables.withdrawn)
+        self._save_versions()
+        self.core = self._house(start, epoch, self.core.numbers, self.core.history)
+        self.follower = endpoint_list.EndpointListFollower(
+            self.settings.zones, self.clock.from_wall_time, self.clock.now
+        )
+        if self.endpoint_list is not None:
+            self.core.on_endpoint_update(self.clock.now(), self.follower.restore(self._as_ordered(self.endpoint_list)))
+        self.core.restore_withdrawals(self.clock.now(), withdrawn)
         log.info("rebuilt", epoch=epoch)
-        self.stir.set()
+        self.wake.set()
 
-    async def _beating(self) -> None:
+    async def _heartbeat(self) -> None:
         while True:
-            self.store.beat(self.house.epoch)
+            self.store.beat(self.core.epoch)
             await asyncio.sleep(BEAT)
 
-    async def _confirming(self, desk: ConfigurationService) -> None:
+    async def _expire_commits(self, desk: ConfigurationService) -> None:
         while True:
-            desk.tick()
+            desk.expire_commit()
             await asyncio.sleep(TICK)
 
-    async def _rotate(self, keys: Keys, address: tuple[str, int], every: float) -> None:
+    async def _rotate_keys(self, keys: Keys, address: tuple[str, int], every: float) -> None:
         """Follows the key files. New handshakes take the new keys at once; streams opened under older ones are ended
         one by one, each when the channel has carried what the last one's join cost."""
         while True:
@@ -400,28 +408,28 @@
             if said:
                 log.error("new keys refused, the old ones stay", why=said)
                 continue
-            await self.server.start(*address, keys.server)
-            if self.front is not None:
-                await self.front.renew(keys.server)
-            log.info("new keys", generation=keys.generation, streams=len(self.lines))
-            for number, line in list(self.lines.items()):
-                if self.lines.get(number) is line and line.generation < keys.generation:
+            await self.http_server.start(*address, keys.server)
+            if self.netconf is not None:
+                await self.netconf.renew(keys.server)
+            log.info("new keys", generation=keys.generation, streams=len(self.streams))
+            for number, line in list(self.streams.items()):
+                if self.streams.get(number) is line and line.generation < keys.generation:
                     line.task.cancel()
-                    self._gone(number, line.token, "its keys were replaced")
+                    self._on_stream_closed(number, line.token, "its keys were replaced")
                     await asyncio.sleep(self.join_time())
-                    while self.house.channel.waiting > self.house.channel.limits.max_queued_lines / 4:
+                    while self.core.delivery_queue.queued_lines > self.core.delivery_queue.limits.max_queued_lines / 4:
                         await asyncio.sleep(0.01)
 
     def end_stream(self, proxy: str, why: str) -> None:
         """Ends one proxy's stream; it keeps its tables and joins again, here or elsewhere."""
-        number = self.house.numbers.get(proxy, -1)
-        if (line := self.lines.get(number)) is not None:
+        number = self.core.numbers.get(proxy, -1)
+        if (line := self.streams.get(number)) is not None:
             line.task.cancel()
-            self._gone(number, line.token, why)
+            self._on_stream_closed(number, line.token, why)
 
     def join_time(self) -> float:
         """Seconds that the channel takes for one proxy's full tables."""
-        limits, tables = self.house.channel.limits, self.house.books.tables.values()
+        limits, tables = self.core.delivery_queue.limits, self.core.proxy_tables.tables.values()
         return (limits.message_overhead + 2 + sum(len(lines) + 1 for lines in tables)) / limits.lines_per_second
 
     # Proxies
@@ -438,37 +446,39 @@
             tag = await stream.open(self.keys.client if self.keys is not None else None)
             if self.keys is not None and stream.peer != Peer("agent", who.name):
                 raise Refused(f"its certificate is of {stream.peer}")
-            if tag != who.held.tag:
+            if tag != who.view.tag:
                 raise Refused("it holds another view than it said")
-            if (old := self.lines.get(self.house.number(who.name))) is not None and old.token != token:
+            if (old := self.streams.get(self.core.proxy_number(who.name))) is not None and old.token != token:
                 old.task.cancel()
-            number = self.house.joins(self.clock.now(), who)
+            number = self.core.on_proxy_joined(self.clock.now(), who)
             orders: asyncio.Queue[tuple[Message, int]] = asyncio.Queue()
-            self.lines[number] = ProxyStream(token, me, orders, generation)
+            self.streams[number] = ProxyStream(token, me, orders, generation)
             self.store.proxy(who.name, number, who.zone, tag, 0)
-            log.info("joined", proxy=who.name, number=number, zone=who.zone, standing=who.standing)
-            self.stir.set()
+            log.info("joined", proxy=who.name, number=number, zone=who.zone, standing=who.has_standing_table)
+            self.wake.set()
             while True:
-                await self._next(stream, number, orders, beat)
+                await self._deliver_next(stream, number, orders, beat)
         except OSError as error:
-            self._gone(number, token, str(error) or type(error).__name__)
+            self._on_stream_closed(number, token, str(error) or type(error).__name__)
         except Refused as error:
             log.warning("refused by its agent", proxy=who.name, why=str(error))
             if number >= 0 and self._owns(number, token):
-                self.house.fault(self.clock.now(), number, str(error))
-                self.lines.pop(number, None)
+                self.core.on_stream_fault(self.clock.now(), number, str(error))
+                self.streams.pop(number, None)
             else:
-                self.house.door.fault(self.clock.now(), who.name)
-            self.stir.set()
+                self.core.join_backoff.on_stream_fault(self.clock.now(), who.name)
+            self.wake.set()
         except Exception as error:
             # Whatever one agent manages to do must end its own stream, and nobody else's.
             log.error("a stream failed", proxy=who.name, error=repr(error), exc_info=error)
-            self.house.door.fault(self.clock.now(), who.name)
-            self._gone(number, token, repr(error))
+            self.core.join_backoff.on_stream_fault(self.clock.now(), who.name)
+            self._on_stream_closed(number, token, repr(error))
         finally:
             stream.close()
 
-    async def _next(self, stream: Stream, number: int, orders: asyncio.Queue[tuple[Message, int]], beat: float) -> None:
+    async def _deliver_next(
+        self, stream: Stream, number: int, orders: asyncio.Queue[tuple[Message, int]], beat: float
+    ) -> None:
         try:
             async with asyncio.timeout(beat):
                 message, ordered = await orders.get()
@@ -487,35 +497,35 @@
             raise Refused("its view has changed by itself")
         await stream.send(message, ordered_last)
         for _ in run:
-            self.house.channel.taken(number)
+            self.core.delivery_queue.on_written(number)
         tag = await stream.answer()
         now = self.clock.now()
-        self.house.answered(now, number, message, tag, ordered)
-        known = self.house.joined.get(number)
+        self.core.on_acknowledgement(now, number, message, tag, ordered)
+        known = self.core.joined.get(number)
         if message.whole and known is not None:
             self.store.proxy(known.name, number, self.settings.zones[known.zone], tag, message.turn)
-        self.stir.set()
+        self.wake.set()
 
     def _owns(self, number: int, token: str) -> bool:
-        line = self.lines.get(number)
+        line = self.streams.get(number)
         return line is not None and line.token == token
 
-    def _gone(self, number: int, token: str, why: str) -> None:
+    def _on_stream_closed(self, number: int, token: str, why: str) -> None:
         if number >= 0 and self._owns(number, token):
-            self.lines.pop(number, None)
-            self.house.left(self.clock.now(), number, why)
+            self.streams.pop(number, None)
+            self.core.on_proxy_left(self.clock.now(), number, why)
             log.info("left", number=number, why=why)
-            self.stir.set()
+            self.wake.set()
 
     # The controller's own interface
 
-    async def answer(self, request: Request, writer: asyncio.StreamWriter) -> Response:
+    async def handle_request(self, request: Request, writer: asyncio.StreamWriter) -> Response:
         parts = request.target.split("?")[0].strip("/").split("/")
         if self.keys is not None and not may_ask(request, parts, peer_of(writer.get_extra_info("peercert"))):
             return problem(403, "this certificate may not ask that")
         match request.method, parts:
             case "GET", ["v1", "health"]:
-                return answer(200, {"name": self.settings.name, "epoch": self.house.epoch})
+                return answer(200, {"name": self.settings.name, "epoch": self.core.epoch})
             case "GET", ["v1", "state"]:
                 return answer(200, self.state())
             case "GET", ["v1", "config"]:
@@ -527,25 +537,28 @@
                 return self._operate(request)
             case "GET", ["v1", "operate", *names]:
                 return answer(200, self.progress([unquote(name) for name in names] or ["*"]))
-            case ("POST", ["v1", "load", sender]) if self.reception is not None:
-                return self.reception.take(sender, request.body)
-            case ("GET", ["v1", "load", "busy"]) if self.reception is not None:
-                return answer(200, self.reception.brief())
-            case ("GET", ["v1", "load"]) if self.reception is not None:
-                return answer(200, self.reception.state())
-            case ("GET", ["v1", "series", *name]) if self.reception is not None and self.reception.courses is not None:
-                return await self._course(self.reception.courses, unquote("/".join(name)), request.target)
+            case ("POST", ["v1", "load", sender]) if self.load_reports is not None:
+                return self.load_reports.accept(sender, request.body)
+            case ("GET", ["v1", "load", "busy"]) if self.load_reports is not None:
+                return answer(200, self.load_reports.utilization())
+            case ("GET", ["v1", "load"]) if self.load_reports is not None:
+                return answer(200, self.load_reports.state())
+            case (
+                "GET",
+                ["v1", "series", *name],
+            ) if self.load_reports is not None and self.load_reports.series is not None:
+                return await self._course(self.load_reports.series, unquote("/".join(name)), request.target)
             case (("GET" | "POST"), ["v1", "tables", what]):
                 return self._tables(what, request)
-            case ("POST", ["v1", "fleet"]) if self.alliance is not None:
-                return self.alliance.heard(request)
-            case ("GET", ["v1", "fleet"]) if self.alliance is not None:
-                return self.alliance.command("status", {})
+            case ("POST", ["v1", "fleet"]) if self.fleet is not None:
+                return self.fleet.handle_packet(request)
+            case ("GET", ["v1", "fleet"]) if self.fleet is not None:
+                return self.fleet.command("status", {})
             case (
                 "POST",
                 ["v1", "fleet", ("handover" | "move" | "who" | "members") as what],
-            ) if self.alliance is not None:
-                return self._command(self.alliance, what, request)
+            ) if self.fleet is not None:
+                return self._command(self.fleet, what, request)
             case "PUT", ["v1", "proxies", name]:
                 return self._join(name, request)
             case "POST", ["v1", "proxies", name, "sums"]:
@@ -567,11 +580,11 @@
 
     def state(self) -> dict[str, Any]:
         kept = {"failing": self.store.failing, "dropped": self.store.dropped}
-        age = round(time.time() - self.list_heard_at, 1) if self.list_heard_at else None
+        age = round(time.time() - self.list_received_at, 1) if self.list_received_at else None
         version = self.follower.last.version if self.follower.last else None
         own = {"name": self.settings.name, "list": {"version": version, "age_s": age}, "store": kept}
-        orders = {"drained": sorted(self.standing.drained), "cordoned": sorted(self.standing.cordoned)}
-        return own | {"operators": orders} | self.house.state(self.clock.now())
+        orders = {"drained": sorted(self.operator_orders.drained), "cordoned": sorted(self.operator_orders.cordoned)}
+        return own | {"operators": orders} | self.core.state(self.clock.now())
 
     def _join(self, name: str, request: Request) -> Response:
         try:
@@ -586,16 +599,16 @@
             return problem(400, f"not a join: {error}")
         if who.zone not in self.settings.zones:
             return problem(422, f"zone {who.zone!r} is not served here")
-        if not 0 <= who.usual < 1e9 or type(held) is not int or held < 0:
+        if not 0 <= who.baseline_rate < 1e9 or type(held) is not int or held < 0:
             return problem(422, "usual flows or token out of range")
-        if self.alliance is not None and not given.get("insist"):
-            better = self.alliance.better(name, who.zone)
+        if self.fleet is not None and not given.get("insist"):
+            better = self.fleet.better_owner(name, who.zone)
             if better is not None:
                 return answer(307, {"controller": self.settings.name, "better": better})
-        if (wait := self.house.door.wait(self.clock.now(), name)) > 0:
+        if (wait := self.core.join_backoff.remaining(self.clock.now(), name)) > 0:
             return Response(503, {"retry-after": str(-(-wait // TENTHS))}, b"")
         try:
-            self.house.number(name)
+            self.core.proxy_number(name)
             fence = next_token(held)
         except (OverflowError, Fenced) as error:
             return problem(507, str(error))
@@ -615,8 +628,8 @@
                 if request.method != "POST":
                     return problem(405, f"{what} is asked for by POST")
                 log.info("tables", asked=what, **{name: given.get(name) for name in ("version", "label", "seconds")})
-                self.stir.set()
-            return answer(200, version_requests.run(self.house, now, what, given, self._keep_label))
+                self.wake.set()
+            return answer(200, version_requests.run(self.core, now, what, given, self._keep_label))
         except Unknown as error:
             return problem(404, str(error.args[0]))
         except Impossible as error:
@@ -643,7 +656,7 @@
             report = request_statistics.read(given)
         except (ValueError, KeyError, TypeError) as error:
             return problem(400, f"not a report: {error}")
-        fresh = self.house.summed(self.clock.now(), name, boot, number, report)
+        fresh = self.core.on_request_statistics(self.clock.now(), name, boot, number, report)
         return answer(200, {"taken": fresh})
 
 
--- a/onyxhead/controller/version_requests.py
+++ b/onyxhead/controller/version_requests.py
@@ -45,7 +45,7 @@
             keep(history.labels)
             return {"label": given["label"], "version": int(given["version"])}
         case "preview":
-            back, seconds = house.preview(now, str(given["version"]))
+            back, seconds = house.preview_rollback(now, str(given["version"]))
             return _back(back) | {"channel_s": round(seconds, 3)}
         case "rollback":
             hold = float(given.get("seconds", USUAL))
@@ -62,11 +62,11 @@
             hold, share = float(given.get("seconds", USUAL)), float(given.get("share", 0.1))
             if not 0 < hold <= LONGEST or not 0 < share <= 0.5:
                 raise ValueError(f"a trial takes 0 to {LONGEST:.0f} seconds and up to half of the proxies")
-            back, canary = house.try_version(now, str(given["version"]), share, hold)
+            back, canary = house.start_canary(now, str(given["version"]), share, hold)
             return _back(back) | {"proxies": sorted(canary.proxies), "seconds": hold}
         case "release":
             tried, house.canary = house.canary is not None, None
-            house.books.end_trial()
+            house.proxy_tables.end_trial()
             return {"released": house.release(now, "asked for") or tried}
     raise ValueError(f"there is no {what!r}")
 
--- a/onyxhead/fronts/netconf/session.py
+++ b/onyxhead/fronts/netconf/session.py
@@ -46,7 +46,7 @@
         self.over = self.greeted = False
         self.stream: tuple[float, float] | None = None
         self.replay, self.replaying = list[Notification](), False
-        self.number = desk.begin(self.killed)
+        self.number = desk.open_session(self.killed)
         hello = xml.element("hello")
         listed = xml.add(hello, "capabilities")
         for capability in CAPABILITIES:
@@ -61,7 +61,7 @@
     def ended(self) -> None:
         """The transport is gone."""
         self.over = True
-        self.desk.end(self.number)
+        self.desk.close_session(self.number)
 
     def receive(self, data: bytes) -> None:
         """Takes bytes and answers whatever is whole. A broken framing ends the session with no answer."""
@@ -102,17 +102,17 @@
         except RpcError as problem:
             made = _errors(problem)
         except Exception as error:  # our own fault must not leave the client without an answer
-            self.desk.hands.audit(self.user, self.number, local(operations[0]), f"fault: {error!r}")
+            self.desk.callbacks.audit(self.user, self.number, local(operations[0]), f"fault: {error!r}")
             made = _errors(RpcError("operation-failed", f"internal fault: {error!r}"))
         self._send(_reply(root, made))
         # What was there before the subscription follows its answer (RFC 5277, section 2.1.1).
         for event in self.replay:
             self.notified(event)
         if self.replaying:
-            self._send(_notification(self.desk.hands.wall(), xml.element("replayComplete", NOTIFICATION)))
+            self._send(_notification(self.desk.callbacks.wall_time(), xml.element("replayComplete", NOTIFICATION)))
         self.replay, self.replaying = [], False
         if self.over:
-            self.desk.end(self.number)
+            self.desk.close_session(self.number)
             self.end_transport()
 
     def _greet(self, root: Any) -> None:  # noqa: ANN401
@@ -137,7 +137,7 @@
         return run(self, asked) or [xml.element("ok")]
 
     def _get(self, asked: Any) -> list[Any]:  # noqa: ANN401
-        found = [xml.tree_element(schema.state(), self.desk.hands.state())]
+        found = [xml.tree_element(schema.state(), self.desk.callbacks.state())]
         return self._data(asked, self._config("running", asked) + found)
 
     def _get_config(self, asked: Any) -> list[Any]:  # noqa: ANN401
@@ -147,7 +147,7 @@
         mode = text(find(asked, "with-defaults", DEFAULTS)) or "explicit"
         if mode not in ("report-all", "trim", "explicit"):
             raise RpcError("invalid-value", f"with-defaults {mode!r} is not served", kind="protocol")
-        tree = with_defaults(schema.config(), self.desk.stores.get(name), mode)
+        tree = with_defaults(schema.config(), self.desk.datastores.get(name), mode)
         return [xml.tree_element(schema.config(), self._readable(schema.config(), tree, "/fleet"))] if tree else []
 
     def _readable(self, node: Node, tree: Tree, path: str) -> Tree:
@@ -225,14 +225,14 @@
 
     def _copy_config(self, asked: Any) -> list[Any]:  # noqa: ANN401
         target, tree = _datastore(asked, "target"), self._source(asked)
-        self.desk.replace(self.user, self.number, target, self.desk.stores.get(target), tree)
+        self.desk.replace(self.user, self.number, target, self.desk.datastores.get(target), tree)
         return []
 
     def _source(self, asked: Any) -> Tree:  # noqa: ANN401
         source = find(asked, "source")
         given = find(source, "config") if source is not None else None
         if given is None:
-            return self.desk.stores.get(_datastore(asked, "source"))
+            return self.desk.datastores.get(_datastore(asked, "source"))
         edit = xml.edit_of(given, schema.config())
         return apply(schema.config(), {}, edit.children[0], "replace") if edit.children else {}
 
@@ -241,16 +241,16 @@
         if target != "startup":
             raise RpcError("operation-not-supported", f"{target} can't be deleted", kind="protocol")
         # The state that a restart begins with is then what the settings file says.
-        first = self.desk.stores.commits[min(self.desk.stores.commits)].tree
-        self.desk.replace(self.user, self.number, target, self.desk.stores.startup, first)
+        first = self.desk.datastores.commits[min(self.desk.datastores.commits)].tree
+        self.desk.replace(self.user, self.number, target, self.desk.datastores.startup, first)
         return []
 
     def _lock(self, asked: Any) -> list[Any]:  # noqa: ANN401
-        self.desk.stores.lock(self.number, _datastore(asked, "target"))
+        self.desk.datastores.lock(self.number, _datastore(asked, "target"))
         return []
 
     def _unlock(self, asked: Any) -> list[Any]:  # noqa: ANN401
-        self.desk.stores.unlock(self.number, _datastore(asked, "target"))
+        self.desk.datastores.unlock(self.number, _datastore(asked, "target"))
         return []
 
     def _commit(self, asked: Any) -> list[Any]:  # noqa: ANN401
@@ -269,11 +269,11 @@
         return []
 
     def _discard(self, _asked: Any) -> list[Any]:  # noqa: ANN401
-        self.desk.stores.discard(self.number)
+        self.desk.datastores.discard(self.number)
         return []
 
     def _validate(self, asked: Any) -> list[Any]:  # noqa: ANN401
-        self.desk.stores.check(self._source(asked))
+        self.desk.datastores.check(self._source(asked))
         return []
 
     def _close(self, _asked: Any) -> list[Any]:  # noqa: ANN401
@@ -284,7 +284,7 @@
         told = text(find(asked, "session-id"))
         if not told.isdigit():
             raise RpcError("invalid-value", "no session-id", kind="protocol")
-        self.desk.kill(self.user, int(told), self.number)
+        self.desk.kill_session(self.user, int(told), self.number)
         return []
 
     def _get_schema(self, asked: Any) -> list[Any]:  # noqa: ANN401
--- a/onyxhead/node/serve.py
+++ b/onyxhead/node/serve.py
@@ -43,7 +43,7 @@
         self.loop = asyncio.get_running_loop()
         self.host = Host(given.deployment, given.seed, self.clock.now())
         zones = {name: place for place, name in enumerate(given.zones)}
-        self.names = Names(zones, {name: place for place, name in enumerate(given.kinds)}, self.clock.of_wall)
+        self.names = Names(zones, {name: place for place, name in enumerate(given.kinds)}, self.clock.from_wall_time)
         groups = {name: place for place, name in enumerate(given.groups)}
         self.known = Known(groups, zones, given.deployment.proxy_count, self.host.listed)
         self.encoder = Encoder(given.groups)
--- a/tests/fleetrig.py
+++ b/tests/controller_rig.py
@@ -47,7 +47,7 @@
     def __init__(self, backends: int = 6, proxies: int = 0, seed: int = 1, **channel: float) -> None:
         self.now, self.chance = 1000 * SECOND, random.Random(seed)
         self.start = deployment(**channel)
-        self.house = ControllerCore(self.start, GROUPS, ZONES, seed, 1, 2 * SECOND, self.now)
+        self.core = ControllerCore(self.start, GROUPS, ZONES, seed, 1, 2 * SECOND, self.now)
         self.follower = EndpointListFollower(ZONES, lambda s: min(self.now, int(s * SECOND)), lambda: self.now)
         self.entries = {f"b{n}": entry(f"b{n}") for n in range(backends)}
         self.keepers: dict[str, Keeper] = {}
@@ -60,9 +60,9 @@
 
     def publish(self) -> None:
         self.version += 1
-        news = self.follower.follow(EndpointList(self.version, tuple(self.entries.values())))
+        news = self.follower.update(EndpointList(self.version, tuple(self.entries.values())))
         if news is not None:
-            self.house.list_heard(self.now, news)
+            self.core.on_endpoint_update(self.now, news)
 
     def set(self, name: str, state: str) -> None:
         if state == "gone":
@@ -76,34 +76,34 @@
         keeper.listen_to(name)
         bound = any(path[0] == "bindings" for path in keeper.view.leaves)
         held = View.read(json.loads(json.dumps(keeper.view.document())))
-        self.house.joins(self.now, JoinRequest(name, ZONES[len(name) % 2], 10.0, not bound, held))
+        self.core.on_proxy_joined(self.now, JoinRequest(name, ZONES[len(name) % 2], 10.0, not bound, held))
 
     def lose(self, name: str) -> None:
-        self.house.left(self.now, self.house.number(name))
+        self.core.on_proxy_left(self.now, self.core.proxy_number(name))
 
     def step(self, tenths: int = 100) -> Effects:
         self.now += tenths
-        work = self.house.act(self.now)
+        work = self.core.decide(self.now)
         self.works.append(work)
-        self.most = max(self.most, self.house.channel.waiting)
-        for sent in work.leaving:
+        self.most = max(self.most, self.core.delivery_queue.queued_lines)
+        for sent in work.deliveries:
             if self.name(sent) not in self.slow:
                 self.deliver(sent)
         return work
 
     def name(self, sent: QueuedMessage[Message]) -> str:
-        return next(name for name, number in self.house.numbers.items() if number == sent.proxy)
+        return next(name for name, number in self.core.numbers.items() if number == sent.proxy)
 
     def deliver(self, sent: QueuedMessage[Message]) -> None:
         name = self.name(sent)
         keeper = self.keepers[name]
-        self.house.channel.taken(sent.proxy)
-        taken = keeper.take(request_of(sent.order, name, sent.ordered))
+        self.core.delivery_queue.on_written(sent.proxy)
+        taken = keeper.take(request_of(sent.message, name, sent.queued_at))
         if isinstance(taken, Taken):
             answer = keeper.applied(taken)
-            self.house.answered(self.now, sent.proxy, sent.order, answer.headers["etag"], sent.ordered)
+            self.core.on_acknowledgement(self.now, sent.proxy, sent.message, answer.headers["etag"], sent.queued_at)
         else:
-            self.house.fault(self.now, sent.proxy, f"{taken.status}")
+            self.core.on_stream_fault(self.now, sent.proxy, f"{taken.status}")
 
     def run(self, seconds: float) -> None:
         for _ in range(int(seconds * 100)):
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -23,7 +23,7 @@
 from onyxhead.settings.load import Agent, Log, Route
 from onyxhead.tables.orders import Books, Place
 from onyxhead.tables.view import View
-from tests.fleetrig import line, request_of
+from tests.controller_rig import line, request_of
 
 ROUTES = (Route("read", "/r", 0.5, 1), Route("write", "/w", 1.0, 0))
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -10,7 +10,7 @@
 import pytest
 
 from onyxhead.fleet.budget import MOST_LENT, Budget, Life, Odd, Strain, read
-from tests.fleetrig import Rig, entry
+from tests.controller_rig import Rig, entry
 
 SECOND = 10_000
 LIFE = Life("b0", 100 * SECOND)
@@ -210,17 +210,17 @@
     budgets = {name: Budget(name, 0, [], Disk().keep) for name in rigs}
     for step in range(300):
         for name, rig in rigs.items():
-            for proxy in rig.house.brain.proxies.values():
+            for proxy in rig.core.policy.proxies.values():
                 proxy.rates = [5.0, 5.0] if step <= 100 else [100.0, 100.0] if name == "busy" else [0.1, 0.1]
             if step == 150:
                 rig.entries["b9"] = entry("b9", started=rig.now / SECOND)
                 rig.publish()
             rig.run(0.05)
             if shared:
-                rig.house.shared(rig.now, budgets[name])
+                rig.core.update_budget_shares(rig.now, budgets[name])
                 other = "idle" if name == "busy" else "busy"
                 budgets[name].told(other, read(budgets[other].word().plain()))
-    return brought(rigs["busy"]), [rig.house.brain.backends["b9"].share for rig in rigs.values()]
+    return brought(rigs["busy"]), [rig.core.policy.backends["b9"].share for rig in rigs.values()]
 
 
 def test_a_controller_in_a_burst_uses_what_the_idle_one_leaves_at_a_cold_backend() -> None:
--- a/tests/test_house.py
+++ b/tests/test_controller_core.py
@@ -18,7 +18,7 @@
 from onyxhead.policy.inputs import ChannelLimits, WatchEvent
 from onyxhead.tables.orders import Place
 from onyxhead.tables.view import View
-from tests.fleetrig import SECOND, ZONES, Rig, entry, line, request_of
+from tests.controller_rig import SECOND, ZONES, Rig, entry, line, request_of
 
 LIMITS = ChannelLimits(100.0, 6.0, 50.0, 0, 0, 3, SECOND)
 
@@ -26,43 +26,43 @@
 def test_messages_leave_in_order_at_the_pace() -> None:
     channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     for proxy in (1, 2):
-        channel.join(proxy)
-        channel.offer(0, proxy, f"to {proxy}", 10)
-    assert channel.next_at() == 1000 and channel.leave_now(999) == []
-    assert [sent.order for sent in channel.leave_now(1000)] == ["to 1"]
-    assert [sent.order for sent in channel.leave_now(5000)] == ["to 2"]
+        channel.add_proxy(proxy)
+        channel.enqueue(0, proxy, f"to {proxy}", 10)
+    assert channel.next_event_at() == 1000 and channel.release_due(999) == []
+    assert [sent.message for sent in channel.release_due(1000)] == ["to 1"]
+    assert [sent.message for sent in channel.release_due(5000)] == ["to 2"]
 
 
 def test_what_would_wait_beyond_the_limit_is_refused_and_not_queued() -> None:
     channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
-    channel.join(1)
-    channel.offer(0, 1, "a", 40)
+    channel.add_proxy(1)
+    channel.enqueue(0, 1, "a", 40)
     with pytest.raises(QueueFullError):
-        channel.offer(0, 1, "b", 11)
-    assert channel.waiting == 40
+        channel.enqueue(0, 1, "b", 11)
+    assert channel.queued_lines == 40
 
 
 def test_no_more_messages_are_written_to_one_proxy_than_the_cap() -> None:
     channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
-    channel.join(1)
+    channel.add_proxy(1)
     for _ in range(3):
-        channel.offer(0, 1, "a", 1)
+        channel.enqueue(0, 1, "a", 1)
     with pytest.raises(QueueFullError):
-        channel.offer(SECOND - 1, 1, "a", 1)
-    channel.offer(SECOND + 1, 1, "a", 1)
+        channel.enqueue(SECOND - 1, 1, "a", 1)
+    channel.enqueue(SECOND + 1, 1, "a", 1)
 
 
 def test_a_stream_that_takes_nothing_holds_only_its_own_back_counts_on_and_is_given_up() -> None:
     channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     for proxy in (1, 2):
-        channel.join(proxy)
-    channel.offer(0, 1, "a", 10)
-    channel.offer(0, 2, "b", 10)
-    assert len(channel.leave_now(2000)) == 2
-    channel.taken(2)
-    assert channel.waiting == 10 and channel.stuck(SECOND + 2001) == [1]
-    channel.leave(1)
-    assert channel.waiting == 0 and channel.stuck(9 * SECOND) == []
+        channel.add_proxy(proxy)
+    channel.enqueue(0, 1, "a", 10)
+    channel.enqueue(0, 2, "b", 10)
+    assert len(channel.release_due(2000)) == 2
+    channel.on_written(2)
+    assert channel.queued_lines == 10 and channel.stalled_proxies(SECOND + 2001) == [1]
+    channel.remove_proxy(1)
+    assert channel.queued_lines == 0 and channel.stalled_proxies(9 * SECOND) == []
 
 
 def body(*backends: dict[str, Any], version: int = 1) -> bytes:
@@ -92,23 +92,23 @@
 
 def test_a_list_that_goes_back_or_shrinks_to_nothing_is_not_followed() -> None:
     own = follower()
-    own.follow(EndpointList(5, (entry("b1"),)))
+    own.update(EndpointList(5, (entry("b1"),)))
     with pytest.raises(InvalidEndpointListError, match="older"):
-        own.follow(EndpointList(4, (entry("b2"),)))
+        own.update(EndpointList(4, (entry("b2"),)))
     with pytest.raises(InvalidEndpointListError, match="none"):
-        own.follow(EndpointList(6, ()))
+        own.update(EndpointList(6, ()))
     assert own.last == EndpointList(5, (entry("b1"),))
 
 
 def test_changes_name_what_left_and_a_newcomer_with_no_start_counts_as_just_started() -> None:
     own = follower()
-    first = own.follow(EndpointList(1, (entry("b1"), entry("b2"))))
-    assert first is not None and first.kind is WatchEvent.SNAPSHOT and {e.started_at for e in first.listed} == {0}
-    news = own.follow(EndpointList(2, (entry("b2"), entry("b3"), entry("b4", zone="moon"))))
-    assert news is not None and [(e.backend, e.ready, e.started_at) for e in news.listed] == [
+    first = own.update(EndpointList(1, (entry("b1"), entry("b2"))))
+    assert first is not None and first.event is WatchEvent.SNAPSHOT and {e.started_at for e in first.endpoints} == {0}
+    news = own.update(EndpointList(2, (entry("b2"), entry("b3"), entry("b4", zone="moon"))))
+    assert news is not None and [(e.backend, e.ready, e.started_at) for e in news.endpoints] == [
         ("b3", True, 50 * SECOND), ("b1", False, 0),
     ]  # fmt: skip
-    assert "moon" in news.notes[0] and own.follow(EndpointList(2, own.last.entries if own.last else ())) is None
+    assert "moon" in news.warnings[0] and own.update(EndpointList(2, own.last.entries if own.last else ())) is None
 
 
 def test_the_clock_never_goes_back_and_a_start_ahead_of_it_counts_as_now() -> None:
@@ -116,7 +116,7 @@
     clock = Clock(lambda: wall[0], lambda: steady[0])
     wall[0], steady[0] = 10.0, 6.0
     assert clock.now() == 1001 * SECOND
-    assert clock.of_wall(2000.0) == clock.now() and clock.of_wall(500.0) == 500 * SECOND
+    assert clock.from_wall_time(2000.0) == clock.now() and clock.from_wall_time(500.0) == 500 * SECOND
 
 
 def load_report_of(backend: str = "127.0.0.1:9001", **endpoint: Any) -> dict[str, Any]:
@@ -129,8 +129,8 @@
 def test_sums_are_read_from_a_load_report() -> None:
     latency = {"metric_name": "latency_ms", "num_requests_finished_with_metric": "8", "total_metric_value": 400.0}
     told = request_statistics.read(load_report_of(total_error_requests="2", load_metric_stats=[latency]))
-    assert told.met == {"127.0.0.1:9001": request_statistics.BackendStatistics(10, 2, 4000.0, 15_000, None)}
-    assert told.flows == {"read": (2, 15_000)}
+    assert told.backends == {"127.0.0.1:9001": request_statistics.BackendStatistics(10, 2, 4000.0, 15_000, None)}
+    assert told.request_counts == {"read": (2, 15_000)}
 
 
 @pytest.mark.parametrize("bad", [{"total_error_requests": "-1"}, {"total_error_requests": 1e99}, {"address": 5}])
@@ -142,26 +142,28 @@
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -1.0, "1", 7.0])
 def test_a_load_that_can_not_be_is_left_out(value: object) -> None:
     stats = [{"metric_name": "cpu_utilization", "total_metric_value": value}]
-    assert request_statistics.read(load_report_of(load_metric_stats=stats)).met["127.0.0.1:9001"].busy is None
+    assert (
+        request_statistics.read(load_report_of(load_metric_stats=stats)).backends["127.0.0.1:9001"].utilization is None
+    )
 
 
 def test_sums_count_once_whatever_their_order_and_those_of_strangers_never() -> None:
     rig = Rig(proxies=1)
     told = request_statistics.read(load_report_of("127.0.0.1:9001"))
-    assert rig.house.summed(rig.now, "p0", "x", 5, told)
-    assert not rig.house.summed(rig.now, "p0", "x", 5, told)
-    assert rig.house.summed(rig.now, "p0", "x", 3, told)
-    assert not rig.house.summed(rig.now, "p9", "x", 1, told)
-    assert rig.house.summed(rig.now, "p0", "restarted", 5, told)
-    rig.house.summed(rig.now, "p0", "x", 6, request_statistics.read(load_report_of("127.0.0.1:9999")))
-    met, _ = rig.house.gathered.tell()
-    assert [(backend, own.tries) for _, backend, own, _ in met] == [("b1", 24)]
-    assert rig.house.gathered.unknown == 8
+    assert rig.core.on_request_statistics(rig.now, "p0", "x", 5, told)
+    assert not rig.core.on_request_statistics(rig.now, "p0", "x", 5, told)
+    assert rig.core.on_request_statistics(rig.now, "p0", "x", 3, told)
+    assert not rig.core.on_request_statistics(rig.now, "p9", "x", 1, told)
+    assert rig.core.on_request_statistics(rig.now, "p0", "restarted", 5, told)
+    rig.core.on_request_statistics(rig.now, "p0", "x", 6, request_statistics.read(load_report_of("127.0.0.1:9999")))
+    met, _ = rig.core.statistics.drain()
+    assert [(backend, own.attempts) for _, backend, own, _ in met] == [("b1", 24)]
+    assert rig.core.statistics.unknown_attempts == 8
 
 
 def test_a_report_far_older_than_the_last_is_not_counted() -> None:
     gate = request_statistics.DuplicateFilter()
-    assert gate.fresh("p", "x", 1000) and not gate.fresh("p", "x", 900)
+    assert gate.is_new("p", "x", 1000) and not gate.is_new("p", "x", 900)
 
 
 def test_load_headers_in_both_forms() -> None:
@@ -178,13 +180,13 @@
 
 def test_one_broken_stream_costs_no_wait_and_repeated_faults_ever_longer_ones() -> None:
     door = JoinBackoff()
-    door.fault(0, "p")
-    assert door.wait(1, "p") == 0
+    door.on_stream_fault(0, "p")
+    assert door.remaining(1, "p") == 0
     waits = []
     for now in range(SECOND, 7 * SECOND, SECOND):
-        door.fault(now, "p")
-        waits.append(door.wait(now, "p"))
-    assert waits == sorted(waits) and waits[-1] > 5 * SECOND and door.wait(10**9, "p") == 0
+        door.on_stream_fault(now, "p")
+        waits.append(door.remaining(now, "p"))
+    assert waits == sorted(waits) and waits[-1] > 5 * SECOND and door.remaining(10**9, "p") == 0
 
 
 # All together
@@ -228,14 +230,14 @@
     rig.run(2)
     rig.slow.add("p0")
     rig.set("b2", "draining")
-    sent = [each for _ in range(20) for each in rig.step().leaving if rig.name(each) == "p0"]
-    taken = rig.keepers["p0"].take(request_of(sent[0].order, "p0", sent[0].ordered))
+    sent = [each for _ in range(20) for each in rig.step().deliveries if rig.name(each) == "p0"]
+    taken = rig.keepers["p0"].take(request_of(sent[0].message, "p0", sent[0].queued_at))
     assert isinstance(taken, Taken)
     rig.keepers["p0"].applied(taken)
     rig.lose("p0")
     rig.slow.clear()
     rig.join("p0")
-    assert rig.house.books.views[rig.house.number("p0")].tag == rig.keepers["p0"].view.tag
+    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].tag == rig.keepers["p0"].view.tag
     rig.run(2)
     assert rig.lines("p0") == rig.lines("p1") and "b2" not in rig.lines("p0")
 
@@ -268,7 +270,7 @@
     assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.keepers)
     # Bound again well before whole tables could have been sent: 100 x 69 lines take 6.6 s, beside 2.8 s of withdrawals.
     second.run(6.4 - after - grace)
-    assert all(second.house.books.bound(proxy) for proxy in second.house.joined)
+    assert all(second.core.proxy_tables.bound(proxy) for proxy in second.core.joined)
     second.run(12)
     assert all(len(second.lines(name)) == 45 for name in second.keepers)
 
@@ -280,10 +282,10 @@
     rig.set("b7", "draining")
     rig.run(2)
     rig.join("p0")
-    sent = [each for _ in range(100) for each in rig.step().leaving if rig.name(each) == "p0"]
+    sent = [each for _ in range(100) for each in rig.step().deliveries if rig.name(each) == "p0"]
     assert 0 < sum(each.lines for each in sent) < 30
     assert rig.lines("p0") == rig.lines("p1") and len(rig.lines("p0")) == 29
-    assert rig.house.books.views[rig.house.number("p0")].tag == rig.keepers["p0"].view.tag
+    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].tag == rig.keepers["p0"].view.tag
 
 
 def test_a_slow_proxy_delays_no_one_and_is_given_up() -> None:
@@ -294,8 +296,8 @@
     rig.run(0.5)
     assert all("b4" not in rig.lines(name) for name in ("p0", "p2", "p3"))
     rig.run(3)
-    assert rig.house.number("p1") not in rig.house.joined
-    assert any(cut.name == "p1" for work in rig.works for cut in work.cuts)
+    assert rig.core.proxy_number("p1") not in rig.core.joined
+    assert any(cut.name == "p1" for work in rig.works for cut in work.disconnects)
 
 
 def test_an_agent_that_holds_another_view_is_given_up_and_gets_the_whole_at_its_next_join() -> None:
@@ -304,7 +306,7 @@
     rig.keepers["p0"].view = rig.keepers["p0"].view.set(("withdrawn", "b1"), True)
     rig.set("b5", "draining")
     rig.run(1)
-    assert rig.house.number("p0") not in rig.house.joined
+    assert rig.core.proxy_number("p0") not in rig.core.joined
     rig.join("p0")
     rig.run(2)
     assert rig.lines("p0") == rig.lines("p1") == {f"b{n}": 1_000_000 for n in range(5)}
@@ -315,19 +317,21 @@
     rig.step()
     rig.join("p0")
     rig.run(1)
-    assert len(rig.house.joined) == 1 and len(rig.lines("p0")) == 6
+    assert len(rig.core.joined) == 1 and len(rig.lines("p0")) == 6
 
 
 def test_orders_beyond_the_limit_are_refused_and_the_proxy_joins_anew() -> None:
     rig = Rig(backends=6, proxies=1, max_queued_lines=40.0, lines_per_second=10_000.0)
     rig.run(1)
-    number = rig.house.number("p0")
-    message = rig.house.books.messages(9, [TableChange(0, tuple((f"b{n % 6}", 1 + n / 100) for n in range(60)))])[0]
-    rig.house._send(rig.now, message)
-    assert number not in rig.house.joined and rig.house.counts["refused by the limit"] == 1
+    number = rig.core.proxy_number("p0")
+    message = rig.core.proxy_tables.messages(9, [TableChange(0, tuple((f"b{n % 6}", 1 + n / 100) for n in range(60)))])[
+        0
+    ]
+    rig.core._enqueue(rig.now, message)
+    assert number not in rig.core.joined and rig.core.counts["refused by the limit"] == 1
     rig.join("p0")
     rig.run(2)
-    assert rig.house.books.views[number].tag == rig.keepers["p0"].view.tag
+    assert rig.core.proxy_tables.views[number].tag == rig.keepers["p0"].view.tag
 
 
 def test_a_backend_that_moves_to_another_address_is_withdrawn_before_it_is_listed_anew() -> None:
@@ -335,7 +339,7 @@
     rig.run(2)
     rig.entries["b1"] = entry("b1", address="127.0.0.1:7777", started=rig.now / SECOND)
     rig.publish()
-    assert rig.house.books.withdrawn and rig.house.books.places["b1"] == Place("127.0.0.1:7777", ZONES[1])
+    assert rig.core.proxy_tables.withdrawn and rig.core.proxy_tables.places["b1"] == Place("127.0.0.1:7777", ZONES[1])
     rig.run(3)
     held = rig.keepers["p0"].view
     lines = held.kind("tables", "t0", "lines")
@@ -366,7 +370,7 @@
     rig.run(25)
     up = {b for b, e in rig.entries.items() if e.state == "ready"}
     for name, keeper in rig.keepers.items():
-        assert keeper.view.tag == rig.house.books.views[rig.house.number(name)].tag
+        assert keeper.view.tag == rig.core.proxy_tables.views[rig.core.proxy_number(name)].tag
         assert set(rig.lines(name)) == up
     assert rig.most <= rig.start.channel.max_queued_lines
 
@@ -378,11 +382,11 @@
     rig.run(3)
     assert all(("withdrawn", "b2") in keeper.view.leaves for keeper in rig.keepers.values())
     before = {name: keeper.view.tag for name, keeper in rig.keepers.items()}
-    told = rig.house.books.messages(99, [Withdrawal("b2", True)])
+    told = rig.core.proxy_tables.messages(99, [Withdrawal("b2", True)])
     assert told == [] and before == {name: keeper.view.tag for name, keeper in rig.keepers.items()}
     # A line of a withdrawn backend, as held tables might bring it, never comes without its withdrawal.
     for keeper in rig.keepers.values():
         assert "b2" not in keeper.view.kind("tables", "t0", "lines")
     rig.join("p9")
-    messages = rig.house.books.messages(100, [TableChange(0, (("b2", 1.0),))])
+    messages = rig.core.proxy_tables.messages(100, [TableChange(0, (("b2", 1.0),))])
     assert messages and all(("withdrawn", "b2") in message.result.leaves for message in messages)
--- a/tests/test_sockets.py
+++ b/tests/test_controller_server.py
@@ -18,7 +18,7 @@
 from onyxhead.http.server import Server
 from onyxhead.settings.load import Agent as AgentSettings
 from onyxhead.settings.load import Controller, read
-from tests.fleetrig import stream_of
+from tests.controller_rig import stream_of
 
 CONTROLLER = """
 name: "c1", zone: "north", zones: ["north"], listen: "127.0.0.1:0", state: "state"
@@ -62,7 +62,7 @@
         assert isinstance(settings, Controller)
         daemon = ControllerServer(settings)
         self.tasks.append(asyncio.create_task(daemon.run()))
-        await until(lambda: daemon.server.listener and daemon.house.listed)
+        await until(lambda: daemon.http_server.listener and daemon.core.endpoints)
         return daemon
 
     async def agent(self, name: str, port: int) -> Agent:
@@ -80,8 +80,8 @@
 
 
 def port_of(daemon: ControllerServer) -> int:
-    assert daemon.server.listener is not None
-    return int(daemon.server.listener.sockets[0].getsockname()[1])
+    assert daemon.http_server.listener is not None
+    return int(daemon.http_server.listener.sockets[0].getsockname()[1])
 
 
 def play(folder: Path, work: Callable[[Running], Awaitable[None]]) -> None:
@@ -136,15 +136,15 @@
         port = port_of(first)
         agent = await running.agent("p1", port)
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        first.over.set()
+        first.stopping.set()
         await until(lambda: agent.lost.is_set())
         assert len(shown(tmp_path, "p1")) == 3
         list_of(tmp_path, 2, BACKENDS[1:])
         second = await running.controller()
-        assert second.house.epoch == 2
+        assert second.core.epoch == 2
         agent.settings = agent.settings._replace(controllers=(("127.0.0.1", port_of(second)),))
         await until(lambda: shown(tmp_path, "p1") == {9002, 9003})
-        await until(lambda: second.house.books.views[0].tag == agent.keeper.view.tag)
+        await until(lambda: second.core.proxy_tables.views[0].tag == agent.keeper.view.tag)
 
     play(tmp_path, work)
 
@@ -178,7 +178,7 @@
         await until(lambda: agent.keeper.stream not in ("", old) and not agent.lost.is_set())
         request = Request("HEAD", "/v1/view", {"onyxhead-stream": old})
         assert (await ask_once(("127.0.0.1", agent.push[1]), request, 1.0)).status == 409
-        await until(lambda: len(controller.house.joined) == 1 and len(controller.lines) == 1)
+        await until(lambda: len(controller.core.joined) == 1 and len(controller.streams) == 1)
 
     play(tmp_path, work)
 
@@ -188,13 +188,13 @@
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
         await until(lambda: agent.swaps and len(shown(tmp_path, "p1")) == 3)
-        number = controller.house.number("p1")
+        number = controller.core.proxy_number("p1")
         from onyxhead.policy.decisions import TableChange
 
-        (one,) = controller.house.books.messages(90, [TableChange(0, (("b1", 0.5),))])
-        controller.house.books.views[number] = agent.keeper.view
-        (two,) = controller.house.books.messages(91, [TableChange(0, (("b2", 0.25),))])
-        from tests.fleetrig import request_of
+        (one,) = controller.core.proxy_tables.messages(90, [TableChange(0, (("b1", 0.5),))])
+        controller.core.proxy_tables.views[number] = agent.keeper.view
+        (two,) = controller.core.proxy_tables.messages(91, [TableChange(0, (("b2", 0.25),))])
+        from tests.controller_rig import request_of
 
         asked = [request_of(each, agent.keeper.stream, 0) for each in (one, two)]
         asked = [each._replace(headers=each.headers | {"onyxhead-token": "1"}) for each in asked]
@@ -293,8 +293,8 @@
         for _ in range(3):
             response = await ask_once(("127.0.0.1", port_of(controller)), request, 1.0)
             await asyncio.sleep(0.05)
-        assert response.status in (200, 503) and not controller.house.joined
-        assert controller.house.door.wait(controller.clock.now(), "liar") > 0
+        assert response.status in (200, 503) and not controller.core.joined
+        assert controller.core.join_backoff.remaining(controller.clock.now(), "liar") > 0
         server.close()
 
     play(tmp_path, work)
@@ -338,7 +338,7 @@
         assert isinstance(settings, Controller)
         daemon = ControllerServer(settings)
         running.tasks.append(asyncio.create_task(daemon.run()))
-        await until(lambda: daemon.house.listed)
+        await until(lambda: daemon.core.endpoints)
         assert len(asked) == 3
         server.close()
 
@@ -351,7 +351,7 @@
         for name in ("p1", "p2"):
             await running.agent(name, port_of(controller))
         await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in ("p1", "p2")))
-        real, failed = controller.house.answered, list[int]()
+        real, failed = controller.core.on_acknowledgement, list[int]()
 
         def failing(now: int, proxy: int, *rest: Any) -> None:
             if not failed:
@@ -359,10 +359,10 @@
                 raise RuntimeError("unforeseen")
             real(now, proxy, *rest)
 
-        monkeypatch.setattr(controller.house, "answered", failing)
+        monkeypatch.setattr(controller.core, "on_acknowledgement", failing)
         list_of(tmp_path, 2, BACKENDS[1:])
         await until(lambda: all(shown(tmp_path, name) == {9002, 9003} for name in ("p1", "p2")))
-        await until(lambda: failed and len(controller.house.joined) == 2)
+        await until(lambda: failed and len(controller.core.joined) == 2)
         assert not running.tasks[0].done()
 
     play(tmp_path, work)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
 from onyxhead.settings.load import Controller
 from onyxhead.settings.load import read as read_settings
 from onyxhead.trial.run import free_ports
-from tests.test_sockets import AGENT, CONTROLLER, Running, play, shown, until
+from tests.test_controller_server import AGENT, CONTROLLER, Running, play, shown, until
 
 SECOND = 10_000
 BEAT = 200
@@ -446,13 +446,13 @@
         assert isinstance(settings, Controller)
         daemons.append(ControllerServer(settings))
         running.tasks.append(asyncio.create_task(daemons[-1].run()))
-    await until(lambda: all(d.alliance and len(d.alliance.coalition.serving()) == 3 for d in daemons))
+    await until(lambda: all(d.fleet and len(d.fleet.coalition.serving()) == 3 for d in daemons))
     return daemons
 
 
 def test_proxies_are_shared_taken_over_and_handed_over_by_daemons(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
-        import tests.test_sockets as sockets
+        import tests.test_controller_server as sockets
 
         daemons = await three(running, tmp_path)
         listed = ", ".join(f'"127.0.0.1:{d.settings.listen[1]}"' for d in daemons)
@@ -464,7 +464,7 @@
         names = {f"p{n}" for n in range(6)}
 
         def served(own: list[ControllerServer]) -> list[set[str]]:
-            return [{known.name for known in d.house.joined.values()} for d in own]
+            return [{known.name for known in d.core.joined.values()} for d in own]
 
         await until(lambda: set().union(*served(daemons)) == names and all(shown(tmp_path, n) for n in names))
         await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in names))
@@ -474,7 +474,7 @@
         tokens = {agent.settings.name: agent.keeper.fence.held for agent in agents}
         # One dies; the others take its proxies, under higher tokens.
         lost = served(daemons)[0]
-        daemons[0].over.set()
+        daemons[0].stopping.set()
         await until(lambda: set().union(*served(daemons[1:])) == names, 10.0)
         assert all(a.keeper.fence.held > tokens[a.settings.name] for a in agents if a.settings.name in lost)
         # A member is put in and taken out while all run, and it is on disk.
@@ -510,8 +510,8 @@
 def test_an_order_under_an_older_token_is_refused_with_the_one_that_holds_also_after_a_restart(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
-        assert controller.server.listener is not None
-        port = int(controller.server.listener.sockets[0].getsockname()[1])
+        assert controller.http_server.listener is not None
+        port = int(controller.http_server.listener.sockets[0].getsockname()[1])
         first = await running.agent("p1", port)
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
         first.over.set()
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Versions of tables, and the way back: cores, the house, the store, the command."""
+"""Versions of tables, and the way back: cores, the controller core, the store, the command."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from onyxhead.store.store import Store
 from onyxhead.tables.history import History, Refused, Truth, Unknown, diff, overlay, plan
 from onyxhead.tables.view import MODULUS, leaf_hash
-from tests.fleetrig import SECOND, Rig, request_of
-from tests.test_sockets import Running, list_of, play, port_of, shown, until
+from tests.controller_rig import SECOND, Rig, request_of
+from tests.test_controller_server import Running, list_of, play, port_of, shown, until
 
 FULL = 1_000_000
 
@@ -95,20 +95,20 @@
     assert overlay(Map(), now, Truth({}), 0, [0]) == {}
 
 
-# In the house
+# In the controller core
 
 
 def rolled(rig: Rig, version: str = "1", seconds: float = 60.0) -> None:
-    rig.house.roll_back(rig.now, version, seconds)
+    rig.core.roll_back(rig.now, version, seconds)
 
 
 def worsened() -> Rig:
     """All proxies on a table in which somebody has made b1 and b2 carry nearly nothing."""
     rig = Rig(proxies=4)
     rig.run(2)
-    messages = rig.house.books.messages(0, [TableChange(0, (("b1", 0.001), ("b2", 0.001)))])
+    messages = rig.core.proxy_tables.messages(0, [TableChange(0, (("b1", 0.001), ("b2", 0.001)))])
     for message in messages:
-        rig.house._send(rig.now, message)
+        rig.core._enqueue(rig.now, message)
     rig.run(0.5)
     assert rig.lines("p0")["b1"] == 1000
     return rig
@@ -124,7 +124,7 @@
     rig.set("b3", "draining")
     rig.run(1)
     assert all(set(rig.lines(name)) == {"b0", "b1", "b2", "b4", "b5"} for name in rig.keepers)
-    assert rig.house.release(rig.now, "test") and not rig.house.release(rig.now, "again")
+    assert rig.core.release(rig.now, "test") and not rig.core.release(rig.now, "again")
     rig.run(1)
     assert rig.lines("p0")["b1"] == 1000 and "b3" not in rig.lines("p0")
 
@@ -136,7 +136,7 @@
     rig.run(3)
     assert 0 < rig.lines("p0")["b7"] <= FULL // 3 and rig.lines("p0")["b1"] == FULL
     rig.run(4)
-    assert rig.house.pin is None and rig.lines("p0")["b1"] == 1000
+    assert rig.core.pin is None and rig.lines("p0")["b1"] == 1000
     rig.join("p9")
     rig.run(1)
     assert rig.lines("p9") == rig.lines("p0")
@@ -148,16 +148,16 @@
     rig.step()
     rolled(rig, "2")
     rig.run(1)
-    assert rig.house.pin is not None and rig.house.pin.version.number == 2 and rig.lines("p0")["b1"] == 1000
+    assert rig.core.pin is not None and rig.core.pin.version.number == 2 and rig.lines("p0")["b1"] == 1000
 
 
 def test_a_rollback_at_size_goes_out_within_the_channels_share() -> None:
     rig = Rig(backends=60, proxies=30, lines_per_second=3000.0, max_queued_lines=3000.0)
     rig.run(4)
-    first = rig.house.history.last.number
+    first = rig.core.history.last.number
     changed = tuple((f"b{n}", 0.5) for n in range(50))
-    for message in rig.house.books.messages(0, [TableChange(0, changed)]):
-        rig.house._send(rig.now, message)
+    for message in rig.core.proxy_tables.messages(0, [TableChange(0, changed)]):
+        rig.core._enqueue(rig.now, message)
     rig.run(2)
     rolled(rig, str(first))
     rig.most = 0.0
@@ -171,13 +171,13 @@
 
     for name in rig.keepers:
         met = {"127.0.0.1:9001": request_statistics.BackendStatistics(40, bad.get(name, 1), 400.0, SECOND)}
-        rig.house.summed(rig.now, name, "x", number, request_statistics.RequestStatistics(met, {}))
+        rig.core.on_request_statistics(rig.now, name, "x", number, request_statistics.RequestStatistics(met, {}))
 
 
 def on_trial(seconds: float = 20.0) -> tuple[Rig, str, list[str]]:
     """A version tried on one of four proxies."""
     rig = worsened()
-    _, canary = rig.house.try_version(rig.now, "1", 0.25, seconds)
+    _, canary = rig.core.start_canary(rig.now, "1", 0.25, seconds)
     (name,) = canary.proxies
     rig.run(2.5)
     return rig, name, [other for other in rig.keepers if other != name]
@@ -194,7 +194,7 @@
     rig.run(1)
     assert rig.lines(name)["b1"] == FULL
     with pytest.raises(Refused, match="on trial already"):
-        rig.house.try_version(rig.now, "1", 0.25, 5.0)
+        rig.core.start_canary(rig.now, "1", 0.25, 5.0)
 
 
 def test_a_trial_that_loses_more_than_chance_is_taken_back_by_itself() -> None:
@@ -203,18 +203,18 @@
         report(rig, number, **{name: 20})
         rig.run(0.5)
     rig.run(1)
-    assert rig.house.canary is None and rig.house.pin is None and not rig.house.books.apart
+    assert rig.core.canary is None and rig.core.pin is None and not rig.core.proxy_tables.apart
     assert rig.lines(name)["b1"] == 1000
-    assert any("worse than the others" in told for work in rig.works for told in work.remarks)
+    assert any("worse than the others" in told for work in rig.works for told in work.log_messages)
 
 
 def test_a_handful_of_flows_decides_nothing_and_does_not_promote() -> None:
     rig, name, others = on_trial(seconds=6.0)
     report(rig, 1, **{name: 40})
     rig.run(1)
-    assert rig.house.canary is not None
+    assert rig.core.canary is not None
     rig.run(6)
-    assert rig.house.canary is None and rig.lines(name)["b1"] == 1000 == rig.lines(others[0])["b1"]
+    assert rig.core.canary is None and rig.lines(name)["b1"] == 1000 == rig.lines(others[0])["b1"]
 
 
 def test_a_trial_that_does_no_worse_is_held_for_all_in_the_end() -> None:
@@ -222,9 +222,9 @@
     for number in range(4):
         report(rig, number)
         rig.run(0.5)
-    assert rig.house.canary is not None
+    assert rig.core.canary is not None
     rig.run(4)
-    assert rig.house.canary is None and rig.house.pin is not None and not rig.house.books.apart
+    assert rig.core.canary is None and rig.core.pin is not None and not rig.core.proxy_tables.apart
     assert all(rig.lines(each)["b1"] == FULL for each in [name, *others])
 
 
@@ -246,9 +246,9 @@
 def test_tables_that_are_pinned_stay_as_they_are_but_for_what_rules_demand() -> None:
     rig = Rig(proxies=2)
     rig.run(2)
-    assert rig.house.freeze(rig.now, 60.0) == rig.house.history.last.number
-    for message in rig.house.books.messages(0, [TableChange(0, (("b1", 0.001),))]):
-        rig.house._send(rig.now, message)
+    assert rig.core.freeze(rig.now, 60.0) == rig.core.history.last.number
+    for message in rig.core.proxy_tables.messages(0, [TableChange(0, (("b1", 0.001),))]):
+        rig.core._enqueue(rig.now, message)
     rig.set("b2", "draining")
     rig.run(2)
     assert rig.lines("p0")["b1"] == FULL and "b2" not in rig.lines("p0")
@@ -256,16 +256,16 @@
 
 def test_questions_are_answered_in_plain_values() -> None:
     rig = worsened()
-    house, now = rig.house, rig.now
+    core, now = rig.core, rig.now
 
     def to(what: str, **given: object) -> object:
-        return ask(house, now, what, given, lambda _: None)
+        return ask(core, now, what, given, lambda _: None)
 
     assert [row["version"] for row in to("log")] == [2, 1]  # type: ignore[attr-defined]
     assert to("diff", one=1, two=2)[0] == {"table": 0, "backend": "b1", "before": FULL, "after": 1000}  # type: ignore[index]
     assert to("label", label="good", version=1) and to("show", version="good")["tables"]["0"]["b1"] == FULL  # type: ignore[index]
     assert len(to("blame", backend="b1")) == 2  # type: ignore[arg-type]
-    assert to("preview", version="good")["lines"] == 2 and house.pin is None  # type: ignore[index]
+    assert to("preview", version="good")["lines"] == 2 and core.pin is None  # type: ignore[index]
     for what, given in (("rollback", {"version": "1", "seconds": -1}), ("what", {}), ("show", {})):
         with pytest.raises((ValueError, KeyError)):
             to(what, **given)
@@ -299,7 +299,7 @@
         controller = await running.controller()
         await running.agent("p1", port_of(controller))
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        good = controller.house.history.last.number
+        good = controller.core.history.last.number
         entries = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north", "weight": 1} for n in (1, 2, 3)]
         list_of(tmp_path, 2, [entries[0] | {"weight": 0.01}, entries[1] | {"weight": 0.01}, entries[2]])
         await until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
@@ -319,11 +319,11 @@
         code, told = await command("tables", "release")
         assert code == 0 and told.endswith("released\n")
         await until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
-        controller.over.set()
+        controller.stopping.set()
         await until(lambda: running.tasks[0].done())
         second = await running.controller()
-        assert second.house.history.find("good").number == good
-        assert second.house.history.last.number > good and SECOND == 10_000
+        assert second.core.history.find("good").number == good
+        assert second.core.history.last.number > good and SECOND == 10_000
 
     play(tmp_path, work)
 
@@ -336,10 +336,10 @@
     first.run(2)
     second.set("b3", "draining")
     second.run(2)
-    one, two = first.house.history.last, second.house.history.last
+    one, two = first.core.history.last, second.core.history.last
     assert one.number == two.number and one.tag != two.tag
     # The proxy is handed over; an order of the first controller's version, late on its way, finds another view.
-    late = first.house.books.messages(77, [TableChange(0, (("b2", 0.5),))])[0]
+    late = first.core.proxy_tables.messages(77, [TableChange(0, (("b2", 0.5),))])[0]
     second.keepers = {"p0": first.keepers["p0"]}
     second.join("p0")
     second.run(2)
@@ -347,7 +347,7 @@
     refused = second.keepers["p0"].take(request_of(late, "p0", second.now))
     assert not isinstance(refused, Taken) and refused.status == 412 and second.keepers["p0"].view.tag == held
     # By that number each controller finds its own version, and what it would bring back.
-    assert second.house.history.find(str(two.number)).tag == two.tag
+    assert second.core.history.find(str(two.number)).tag == two.tag
     with pytest.raises(Refused, match="already"):
-        second.house.roll_back(second.now, str(two.number), 60.0)
-    assert {b for _, b in first.house.history.find(str(one.number)).lines} == {"b0", "b2", "b3", "b4"}
+        second.core.roll_back(second.now, str(two.number), 60.0)
+    assert {b for _, b in first.core.history.find(str(one.number)).lines} == {"b0", "b2", "b3", "b4"}
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -14,7 +14,7 @@
 from onyxhead.incident.page import page
 from onyxhead.incident.timeline import Life, Records, Stretch, courses, disagreements, events, gaps
 from onyxhead.operate.fleet import command as send
-from tests.test_sockets import BACKENDS, Running, list_of, play, port_of, shown, until
+from tests.test_controller_server import BACKENDS, Running, list_of, play, port_of, shown, until
 
 NOW = 1_000_000.0
 
@@ -118,7 +118,7 @@
         script.extend([(time.time(), "ann: drain b2: applied"), (time.time(), "b2 withdrawn")])
         await until(lambda: len(shown(tmp_path, "p1")) == 1)
         down.append(time.time())
-        controller.over.set()
+        controller.stopping.set()
         await until(lambda: running.tasks[0].done())
         await asyncio.sleep(2.2)
         script.append((time.time(), "began (life 2)"))
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -18,7 +18,7 @@
 from onyxhead.keys.authority import Authority, Unissued
 from onyxhead.keys.rotate import Keys, Peer, Unusable, peer_of
 from onyxhead.settings.load import Tls
-from tests.test_sockets import AGENT, Running, list_of, play, port_of, shown, until
+from tests.test_controller_server import AGENT, Running, list_of, play, port_of, shown, until
 
 NOW = datetime.datetime.now(datetime.UTC)
 
@@ -159,14 +159,14 @@
         running.more = TLS % ("c1", "c1")
         authority.issue("p2", "agent")
         controller = await running.controller()
-        import tests.test_sockets as sockets
+        import tests.test_controller_server as sockets
 
         for name in ("p1", "p2"):
             sockets.AGENT = AGENT + (TLS % (name, name)).replace("%", "%%")
             await running.agent(name, port_of(controller))
         sockets.AGENT = AGENT
         await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in ("p1", "p2")))
-        before = {line.token for line in controller.lines.values()}
+        before = {line.token for line in controller.streams.values()}
         for name in ("c1", "p1", "p2"):
             authority.renew(name)
         backends = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north"} for n in (1, 2)]
@@ -174,13 +174,13 @@
         await until(lambda: all(shown(tmp_path, name) == {9001, 9002} for name in ("p1", "p2")))
         assert controller.keys is not None
         await until(
-            lambda: not before & {line.token for line in controller.lines.values()} and len(controller.lines) == 2
+            lambda: not before & {line.token for line in controller.streams.values()} and len(controller.streams) == 2
         )
-        assert controller.house.counts["faults"] == 0
+        assert controller.core.counts["faults"] == 0
         authority.revoke("p2")
-        await until(lambda: len(controller.lines) == 1, 10.0)
+        await until(lambda: len(controller.streams) == 1, 10.0)
         await asyncio.sleep(0.5)
-        assert {known.name for known in controller.house.joined.values()} == {"p1"}
+        assert {known.name for known in controller.core.joined.values()} == {"p1"}
         assert shown(tmp_path, "p2") == {9001, 9002}
 
     play(tmp_path, work)
@@ -190,7 +190,7 @@
     async def work(running: Running) -> None:
         running.more = TLS % ("c1", "c1")
         controller = await running.controller()
-        import tests.test_sockets as sockets
+        import tests.test_controller_server as sockets
 
         names = [f"s{n}" for n in range(8)]
         for name in names:
@@ -202,7 +202,7 @@
         await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in names), 15.0)
         list_of(tmp_path, 2, [{"id": "b1", "address": "127.0.0.1:9001", "zone": "north"}])
         await until(lambda: all(shown(tmp_path, name) == {9001} for name in names), 15.0)
-        assert controller.house.counts["faults"] == 0
+        assert controller.core.counts["faults"] == 0
 
     play(tmp_path, work)
 
@@ -220,7 +220,7 @@
         assert (await ask_once(address, Request("GET", "/v1/state"), 2.0, own)).status == 200
         with pytest.raises(Exception):  # noqa: B017  # whatever the handshake makes of it
             await ask_once(address, Request("GET", "/v1/state"), 2.0)
-        import tests.test_sockets as sockets
+        import tests.test_controller_server as sockets
 
         sockets.AGENT = AGENT + (TLS % ("p1", "p1")).replace("%", "%%")
         agent = await running.agent("p1", port_of(controller))
@@ -248,8 +248,8 @@
         users = '{olga: {groups: ["ops"]}}'
         running.more = TLS % ("c1", "c1") + f'netconf: {{tls: "127.0.0.1:0", users: {users}, {rule}}}\n'
         controller = await running.controller()
-        await until(lambda: controller.front and controller.front.tls)
-        port = controller.front.tls.sockets[0].getsockname()[1]  # type: ignore[union-attr]
+        await until(lambda: controller.netconf and controller.netconf.tls)
+        port = controller.netconf.tls.sockets[0].getsockname()[1]  # type: ignore[union-attr]
         m = await asyncio.to_thread(connect, port, "olga")
         told = await asyncio.to_thread(m.get_config, "running")
         assert "drain-grace" in told.xml
--- a/tests/test_reception.py
+++ b/tests/test_load_report_ingest.py
@@ -17,8 +17,8 @@
 from onyxhead.http.messages import Request
 from onyxhead.series.courses import Courses, Unknown
 from onyxhead.trial.run import free_ports
+from tests.test_controller_server import BACKENDS, Running, list_of, play, port_of, shown, until
 from tests.test_intake import body, report
-from tests.test_sockets import BACKENDS, Running, list_of, play, port_of, shown, until
 
 
 def told(at: float, busy: float, count: int = 20) -> bytes:
@@ -36,7 +36,7 @@
 
 
 def busy(controller: ControllerServer, backend: str) -> float:
-    return controller.house.picture.busy(controller.clock.now(), backend) or 0.0
+    return controller.core.load_estimator.busy(controller.clock.now(), backend) or 0.0
 
 
 def test_reports_reach_the_picture_and_a_flood_holds_up_no_withdrawal(tmp_path: Path) -> None:
@@ -55,11 +55,11 @@
                 await post(port_of(controller), sender, told(time.time(), 0.4, 400))
 
         floods = [asyncio.create_task(flood(f"s{n}")) for n in range(4)]
-        await until(lambda: controller.reception is not None and controller.reception.counts["bodies shed"] > 20)
+        await until(lambda: controller.load_reports is not None and controller.load_reports.counts["bodies shed"] > 20)
         list_of(tmp_path, 2, [BACKENDS[0] | {"state": "draining"}, *BACKENDS[1:]])
         began = time.monotonic()
         await until(lambda: shown(tmp_path, "p1") == {9002, 9003})
-        assert time.monotonic() - began < controller.house.start.safety.drain_grace / 10_000
+        assert time.monotonic() - began < controller.core.deployment.safety.drain_grace / 10_000
         over = True
         await asyncio.gather(*floods)
         state: Any = (await ask_once(("127.0.0.1", port_of(controller)), Request("GET", "/v1/load"), 5.0)).json()
@@ -87,22 +87,24 @@
 
         await heard(0.8)
         # Whoever got which report, the fleet's one picture has each backend once.
-        assert set(controller.house.picture.known) == {"b1", "b2"}
+        assert set(controller.core.load_estimator.known) == {"b1", "b2"}
         pids = [int(each) for each in children()]
         assert len(pids) == count
         os.kill(pids[0], signal.SIGKILL)
-        await until(lambda: controller.reception is not None and controller.reception.begun == count + 1)
+        await until(
+            lambda: controller.load_reports is not None and controller.load_reports.workers_started == count + 1
+        )
         await heard(0.3)
 
     play(tmp_path, work)
 
 
 def children() -> list[str]:
-    """Receivers that this process started."""
+    """Ingest workers that this process started."""
     found = []
     for path in Path(f"/proc/{os.getpid()}/task").iterdir():
         found += (path / "children").read_text().split()
-    return [pid for pid in set(found) if "receiver" in Path(f"/proc/{pid}/cmdline").read_bytes().decode()]
+    return [pid for pid in set(found) if "ingest_worker" in Path(f"/proc/{pid}/cmdline").read_bytes().decode()]
 
 
 def test_courses_keep_gaps_as_gaps_and_stay_bounded(tmp_path: Path) -> None:
@@ -154,7 +156,9 @@
             report("b1", round(time.time() * 10_000), cpu_utilization=0.6), report("b1", 20_000, cpu_utilization=0.01)
         )
         await post(port_of(controller), "b1", mixed)
-        await until(lambda: controller.reception is not None and controller.reception.counts["reports too old"] == 1)
+        await until(
+            lambda: controller.load_reports is not None and controller.load_reports.counts["reports too old"] == 1
+        )
         assert busy(controller, "b1") == pytest.approx(0.6, abs=0.01)
 
     play(tmp_path, work)
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -28,7 +28,7 @@
 from onyxhead.fronts.netconf.framing import END, Framing, Unframed
 from onyxhead.fronts.netconf.session import Session
 from onyxhead.settings.load import Controller, Rule, User, read
-from tests.test_sockets import BACKENDS, CONTROLLER, Running, list_of, play, shown, until
+from tests.test_controller_server import BACKENDS, CONTROLLER, Running, list_of, play, shown, until
 
 GROUP = {"name": "read", "latency-budget": 5000, "expiry": 10_000, "repeats": "retriable"}
 TREE: Tree = {"group": [GROUP], "channel": {"pace": "5000.0", "most-waiting": 2000}, "guards": {"drain-grace": 20_000}}
@@ -225,8 +225,8 @@
     chance, own, plain, now = random.Random(seed), stores(), Plain(), 100.0
     for step in range(30):
         now += chance.choice((0.1, 0.1, 3.0))
-        if (back := own.overdue(now)) is not None:
-            own.done(0, back)
+        if (back := own.expired(now)) is not None:
+            own.committed(0, back)
         if plain.back and now >= plain.back[2]:
             plain.roll_back()
         what, who, value = chance.choice(WHAT), chance.choice((1, 2)), step + 1
@@ -256,23 +256,23 @@
         case ["discard"]:
             own.discard(who)
         case ["commit" | "confirmed"]:
-            own.done(who, own.commit(who, "u", now, what == "confirmed", 5))
+            own.committed(who, own.commit(who, "u", now, what == "confirmed", 5))
         case ["cancel"]:
-            own.done(who, own.cancel(who, "u"))
+            own.committed(who, own.cancel(who, "u"))
         case ["end"]:
-            if (back := own.ended(who)) is not None:
-                own.done(0, back)
+            if (back := own.close_session(who)) is not None:
+                own.committed(0, back)
 
 
 def test_a_persistent_commit_is_confirmed_by_whoever_knows_its_id() -> None:
     own = stores()
     run(own, "edit", 1, 3, 0)
-    own.done(1, own.commit(1, "u", 0.0, True, 60, persist="k"))
-    assert own.ended(1) is None and weight(own.running) == 3
+    own.committed(1, own.commit(1, "u", 0.0, True, 60, persist="k"))
+    assert own.close_session(1) is None and weight(own.running) == 3
     with pytest.raises(RpcError):
         own.commit(2, "u", 1.0, persist_id="other")
-    own.done(2, own.commit(2, "u", 1.0, persist_id="k"))
-    assert own.overdue(1000.0) is None and weight(own.running) == 3
+    own.committed(2, own.commit(2, "u", 1.0, persist_id="k"))
+    assert own.expired(1000.0) is None and weight(own.running) == 3
 
 
 # What a commit may break
@@ -293,7 +293,7 @@
         (drain("b0", "b1", "b2", "b3"), facts(), "no warm backend (rule 1)"),
         (drain("b0"), facts(backends=(BackendFacts("b0", "n", True, True), BackendFacts("b1", "n", True, False))), "rule 1"),
         (drain(*(f"b{n}" for n in range(30))), facts(40, 100), "at a time (rule 3)"),
-        (TREE | {"channel": {"most-waiting": 50}}, facts(waiting=60.0), "rule 5"),
+        (TREE | {"channel": {"most-waiting": 50}}, facts(queued_lines=60.0), "rule 5"),
         (TREE | {"group": []}, facts(), "no traffic group"),
     ],
 )  # fmt: skip
@@ -390,10 +390,10 @@
     own = stores()
     run(own, "edit", 1, 3, 0)
     commit = own.commit(1, "u", 100.0, True, 60, persist="k")
-    own.done(1, commit)
+    own.committed(1, commit)
     again = Datastores(schema.config(), [own.commits[1], commit], schema.check)
-    assert weight(again.running) == 3 and again.overdue(159.0) is None
-    back = again.overdue(161.0)
+    assert weight(again.running) == 3 and again.expired(159.0) is None
+    back = again.expired(161.0)
     assert back is not None and back.tree == TREE
 
 
@@ -464,12 +464,12 @@
 
 def test_notifications_come_live_and_from_before() -> None:
     session, sent = greeted()
-    session.desk.tell("orders-sent", {"turn": 1, "cause": ["x"]})
+    session.desk.notify("orders-sent", {"turn": 1, "cause": ["x"]})
     start = "<startTime>2020-01-01T00:00:00Z</startTime>"
     told = rpc(session, sent, f'<create-subscription xmlns="{xml.NOTIFICATION}">{start}</create-subscription>')
     assert told.index("<ok/>") < told.index("<turn>1</turn>") < told.index("replayComplete")
     sent.clear()
-    session.desk.tell("orders-sent", {"turn": 2, "cause": []})
+    session.desk.notify("orders-sent", {"turn": 2, "cause": []})
     assert b"<turn>2</turn>" in sent[0]
 
 
@@ -480,7 +480,7 @@
     rpc(session, sent, f"<edit-config><target><candidate/></target>{config}</edit-config>")
     session.receive(b"<rpc><comm")
     session.ended()
-    own = session.desk.stores
+    own = session.desk.datastores
     assert own.locks == {} and own.candidate == own.running == TREE
 
 
@@ -508,7 +508,7 @@
         desk.listeners[each.number] = each.notified
     sent.clear()
     for turn in range(60):
-        desk.tell("orders-sent", {"turn": turn, "cause": ["x" * 100_000]})
+        desk.notify("orders-sent", {"turn": turn, "cause": ["x" * 100_000]})
     assert closed and stuck.size < 5 * 1024 * 1024 and len(sent) == 60
     assert len({each.number for each in idle}) == 200 and "<ok/>" in rpc(session, sent, "<discard-changes/>")
 
@@ -548,12 +548,12 @@
     async def work(running: Running) -> None:
         running.more = RULES % (public, public)
         controller = await running.controller()
-        port = int(controller.server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
+        port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
         await running.agent("p1", port)
         await until(lambda: shown(tmp_path, "p1") == {9001, 9002, 9003})
-        assert controller.front is not None
-        await until(lambda: controller.front.ssh)
-        ssh = controller.front.ssh.get_port()  # type: ignore[union-attr]
+        assert controller.netconf is not None
+        await until(lambda: controller.netconf.ssh)
+        ssh = controller.netconf.ssh.get_port()  # type: ignore[union-attr]
         m = await asyncio.to_thread(connect, ssh)
         assert "urn:ietf:params:netconf:base:1.1" in m.server_capabilities
         await asyncio.to_thread(m.edit_config, drain_xml("b2"), target="candidate")
@@ -582,10 +582,12 @@
             await asyncio.to_thread(m.edit_config, drain_xml("b1"), target="candidate")
         assert caught.value.tag == "access-denied"
         await asyncio.to_thread(m.close_session)
-        controller.over.set()
+        controller.stopping.set()
         await until(lambda: running.tasks[0].done())
         second = await running.controller()
-        assert second.desk is not None and second.desk.stores.running["backend"] == [{"id": "b2", "drained": True}]
+        assert second.configuration is not None and second.configuration.datastores.running["backend"] == [
+            {"id": "b2", "drained": True}
+        ]
         audit = second.store._rows("select user, what, result from audit order by number")
         assert ("op", "commit", "refused: group 'read' would have no warm backend (rule 1)") in audit
 
@@ -597,10 +599,10 @@
         (tmp_path / "host").write_bytes(asyncssh.generate_private_key("ecdsa-sha2-nistp256").export_private_key())
         running.more = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
         controller = await running.controller()
-        port = int(controller.server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
+        port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
         agent = await running.agent("p1", port)
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        desk = controller.desk
+        desk = controller.configuration
         assert desk is not None
         desk.access.rules = (Rule("all", ("*",), None, None, ("*",), True),)
         for turn in range(6):
@@ -609,12 +611,12 @@
             list_of(tmp_path, 2 + turn, [*BACKENDS, fourth] if turn % 3 else BACKENDS)
             agent.lost.set()
             text = backend("b2", "", f"<drained>{out}</drained>")
-            desk.stores.put(1, "candidate", after(text, tree=desk.stores.running))
+            desk.datastores.put(1, "candidate", after(text, tree=desk.datastores.running))
             await asyncio.sleep(0.02 * turn)
             desk.commit("u", 1)
         await until(lambda: shown(tmp_path, "p1") == {9001, 9002, 9003, 9004}, 12.0)
-        number = controller.house.number("p1")
-        await until(lambda: controller.house.books.views[number].tag == agent.keeper.view.tag)
+        number = controller.core.proxy_number("p1")
+        await until(lambda: controller.core.proxy_tables.views[number].tag == agent.keeper.view.tag)
 
     play(tmp_path, work)
 
@@ -624,18 +626,18 @@
         (tmp_path / "host").write_bytes(asyncssh.generate_private_key("ecdsa-sha2-nistp256").export_private_key())
         running.more = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
         controller = await running.controller()
-        port = int(controller.server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
+        port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
         await running.agent("p1", port)
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        epoch, desk = controller.house.epoch, controller.desk
+        epoch, desk = controller.core.epoch, controller.configuration
         assert desk is not None
-        desk.stores.put(
-            1, "candidate", after("<guards><drain-grace>9000</drain-grace></guards>", tree=desk.stores.running)
+        desk.datastores.put(
+            1, "candidate", after("<guards><drain-grace>9000</drain-grace></guards>", tree=desk.datastores.running)
         )
         desk.access.rules = (Rule("all", ("*",), None, None, ("*",), True),)
         desk.commit("u", 1)
-        assert controller.house.epoch > epoch and controller.house.start.safety.drain_grace == 9000
-        await until(lambda: controller.house.applied)
+        assert controller.core.epoch > epoch and controller.core.deployment.safety.drain_grace == 9000
+        await until(lambda: controller.core.applied)
         assert json.dumps(sorted(shown(tmp_path, "p1"))) == "[9001, 9002, 9003]"
 
     play(tmp_path, work)
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -21,7 +21,7 @@
 from onyxhead.operate.fleet import command as send
 from onyxhead.operate.standing import Backend, Command, Odd, Standing, held_out, selected
 from onyxhead.trial.run import free_ports
-from tests.test_sockets import BACKENDS, Running, list_of, play, port_of, shown, until
+from tests.test_controller_server import BACKENDS, Running, list_of, play, port_of, shown, until
 
 TREE = {"group": [{"name": "read", "latency-budget": 5000, "expiry": 10000, "repeats": "retriable"}]}
 ALL = [Backend(f"b{n}", "north" if n < 4 else "south", "std" if n % 2 else "big") for n in range(8)]
@@ -165,7 +165,7 @@
             and all(each.why for each in outcomes if each.status != "applied")
             and set(came) == {"x", "late"}
         )
-        assert controller.standing.drained == {"b1"}
+        assert controller.operator_orders.drained == {"b1"}
 
     play(tmp_path, work)
 
@@ -177,10 +177,10 @@
         address = ("127.0.0.1", port_of(first))
         given = {"id": "x", "verb": "drain", "names": ["b1"], "by": "ann"}
         assert (await send({"c": address}, given, 2.0))[0].status == "applied"
-        first.over.set()
+        first.stopping.set()
         await until(lambda: running.tasks[0].done())
         # It is down; the command goes on being sent, and the next life answers it under the same id.
-        import tests.test_sockets as sockets
+        import tests.test_controller_server as sockets
 
         text = sockets.CONTROLLER.replace("127.0.0.1:0", f"127.0.0.1:{port}")
         sending = asyncio.create_task(send({"c": ("127.0.0.1", port)}, given | {"id": "y", "names": ["b2"]}, 6.0))
@@ -192,7 +192,7 @@
         finally:
             sockets.CONTROLLER = before
         assert (await sending)[0].status == "applied" and (await again)[0].told["again"]
-        assert second.standing.drained == {"b1", "b2"} and not second.house.listed["b1"].ready
+        assert second.operator_orders.drained == {"b1", "b2"} and not second.core.endpoints["b1"].ready
 
     play(tmp_path, work)
 
@@ -211,7 +211,7 @@
             return done.exit_code, done.output
 
         code, told = await command("drain", "b1", "--at", address, "--dry-run")
-        assert code == 0 and "only tried" in told and not controller.standing.drained
+        assert code == 0 and "only tried" in told and not controller.operator_orders.drained
         assert (await command("drain", "*", "--at", address))[0] == 1
         assert (await command("drain", "b1", "--fleet", str(tmp_path / "fleet.rec"), "--id", "n1"))[0] == 0
         assert (await command("wait", "b1", "--at", address))[0] == 0
@@ -279,6 +279,6 @@
         for body in (b"", b"[]", b'{"id": "x"}', b"{"):
             response = await ask_once(("127.0.0.1", port_of(controller)), Request("POST", "/v1/operate", {}, body), 2.0)
             assert response.status == 400
-        assert not controller.standing.done
+        assert not controller.operator_orders.done
 
     play(tmp_path, work)
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -13,7 +13,7 @@
 from onyxhead.policy.inputs import AdmissionMode
 from onyxhead.tables.orders import Books, Message, Place, fold
 from onyxhead.tables.view import Malformed, View, nested, read_patch
-from tests.fleetrig import line
+from tests.controller_rig import line
 
 NAMES = st.sampled_from([f"b{n}" for n in range(6)])
 PATHS = st.one_of(
