--- a/onyxhead/controller/configuration/service.py
+++ b/onyxhead/controller/configuration/service.py
@@ -87,9 +87,14 @@
         self.callbacks.audit(user, session, f"edit {name}", "done")
 
     def commit(
-        self, user: str, session: int, confirmed: bool = False, timeout: int = CONFIRM_TIMEOUT, persist: str = "",
+        self,
+        user: str,
+        session: int,
+        confirmed: bool = False,
+        timeout: int = CONFIRM_TIMEOUT,
+        persist: str = "",
         persist_id: str = "",
-    ) -> Commit:  # fmt: skip
+    ) -> Commit:
         """Raises RpcError, with nothing changed."""
         now = self.callbacks.wall_time()
         made = self.datastores.commit(session, user, now, confirmed, timeout, persist, persist_id)
--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -303,7 +303,7 @@
             reached.add(message.proxy)
             self._enqueue(now, message)
         # While tables are held some get no message; the module must not wait for answers that can't come.
-        for proxy in [proxy for proxy in self.policy.spent if turn and proxy not in reached]:
+        for proxy in [proxy for proxy in self.policy.round_recipients if turn and proxy not in reached]:
             self.policy.on_acknowledgement(now, proxy, turn, 0)
         self._record_version(now, ", ".join(self.causes) or "time")
         if turn:
--- a/onyxhead/controller/endpoint_list.py
+++ b/onyxhead/controller/endpoint_list.py
@@ -73,9 +73,14 @@
         return value
 
     entry = EndpointEntry(
-        id=told("id", str), address=told("address", str), zone=told("zone", str), kind=told("kind", str, ""),
-        state=told("state", str, "ready"), weight=told("weight", float, 1.0), started=told("started", float, 0.0),
-    )  # fmt: skip
+        id=told("id", str),
+        address=told("address", str),
+        zone=told("zone", str),
+        kind=told("kind", str, ""),
+        state=told("state", str, "ready"),
+        weight=told("weight", float, 1.0),
+        started=told("started", float, 0.0),
+    )
     if not entry.id or entry.state not in STATES:
         raise InvalidEndpointListError(f"backend {place}: no id, or a state other than {' and '.join(STATES)}")
     if not 0 < entry.weight <= MOST_WEIGHT or not 0 <= entry.started < 1e11:
@@ -111,7 +116,7 @@
         return EndpointUpdate(WatchEvent.CACHED, listed, _places(roster.entries), notes)
 
     def update(self, roster: EndpointList) -> EndpointUpdate | None:
-        """The change that a new list makes; None if there is none. Raises InvalidEndpointListError for an older version."""
+        """The change a new list makes; None if there is none. Raises InvalidEndpointListError for an older version."""
         if self.last is not None and roster.version < self.last.version:
             raise InvalidEndpointListError(f"version {roster.version} is older than {self.last.version}")
         if self.last is not None and not roster.entries and self.last.entries:
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -317,11 +317,13 @@
         now, cold = self.clock.now(), self.core.deployment.safety.warmup_time
         backends = tuple(
             commit_plan.BackendFacts(
-                entry.id, entry.zone, entry.state == "ready",
+                entry.id,
+                entry.zone,
+                entry.state == "ready",
                 not entry.started or now - self.clock.from_wall_time(entry.started) >= cold,
             )
             for entry in (self.endpoint_list.entries if self.endpoint_list else ())
-        )  # fmt: skip
+        )
         channel = self.core.delivery_queue
         return FleetFacts(backends, len(self.core.joined), channel.queued_lines, channel.limits.message_overhead)
 
@@ -355,10 +357,11 @@
         """How far drains have come: which of the backends proxies may still use, as far as their answers prove."""
         house = self.core
         behind = sorted(
-            known.name for number, known in house.joined.items()
+            known.name
+            for number, known in house.joined.items()
             if (view := house.proxy_tables.views.get(number)) is not None
             and house.applied.get(number, (0, ""))[1] != view.tag
-        )  # fmt: skip
+        )
         backends = {}
         for name in selected(names, [Backend(b, p.zone, "") for b, p in house.proxy_tables.places.items()]):
             entry = house.endpoints.get(name)
