--- a/benchmarks/batch.py
+++ b/benchmarks/batch.py
@@ -67,7 +67,7 @@
         times.append(time.perf_counter() - began)
         for sent in work.deliveries:
             made.delivery_queue.on_written(sent.proxy)
-            made.on_acknowledgement(now, sent.proxy, sent.message, sent.message.result.tag, sent.queued_at)
+            made.on_acknowledgement(now, sent.proxy, sent.message, sent.message.result.etag, sent.queued_at)
     return quantiles(times[100:])
 
 
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -100,7 +100,7 @@
             self.ends.append(here)
             self.processes.append(process)
         core = self.daemon.core
-        await until(lambda: len(core.joined) == self.count and all(core.proxy_tables.bound(n) for n in core.joined))
+        await until(lambda: len(core.joined) == self.count and all(core.proxy_tables.tables_of(n) for n in core.joined))
         await asyncio.sleep(2.0)
         for place in range(SENDERS if self.rate else 0):
             here, there = context.Pipe()
--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -15,8 +15,8 @@
 from onyxhead.controller.endpoint_list import EndpointUpdate
 from onyxhead.controller.join_backoff import JoinBackoff
 from onyxhead.controller.request_statistics import DuplicateFilter, RequestStatistics, StatisticsAggregator
-from onyxhead.fleet.budget import Budget, Life, Loan, Strain
-from onyxhead.intake.picture import Picture
+from onyxhead.fleet.slow_start_budget import BudgetGrant, Incarnation, IncarnationLoad, SlowStartBudget
+from onyxhead.intake.load_estimator import LoadEstimator
 from onyxhead.policy.balancer import BalancingPolicy
 from onyxhead.policy.decisions import (
     AcknowledgementRequest,
@@ -27,9 +27,12 @@
     WakeUp,
 )
 from onyxhead.policy.inputs import Deployment, Endpoint, HealthCheckResult, LoadReport, WatchEvent
-from onyxhead.tables.canary import Canary, Verdict, chosen
-from onyxhead.tables.history import Back, History, Key, Pin, Refused, Truth, Unknown, Version, plan
-from onyxhead.tables.orders import Books, Hold, Message
+from onyxhead.tables.canary import Canary, Verdict, select_canary_proxies
+from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
+from onyxhead.tables.history import History, LineKey, Version
+from onyxhead.tables.rollback import CurrentEndpoints, PinnedVersion, RollbackPlan, plan_rollback
+from onyxhead.tables.table_state import Freeze, TableState
+from onyxhead.tables.updates import ProxyUpdate
 from onyxhead.tables.view import View
 
 MOST_PROXIES = 65_535
@@ -70,7 +73,7 @@
     """What there is to carry out."""
 
     rounds: list[RoundResult] = field(default_factory=list)
-    deliveries: list[QueuedMessage[Message]] = field(default_factory=list)
+    deliveries: list[QueuedMessage[ProxyUpdate]] = field(default_factory=list)
     health_checks: list[tuple[str, str]] = field(default_factory=list)
     disconnects: list[Disconnect] = field(default_factory=list)
     log_messages: list[str] = field(default_factory=list)
@@ -100,8 +103,8 @@
     ) -> None:
         self.deployment, self.groups, self.zones, self.epoch = start, groups, zones, epoch
         self.policy = BalancingPolicy(start, seed, now)
-        self.proxy_tables = Books(groups, start.admission_mode, start.channel.message_overhead)
-        self.delivery_queue: DeliveryQueue[Message] = DeliveryQueue(start.channel, patience)
+        self.proxy_tables = TableState(groups, start.admission_mode, start.channel.message_overhead)
+        self.delivery_queue: DeliveryQueue[ProxyUpdate] = DeliveryQueue(start.channel, patience)
         self.join_backoff, self.duplicate_filter, self.statistics = (
             JoinBackoff(),
             DuplicateFilter(),
@@ -117,35 +120,35 @@
         self.wake_at = self.report_at = now
         self.counts: Counter[str] = Counter()
         self.history = history or History()
-        self.new_versions: list[tuple[Version, dict[Key, int]]] = []
-        self.last_sent: dict[Key, int] = {}
+        self.new_versions: list[tuple[Version, dict[LineKey, int]]] = []
+        self.last_sent: dict[LineKey, int] = {}
         self.unsettled, self.at, self.seen_revision = False, now, 0
         # Proxies of earlier lives hold other tables; a version begins from what this life has sent.
-        if self.history.last.lines:
-            gone = dict.fromkeys(self.history.last.lines, 0)
+        if self.history.latest.lines:
+            gone = dict.fromkeys(self.history.latest.lines, 0)
             if (version := self.history.append(epoch, now, "restart", gone)) is not None:
                 self.new_versions.append((version, gone))
-        self.pin: Pin | None = None
+        self.pin: PinnedVersion | None = None
         self.canary: Canary | None = None
-        self.load_estimator = Picture()
+        self.load_estimator = LoadEstimator()
         self.group_numbers = {name: place for place, name in enumerate(groups)}
 
     # What is heard
 
     def on_endpoint_update(self, now: int, news: EndpointUpdate) -> None:
         for backend, place in news.addresses.items():
-            known = self.proxy_tables.places.get(backend)
+            known = self.proxy_tables.addresses.get(backend)
             # Lines name the address they were sent with: another one is another process, to be let in anew.
             if known is not None and known.address != place.address and backend in self.endpoints:
                 gone = self.endpoints[backend]._replace(ready=False, draining=False)
                 self.policy.on_endpoint_update(now, WatchEvent.DELTA, [gone])
                 self._add_cause(f"backend {backend} moved from {known.address} to {place.address}")
                 self._take_decisions(now)
-            self.proxy_tables.places[backend] = place
+            self.proxy_tables.addresses[backend] = place
             self.backend_by_address[place.address] = backend
         self.endpoints |= {entry.backend: entry for entry in news.endpoints}
         serving = [entry for entry in self.endpoints.values() if entry.ready or entry.draining]
-        self.load_estimator.listed({entry.backend: str(entry.kind) for entry in serving})
+        self.load_estimator.on_endpoint_list({entry.backend: str(entry.kind) for entry in serving})
         self.policy.on_endpoint_update(now, news.event, news.endpoints)
         self._add_cause(f"list: {len(news.endpoints)} {'entries' if news.event is WatchEvent.SNAPSHOT else 'changes'}")
 
@@ -193,21 +196,21 @@
         self.applied.pop(proxy, None)
         self.policy.on_proxy_left(now, proxy)
         self.counts["breaks"] += 1
-        self.load_estimator.left(known.name)
+        self.load_estimator.on_proxy_left(known.name)
         self._add_cause(f"{known.name} left{': ' + why if why else ''}")
 
-    def on_acknowledgement(self, now: int, proxy: int, message: Message, tag: str, ordered: int) -> None:
+    def on_acknowledgement(self, now: int, proxy: int, message: ProxyUpdate, tag: str, ordered: int) -> None:
         """The proxy says that it applied a message and holds the view with this tag."""
         if proxy not in self.joined:
             return
-        if tag != message.result.tag:
+        if tag != message.result.etag:
             self.on_stream_fault(now, proxy, "it holds another view than it was sent")
             return
-        if not message.turn:
+        if not message.round_number:
             return
-        self.applied[proxy] = (message.turn, tag)
-        self.policy.on_acknowledgement(now, proxy, message.turn, now - ordered)
-        self._add_cause(f"{self.joined[proxy].name} applied {message.turn}")
+        self.applied[proxy] = (message.round_number, tag)
+        self.policy.on_acknowledgement(now, proxy, message.round_number, now - ordered)
+        self._add_cause(f"{self.joined[proxy].name} applied {message.round_number}")
 
     def on_stream_fault(self, now: int, proxy: int, why: str) -> None:
         """The proxy's side broke what was agreed; its stream is given up, and its next join may have to wait."""
@@ -229,22 +232,24 @@
         zone = self.joined[proxy].zone
         self.statistics.add(zone, proxy, report, self.backend_by_address, self.group_numbers)
         # What was counted before the trial's lines were in force says nothing about them.
-        if self.canary is not None and now - self.canary.since > 2 * self.deployment.report_interval:
+        if self.canary is not None and now - self.canary.started_at > 2 * self.deployment.report_interval:
             met = report.backends.values()
-            self.canary.count(name, sum(each.attempts for each in met), sum(each.failures for each in met))
+            self.canary.record(name, sum(each.attempts for each in met), sum(each.failures for each in met))
         return True
 
     def on_health_check(self, now: int, backend: str, sight: HealthCheckResult, load: LoadReport) -> None:
         self.policy.on_health_check(now, backend, sight, load)
 
-    def update_budget_shares(self, now: int, budget: Budget) -> list[Loan]:
+    def update_budget_shares(self, now: int, budget: SlowStartBudget) -> list[BudgetGrant]:
         """Rule 4's budget among controllers: tells it what is cold here, lends, and tells the module its shares. Raises
         what `budget.keep` does; the module's shares are then as they were."""
         found = self.policy.warming_backends(now)
-        budget.strained({Life(name, started): Strain(usual, asked) for name, started, usual, asked in found})
-        made = budget.lend()
+        budget.on_loads(
+            {Incarnation(name, started): IncarnationLoad(usual, asked) for name, started, usual, asked in found}
+        )
+        made = budget.grant()
         for name, started, _, _ in found:
-            self.policy.on_budget_share(now, name, budget.share(Life(name, started)))
+            self.policy.on_budget_share(now, name, budget.share(Incarnation(name, started)))
         return made
 
     # What is decided
@@ -257,16 +262,18 @@
             for zone, backend, own, load in met:
                 mean = round(own.latency_sum / (own.attempts - own.failures)) if own.attempts > own.failures else 0
                 span = own.window or self.deployment.report_interval
-                self.load_estimator.met(now, backend, own.attempts, own.failures, mean / 10, span, span // 2)
+                self.load_estimator.on_attempts(now, backend, own.attempts, own.failures, mean / 10, span, span // 2)
                 # A word that agrees with what proxies met, and is young, tells more than the last answer's header.
-                if (busy := self.load_estimator.busy(now, backend)) is not None:
+                if (busy := self.load_estimator.utilization(now, backend)) is not None:
                     load = load._replace(utilization=busy)
-                if (latency := self.load_estimator.latency(now, backend)) is not None:
+                if (latency := self.load_estimator.response_time(now, backend)) is not None:
                     load = load._replace(latency=latency)
                 self.policy.on_attempt_statistics(now, backend, zone, own.attempts, own.failures, mean, span, load)
             for proxy, group, came, span in flows:
                 if span > 0 and proxy in self.joined:
-                    self.load_estimator.came(now, self.joined[proxy].name, self.groups[group], came * 10_000 / span)
+                    self.load_estimator.on_demand(
+                        now, self.joined[proxy].name, self.groups[group], came * 10_000 / span
+                    )
                 self.policy.on_request_rate(now, proxy, group, came, span)
         self._take_decisions(now)
         if self.pin is not None and now >= self.pin.until:
@@ -289,8 +296,8 @@
             match decision:
                 case AcknowledgementRequest(marked, _):
                     turn = marked
-                case HealthCheckRequest(backend) if backend in self.proxy_tables.places:
-                    work.health_checks.append((backend, self.proxy_tables.places[backend].address))
+                case HealthCheckRequest(backend) if backend in self.proxy_tables.addresses:
+                    work.health_checks.append((backend, self.proxy_tables.addresses[backend].address))
                 case WakeUp(after):
                     self.wake_at = now + after
                 case SubscribeToEndpoints():
@@ -299,7 +306,7 @@
                     work.log_messages.append(text)
         # Also with no one to tell: lines decided while no proxy is joined are what the first to join must get.
         reached = set()
-        for message in self.proxy_tables.messages(turn, decisions):
+        for message in self.proxy_tables.apply_decisions(turn, decisions):
             reached.add(message.proxy)
             self._enqueue(now, message)
         # While tables are held some get no message; the module must not wait for answers that can't come.
@@ -315,14 +322,14 @@
     def _record_version(self, now: int, cause: str) -> None:
         if self.proxy_tables.revision == self.seen_revision:
             return
-        self.seen_revision, sent = self.proxy_tables.revision, self.proxy_tables.sent()
+        self.seen_revision, sent = self.proxy_tables.revision, self.proxy_tables.sent_lines()
         keys = {*sent, *self.last_sent}
         changes = {key: sent.get(key, 0) for key in keys if sent.get(key, 0) != self.last_sent.get(key, 0)}
         self.last_sent = sent
         if (version := self.history.append(self.epoch, now, cause, changes)) is not None:
             self.new_versions.append((version, changes))
 
-    def current_endpoints(self, now: int) -> Truth:
+    def current_endpoints(self, now: int) -> CurrentEndpoints:
         """Backends that are ready, and since when each is warm."""
         cold = self.deployment.safety.warmup_time
         found: dict[str, int | None] = {}
@@ -330,57 +337,64 @@
             if entry.ready:
                 warm = entry.started_at + cold if entry.started_at else 0
                 found[name] = (entry.started_at if warm <= now else None) if entry.started_at else 0
-        return Truth(found)
+        return CurrentEndpoints(found)
+
+    def preview_rollback(self, now: int, name: str) -> tuple[RollbackPlan, float]:
+        """What going back would do, and the seconds that the channel takes.
 
-    def preview_rollback(self, now: int, name: str) -> tuple[Back, float]:
-        """What going back would do, and the seconds that the channel takes. Raises Refused, Unknown."""
-        back = plan(
-            self.history.find(name), self.proxy_tables.wanted, self.proxy_tables.sent(), self.current_endpoints(now)
+        Raises RollbackRejectedError, UnknownVersionError."""
+        back = plan_rollback(
+            self.history.find(name),
+            self.proxy_tables.desired,
+            self.proxy_tables.sent_lines(),
+            self.current_endpoints(now),
         )
-        users = max((len(users) for users in self.proxy_tables.users.values()), default=0)
-        return back, users * (back.changes + self.proxy_tables.head + 1) / self.deployment.channel.lines_per_second
+        users = max((len(users) for users in self.proxy_tables.proxies_by_table.values()), default=0)
+        return back, users * (
+            back.changed_lines + self.proxy_tables.message_overhead + 1
+        ) / self.deployment.channel.lines_per_second
 
-    def roll_back(self, now: int, name: str, seconds: float) -> tuple[Back, float]:
+    def roll_back(self, now: int, name: str, seconds: float) -> tuple[RollbackPlan, float]:
         """Holds the tables as in a version for so long; returns what `preview` does. Withdrawals and levels go on.
-        Raises Refused, Unknown."""
+        Raises RollbackRejectedError, UnknownVersionError."""
         back, took = self.preview_rollback(now, name)
-        self._set_pin(Pin(self.history.find(name), now + round(seconds * 10_000)))
+        self._set_pin(PinnedVersion(self.history.find(name), now + round(seconds * 10_000)))
         self._add_cause(f"rolled back to version {back.version}")
         return back, took
 
     def freeze(self, now: int, seconds: float) -> int:
         """Holds the tables as they are now, for so long. Returns the version that they are in."""
-        version = self.history.last._replace(at=now)
-        self._set_pin(Pin(version, now + round(seconds * 10_000)))
+        version = self.history.latest._replace(created_at=now)
+        self._set_pin(PinnedVersion(version, now + round(seconds * 10_000)))
         self._add_cause(f"held as in version {version.number}")
         return version.number
 
-    def _set_pin(self, pin: Pin) -> None:
-        self.pin, self.proxy_tables.main.hold, self.unsettled = pin, self._freeze_to(pin), True
+    def _set_pin(self, pin: PinnedVersion) -> None:
+        self.pin, self.proxy_tables.main.freeze, self.unsettled = pin, self._freeze_to(pin), True
 
-    def _freeze_to(self, pin: Pin) -> Hold:
+    def _freeze_to(self, pin: PinnedVersion) -> Freeze:
         return lambda wanted: pin.target(wanted, self.current_endpoints(self.at))
 
     def release(self, now: int, why: str) -> bool:
         """Follows the module again; its lines are sent as the channel has room. False if nothing was held."""
-        held, self.pin, self.proxy_tables.main.hold = self.pin is not None, None, None
+        held, self.pin, self.proxy_tables.main.freeze = self.pin is not None, None, None
         if held:
             self._add_cause(f"released: {why}")
         return held
 
-    def start_canary(self, now: int, name: str, share: float, seconds: float) -> tuple[Back, Canary]:
+    def start_canary(self, now: int, name: str, share: float, seconds: float) -> tuple[RollbackPlan, Canary]:
         """Holds a share of the proxies as in a version; worse than the others, it is taken back, else it is held for
-        all when the time is over. Raises Refused, Unknown."""
+        all when the time is over. Raises RollbackRejectedError, UnknownVersionError."""
         if self.canary is not None:
-            raise Refused(f"version {self.canary.version} is on trial already")
+            raise RollbackRejectedError(f"version {self.canary.version} is on trial already")
         back, _ = self.preview_rollback(now, name)
-        bound = {known.name: number for number, known in self.joined.items() if self.proxy_tables.bound(number)}
-        names = chosen(bound, share)
+        bound = {known.name: number for number, known in self.joined.items() if self.proxy_tables.tables_of(number)}
+        names = select_canary_proxies(bound, share)
         if not names:
-            raise Refused("a trial needs two proxies at least")
-        pin = Pin(self.history.find(name), now + round(seconds * 10_000))
+            raise RollbackRejectedError("a trial needs two proxies at least")
+        pin = PinnedVersion(self.history.find(name), now + round(seconds * 10_000))
         self.canary = canary = Canary(back.version, frozenset(names), now, pin.until)
-        self.proxy_tables.begin_trial(frozenset(bound[name] for name in names), self._freeze_to(pin))
+        self.proxy_tables.begin_canary(frozenset(bound[name] for name in names), self._freeze_to(pin))
         self.unsettled = True
         self._add_cause(f"version {back.version} is tried on {len(names)} of {len(bound)} proxies")
         return back, canary
@@ -389,18 +403,19 @@
         if (canary := self.canary) is None:
             return
         verdict = canary.verdict()
-        if verdict is not Verdict.WORSE and now < canary.until:
+        if verdict is not Verdict.WORSE and now < canary.ends_at:
             return
         self.canary = None
-        self.proxy_tables.end_trial()
+        self.proxy_tables.end_canary()
         self.unsettled = True
         told = f"version {canary.version} on trial: {verdict.value}"
-        told += f" ({canary.tried.bad}/{canary.tried.tries} failed, elsewhere {canary.rest.bad}/{canary.rest.tries})"
-        if verdict is Verdict.FINE:
+        own, others = canary.canary_counts, canary.baseline_counts
+        told += f" ({own.failures}/{own.attempts} failed, elsewhere {others.failures}/{others.attempts})"
+        if verdict is Verdict.NOT_WORSE:
             try:
-                self.roll_back(now, str(canary.version), (canary.until - canary.since) / 10_000)
+                self.roll_back(now, str(canary.version), (canary.ends_at - canary.started_at) / 10_000)
                 told += "; held for all"
-            except (Refused, Unknown) as error:
+            except (RollbackRejectedError, UnknownVersionError) as error:
                 told += f"; not held for all: {error}"
         self.effects.log_messages.append(told)
         self._add_cause(told)
@@ -411,20 +426,20 @@
         if self.pin is None and self.canary is None and not self.unsettled:
             return
         room = SETTLE_SHARE * self.delivery_queue.limits.max_queued_lines - self.delivery_queue.queued_lines
-        for message in self.proxy_tables.settle(room):
+        for message in self.proxy_tables.reconcile(room):
             self._enqueue(now, message)
-        left = self.proxy_tables.unsettled()
-        if self.canary is None and not any(own is self.proxy_tables.trial for own, _, _ in left):
+        left = self.proxy_tables.pending_changes()
+        if self.canary is None and not any(own is self.proxy_tables.canary for own, _, _ in left):
             # Those that were on trial hold what all others hold, and are like all others again.
-            self.proxy_tables.apart = frozenset()
-        self.unsettled = self.pin is not None or bool(left) or bool(self.proxy_tables.apart)
+            self.proxy_tables.canary_proxies = frozenset()
+        self.unsettled = self.pin is not None or bool(left) or bool(self.proxy_tables.canary_proxies)
         self._record_version(now, "held tables" if self.pin is not None else "released tables")
 
-    def _enqueue(self, now: int, message: Message) -> None:
+    def _enqueue(self, now: int, message: ProxyUpdate) -> None:
         if message.proxy not in self.joined:
             return
         try:
-            self.delivery_queue.enqueue(now, message.proxy, message, message.lines)
+            self.delivery_queue.enqueue(now, message.proxy, message, message.line_cost)
         except QueueFullError as error:
             # The module takes what it ordered as sent. Only a new join makes it think about this proxy anew.
             self.counts["refused by the limit"] += 1
@@ -451,7 +466,7 @@
                 "most": self.delivery_queue.limits.max_queued_lines,
                 "peak": round(self.delivery_queue.peak_queued_lines, 1),
             },
-            "version": self.history.last.number,
+            "version": self.history.latest.number,
             "trial": self.canary.version if self.canary is not None else None,
             "held": self.pin.version.number if self.pin is not None else None,
             "counts": dict(sorted(self.counts.items())) | {"tries at unknown": self.statistics.unknown_attempts},
@@ -459,7 +474,7 @@
                 known.name: {
                     "zone": self.zones[known.zone],
                     "joined_for_s": round((now - known.joined_at) / 10_000, 1),
-                    "bound": bool(self.proxy_tables.bound(number)),
+                    "bound": bool(self.proxy_tables.tables_of(number)),
                     "turn": self.applied.get(number, (0, ""))[0],
                     "tag": self.applied.get(number, (0, ""))[1],
                 }
@@ -476,6 +491,6 @@
                         str(table): lines[name] for table, lines in self.proxy_tables.tables.items() if name in lines
                     },
                 }
-                for name, place in sorted(self.proxy_tables.places.items())
+                for name, place in sorted(self.proxy_tables.addresses.items())
             },
         }
--- a/onyxhead/controller/endpoint_list.py
+++ b/onyxhead/controller/endpoint_list.py
@@ -11,8 +11,8 @@
 from typing import Any, NamedTuple
 
 from onyxhead.policy.inputs import Endpoint, WatchEvent
-from onyxhead.tables.orders import Place
-from onyxhead.tables.view import Malformed, address_parts
+from onyxhead.tables.addresses import EndpointAddress, parse_address
+from onyxhead.tables.errors import MalformedViewError
 
 STATES = ("ready", "draining")
 MOST_WEIGHT = 1000.0
@@ -86,8 +86,8 @@
     if not 0 < entry.weight <= MOST_WEIGHT or not 0 <= entry.started < 1e11:
         raise InvalidEndpointListError(f"backend {entry.id}: weight or start out of range")
     try:
-        address_parts(entry.address)
-    except Malformed as error:
+        parse_address(entry.address)
+    except MalformedViewError as error:
         raise InvalidEndpointListError(f"backend {entry.id}: {error}") from None
     return entry
 
@@ -97,7 +97,7 @@
 
     event: WatchEvent
     endpoints: list[Endpoint]
-    addresses: dict[str, Place]
+    addresses: dict[str, EndpointAddress]
     warnings: list[str]
 
 
@@ -157,5 +157,5 @@
     return entry.state == "ready" and not entry.started and not known
 
 
-def _places(entries: tuple[EndpointEntry, ...]) -> dict[str, Place]:
-    return {entry.id: Place(entry.address, entry.zone) for entry in entries}
+def _places(entries: tuple[EndpointEntry, ...]) -> dict[str, EndpointAddress]:
+    return {entry.id: EndpointAddress(entry.address, entry.zone) for entry in entries}
