--- a/onyxhead/controller/receiver.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -31,24 +31,24 @@
 """Of a second's budget, what one bite takes at most."""
 
 
-class Frame(msgspec.Struct, array_like=True):
+class WorkerFrame(msgspec.Struct, array_like=True):
     """`counts` since the last one."""
 
     counts: dict[str, int]
     sums: list[LoadSums]
 
 
-ENCODE, DECODE = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Frame)
+ENCODE, DECODE = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(WorkerFrame)
 
 
-class Taking:
+class IngestWorker:
     """The decoding path, in whatever process: requests in, sums out at each beat."""
 
     def __init__(self, seed: int, budget: int, keys: Keys | None, clock: Clock) -> None:
         self.decoder, self.budget, self.keys, self.clock = ReportDecoder(seed), budget, keys, clock
         self.credit, self.at = 0.0, clock.now()
 
-    async def answer(self, request: Request, writer: asyncio.StreamWriter) -> Response:
+    async def handle_request(self, request: Request, writer: asyncio.StreamWriter) -> Response:
         parts = request.target.strip("/").split("/")
         if request.method != "POST" or parts[:2] != ["v1", "load"] or len(parts) != 3:
             return problem(404, "nothing here")
@@ -56,16 +56,16 @@
             peer = peer_of(writer.get_extra_info("peercert"))
             if peer != Peer("agent", parts[2]):
                 return problem(403, "this certificate may not report that")
-        return self.take(parts[2], request.body)
+        return self.accept(parts[2], request.body)
 
-    def take(self, sender: str, body: bytes) -> Response:
+    def accept(self, sender: str, body: bytes) -> Response:
         if len(body) > MOST_BODY:
             return problem(413, f"a body of over {MOST_BODY} bytes")
         if not self.decoder.offer(sender, body, self.clock.now()):
             return problem(503, "too many senders")
         return answer(202, {})
 
-    def beat(self) -> Frame:
+    def decode_slice(self) -> WorkerFrame:
         now = self.clock.now()
         # In bytes a second; a bite taken too large is paid back before the next one.
         self.credit = min(BITE * self.budget, self.credit + self.budget * (now - self.at) / 10_000)
@@ -73,7 +73,7 @@
         sums = self.decoder.decode(now, round(self.credit)) if self.credit > 0 else []
         self.credit -= self.decoder.bytes_decoded if self.credit > 0 else 0
         counts, self.decoder.counts = dict(self.decoder.counts), type(self.decoder.counts)()
-        return Frame(counts, sums)
+        return WorkerFrame(counts, sums)
 
 
 async def serve(given: dict[str, Any]) -> None:
@@ -83,8 +83,8 @@
         certificate, key, authorities, revoked = (Path(each) if each else None for each in files)
         assert certificate and key and authorities
         keys = Keys(Tls(certificate, key, authorities, revoked, 1.0))
-    taking = Taking(given["seed"], given["budget"], keys, Clock(time.time, time.monotonic))
-    server = Server(taking.answer, MOST_BODY)
+    taking = IngestWorker(given["seed"], given["budget"], keys, Clock(time.time, time.monotonic))
+    server = Server(taking.handle_request, MOST_BODY)
     host, port = given["listen"]
     await server.start(host, port, keys.server if keys else None)
     loop = asyncio.get_running_loop()
@@ -97,7 +97,7 @@
     looked = 0
     while not over.done():
         await asyncio.sleep(given["every"])
-        body = ENCODE.encode(taking.beat())
+        body = ENCODE.encode(taking.decode_slice())
         writer.write(HEAD.pack(len(body)) + body)
         await writer.drain()
         looked += 1
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -15,7 +15,7 @@
 from onyxhead.agent.daemon import Tree
 from onyxhead.agent.keeper import Keeper, Taken, Torn, read_state, state_of
 from onyxhead.agent.swap import PASSING, NotSwapped, clear, swap
-from onyxhead.controller import sums
+from onyxhead.controller import request_statistics
 from onyxhead.fronts.files import envoy, nginx
 from onyxhead.http.messages import Request, Response
 from onyxhead.policy.decisions import TableAssignment, TableChange, Withdrawal
@@ -24,7 +24,7 @@
 from onyxhead.tables.addresses import EndpointAddress
 from onyxhead.tables.table_state import TableState
 from onyxhead.tables.view import View
-from tests.fleetrig import line, request_of
+from tests.controller_rig import line, request_of
 
 ROUTES = (Route("read", "/r", 0.5, 1), Route("write", "/w", 1.0, 0))
 
@@ -325,9 +325,9 @@
     before = counters.flatten(stats(good=3, bad=1, ms=30.0, flows=5))
     after = counters.flatten(stats(good=8, bad=2, ms=80.0, flows=12))
     made = counters.report("p1", "x", 4, 1.0, counters.difference(before, after), {"127.0.0.1:9001": 0.5})
-    read = sums.read(json.loads(json.dumps(made)))
-    assert read.met == {"127.0.0.1:9001": sums.Met(6, 1, 500.0, 10_000, 0.5)}
-    assert read.flows == {"read": (7, 10_000)}
+    read = request_statistics.read(json.loads(json.dumps(made)))
+    assert read.backends == {"127.0.0.1:9001": request_statistics.BackendStatistics(6, 1, 500.0, 10_000, 0.5)}
+    assert read.request_counts == {"read": (7, 10_000)}
 
 
 def test_a_proxy_that_started_anew_is_counted_from_there() -> None:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -17,7 +17,7 @@
     SlowStartBudget,
     parse_report,
 )
-from tests.fleetrig import Rig, entry
+from tests.controller_rig import Rig, entry
 
 SECOND = 10_000
 INCARNATION = Incarnation("b0", 100 * SECOND)
@@ -230,17 +230,17 @@
     budgets = {name: SlowStartBudget(name, 0, [], Disk().keep) for name in rigs}
     for step in range(300):
         for name, rig in rigs.items():
-            for proxy in rig.house.brain.proxies.by_id.values():
+            for proxy in rig.core.policy.proxies.by_id.values():
                 proxy.rates = [5.0, 5.0] if step <= 100 else [100.0, 100.0] if name == "busy" else [0.1, 0.1]
             if step == 150:
                 rig.entries["b9"] = entry("b9", started=rig.now / SECOND)
                 rig.publish()
             rig.run(0.05)
             if shared:
-                rig.house.shared(rig.now, budgets[name])
+                rig.core.update_budget_shares(rig.now, budgets[name])
                 other = "idle" if name == "busy" else "busy"
                 budgets[name].on_report(other, parse_report(budgets[other].report().plain()))
-    return brought(rigs["busy"]), [rig.house.brain.endpoints.by_id["b9"].budget_share for rig in rigs.values()]
+    return brought(rigs["busy"]), [rig.core.policy.endpoints.by_id["b9"].budget_share for rig in rigs.values()]
 
 
 def test_a_controller_in_a_burst_uses_what_the_idle_one_leaves_at_a_cold_backend() -> None:
