--- a/benchmarks/batch.py
+++ b/benchmarks/batch.py
@@ -7,8 +7,9 @@
 from typing import Any
 
 from benchmarks.figures import quantiles
-from onyxhead.controller.core import ControllerCore, JoinRequest
+from onyxhead.controller.core import ControllerCore
 from onyxhead.controller.endpoint_list import EndpointEntry, EndpointList, EndpointListFollower
+from onyxhead.controller.proxies import JoinRequest
 from onyxhead.policy.inputs import (
     AdmissionMode,
     ChannelLimits,
--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -57,7 +57,7 @@
                 change()  # type: ignore[no-untyped-call]
                 await fan.until(lambda: name in core.proxy_tables.withdrawn)
                 turn = core.policy.round_number
-                await fan.until(lambda: all(done[0] >= turn for done in list(core.applied.values())))
+                await fan.until(lambda: all(done[0] >= turn for done in list(core.acknowledged.values())))
                 times.append(time.perf_counter() - began)
                 await asyncio.sleep(1.2)
     return {
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -147,13 +147,13 @@
             told = list(core.joined)
             await until(lambda: f"b{drained}" in core.proxy_tables.withdrawn)
             turn = core.policy.round_number
-            await until(lambda: all(core.applied.get(n, (turn,))[0] >= turn for n in told))
+            await until(lambda: all(core.acknowledged.get(n, (turn,))[0] >= turn for n in told))
             withdrawals.append(time.perf_counter() - began)
             sent, paced = len(told), (core.delivery_queue.limits.message_overhead + 2) * len(told) / fleet.pace
             await until(lambda: all(f"b{drained}" not in lines for lines in core.proxy_tables.tables.values()))
             # Not the newest turn: that may have gone to one that joins alone.
             turn, began = max(core.policy.endpoints.by_id[f"b{drained}"].changed_in_round.values()), time.perf_counter()
-            await until(lambda: all(done[0] >= turn for done in list(core.applied.values())))
+            await until(lambda: all(done[0] >= turn for done in list(core.acknowledged.values())))
             changes.append(time.perf_counter() - began)
             await asyncio.sleep(0.6)
         came = (taken(daemon) - reports) / (time.perf_counter() - since)
--- a/onyxhead/controller/clock.py
+++ b/onyxhead/controller/clock.py
@@ -1,26 +1,31 @@
-"""The module's time: whole tenths of a millisecond that only move forward, whatever the wall's clock does.
+"""The clock of the policy: ticks that never go back, whatever is done to the wall clock.
 
-The count starts at the wall's time when the process starts and goes by the monotonic clock from then on, so that
-starts of backends told in the wall's time can be compared, also across a restart."""
+The count starts at the wall time when the process starts and follows the monotonic clock from then on, so that start
+times of backends, which are given in wall time, can be compared with it, also across a restart.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-TENTHS = 10_000
+from onyxhead.time_units import TICKS_PER_SECOND
 
 
 class Clock:
-    def __init__(self, wall: Callable[[], float], steady: Callable[[], float]) -> None:
-        self.monotonic, self.started = steady, steady()
-        self.base = wall() * TENTHS
+    """Reads `wall` once and `monotonic` from then on, both in seconds."""
+
+    def __init__(self, wall: Callable[[], float], monotonic: Callable[[], float]) -> None:
+        self.monotonic, self.started = monotonic, monotonic()
+        self.base = wall() * TICKS_PER_SECOND
 
     def now(self) -> int:
-        return int(self.base + (self.monotonic() - self.started) * TENTHS)
+        """The present in ticks."""
+        return int(self.base + (self.monotonic() - self.started) * TICKS_PER_SECOND)
 
     def from_wall_time(self, seconds: float) -> int:
-        """The module's time for a moment of the wall's clock; what lies ahead counts as now.
+        """The ticks of a wall time; one that lies ahead counts as now.
 
-        A backend said to start in the future is either a clock that runs ahead or a wall set back; taking it as
-        just started is the safe reading, since it then gets the least."""
-        return max(1, min(self.now(), int(seconds * TENTHS)))
+        A backend that says it starts in the future has a clock that runs ahead, or the wall clock here was set back.
+        To take it as just started is safe, since it then gets the least load.
+        """
+        return max(1, min(self.now(), int(seconds * TICKS_PER_SECOND)))
--- a/onyxhead/controller/configuration_service.py
+++ b/onyxhead/controller/configuration_service.py
@@ -13,6 +13,7 @@
 from onyxhead.controller.configuration.service import ConfigurationCallbacks, ConfigurationService
 from onyxhead.controller.configuration.tree import RpcError, Tree
 from onyxhead.controller.configuration.views import deployment, tree_of
+from onyxhead.controller.controller_status import controller_status
 from onyxhead.fronts.netconf import schema
 from onyxhead.store.records import CommitRecord
 from onyxhead.store.value_names import SETTINGS_TREE, STARTUP_DATASTORE
@@ -74,7 +75,7 @@
 
 
 def state(daemon: ControllerServer) -> Tree:
-    known = daemon.core.state(daemon.clock.now())
+    known = controller_status(daemon.core, daemon.clock.now())
     proxies = [
         {"name": name, "zone": own["zone"], "bound": own["bound"], "turn": own["turn"]}
         for name, own in sorted(known["proxies"].items())
--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -1,20 +1,23 @@
-"""One controller's whole state and every step it takes, with no I/O: the module's host.
+"""The state machine of one controller, without I/O: it runs the policy and turns its decisions into messages.
 
-What is heard comes in by method; `act` lets the module decide and returns what the daemon must carry out. Times are
-the module's (tenths of a millisecond). Each step is the same for the same inputs, live or replayed.
+Events come in through the `on_...` methods; `decide` runs one round of the policy and returns the effects that the
+server has to carry out. Times are in ticks. The same inputs lead to the same effects, live or replayed.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterable
-from dataclasses import dataclass, field
-from typing import Any, NamedTuple
 
-from onyxhead.controller.delivery_queue import DeliveryQueue, QueuedMessage, QueueFullError
+from onyxhead.controller.delivery_queue import DeliveryQueue
+from onyxhead.controller.effects import Disconnect, Effects, HealthCheckTarget, RoundResult
 from onyxhead.controller.endpoint_list import EndpointUpdate
+from onyxhead.controller.errors import QueueFullError
 from onyxhead.controller.join_backoff import JoinBackoff
-from onyxhead.controller.request_statistics import DuplicateFilter, RequestStatistics, StatisticsAggregator
+from onyxhead.controller.proxies import Acknowledgement, JoinedProxy, JoinRequest
+from onyxhead.controller.request_statistics import RequestStatistics
+from onyxhead.controller.statistics_feed import StatisticsFeed
+from onyxhead.controller.table_versions import TableVersions
 from onyxhead.fleet.slow_start_budget import BudgetGrant, Incarnation, IncarnationLoad, SlowStartBudget
 from onyxhead.intake.load_estimator import LoadEstimator
 from onyxhead.policy.balancer import BalancingPolicy
@@ -27,413 +30,272 @@
     WakeUp,
 )
 from onyxhead.policy.inputs import Deployment, Endpoint, HealthCheckResult, LoadReport, WatchEvent
-from onyxhead.tables.canary import Canary, Verdict, select_canary_proxies
-from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
-from onyxhead.tables.history import History, LineKey, Version
-from onyxhead.tables.rollback import CurrentEndpoints, PinnedVersion, RollbackPlan, plan_rollback
-from onyxhead.tables.table_state import Freeze, TableState
+from onyxhead.tables.history import History
+from onyxhead.tables.rollback import CurrentEndpoints
+from onyxhead.tables.table_state import TableState
 from onyxhead.tables.updates import ProxyUpdate
-from onyxhead.tables.view import View
 
-MOST_PROXIES = 65_535
-SETTLE_SHARE = 0.45
-"""Of the queue limit, for lines of held or released tables; as much as the module gives its own turns."""
-CAUSES = 12
-"""So many causes are told with an order; more say no more."""
+MAX_PROXIES = 65_535
+RECONCILE_SHARE = 0.45
+"""Share of the queue limit for lines of held or released tables; the policy gives its own changes as much."""
+MAX_CAUSES = 12
+"""Causes named with one decision round; more say no more."""
+CANARY_GRACE_INTERVALS = 2
+"""Report intervals after which statistics no longer cover the time before the canary's lines were in force."""
 
-
-class JoinRequest(NamedTuple):
-    """A proxy that asks to join, and what it holds. `usual` in flows a second."""
-
-    name: str
-    zone: str
-    baseline_rate: float
-    has_standing_table: bool
-    view: View
-
-
-class Disconnect(NamedTuple):
-    """A stream to give up, and why."""
-
-    proxy: int
-    name: str
-    reason: str
-
-
-class RoundResult(NamedTuple):
-    """One pull of the module that sent something: its turn, what it decided, and what had been heard before."""
-
-    round_number: int
-    decisions: list[Decision]
-    causes: list[str]
-
-
-@dataclass
-class Effects:
-    """What there is to carry out."""
-
-    rounds: list[RoundResult] = field(default_factory=list)
-    deliveries: list[QueuedMessage[ProxyUpdate]] = field(default_factory=list)
-    health_checks: list[tuple[str, str]] = field(default_factory=list)
-    disconnects: list[Disconnect] = field(default_factory=list)
-    log_messages: list[str] = field(default_factory=list)
-    subscribe: bool = False
-
-
-class JoinedProxy(NamedTuple):
-    name: str
-    zone: int
-    joined_at: int
+# Names of counters, as operators see them in `/v1/state`.
+JOINS, LEAVES, FAULTS = "joins", "breaks", "faults"
+UNKNOWN_PROXY_STATISTICS, REPEATED_STATISTICS = "sums of strangers", "sums repeated"
+REJECTED_BY_LIMIT = "refused by the limit"
 
 
 class ControllerCore:
-    """`numbers` are the proxies' numbers of earlier lives, so that a proxy keeps its own."""
+    """`numbers` are the proxies' numbers in earlier incarnations, so that each proxy keeps its own."""
 
     def __init__(
         self,
-        start: Deployment,
+        deployment: Deployment,
         groups: tuple[str, ...],
         zones: tuple[str, ...],
         seed: int,
         epoch: int,
-        patience: int,
+        stall_timeout: int,
         now: int,
         numbers: dict[str, int] | None = None,
         history: History | None = None,
     ) -> None:
-        self.deployment, self.groups, self.zones, self.epoch = start, groups, zones, epoch
-        self.policy = BalancingPolicy(start, seed, now)
-        self.proxy_tables = TableState(groups, start.admission_mode, start.channel.message_overhead)
-        self.delivery_queue: DeliveryQueue[ProxyUpdate] = DeliveryQueue(start.channel, patience)
-        self.join_backoff, self.duplicate_filter, self.statistics = (
-            JoinBackoff(),
-            DuplicateFilter(),
-            StatisticsAggregator(),
-        )
+        self.deployment, self.groups, self.zones, self.epoch = deployment, groups, zones, epoch
+        self.group_numbers = {name: number for number, name in enumerate(groups)}
         self.numbers = dict(numbers or {})
         self.joined: dict[int, JoinedProxy] = {}
-        self.applied: dict[int, tuple[int, str]] = {}
-        self.backend_by_address: dict[str, str] = {}
+        self.acknowledged: dict[int, Acknowledgement] = {}
         self.endpoints: dict[str, Endpoint] = {}
+        self.backend_by_address: dict[str, str] = {}
         self.causes: list[str] = []
         self.effects = Effects()
-        self.wake_at = self.report_at = now
+        self.wake_at = now
         self.counts: Counter[str] = Counter()
-        self.history = history or History()
-        self.new_versions: list[tuple[Version, dict[LineKey, int]]] = []
-        self.last_sent: dict[LineKey, int] = {}
-        self.unsettled, self.at, self.seen_revision = False, now, 0
-        # Proxies of earlier lives hold other tables; a version begins from what this life has sent.
-        if self.history.latest.lines:
-            gone = dict.fromkeys(self.history.latest.lines, 0)
-            if (version := self.history.append(epoch, now, "restart", gone)) is not None:
-                self.new_versions.append((version, gone))
-        self.pin: PinnedVersion | None = None
-        self.canary: Canary | None = None
+        channel = deployment.channel
+        self.policy = BalancingPolicy(deployment, seed, now)
+        self.proxy_tables = TableState(groups, deployment.admission_mode, channel.message_overhead)
+        self.delivery_queue: DeliveryQueue[ProxyUpdate] = DeliveryQueue(channel, stall_timeout)
+        self.join_backoff = JoinBackoff()
+        self.versions = TableVersions(
+            self.proxy_tables,
+            history or History(),
+            self.joined,
+            epoch,
+            now,
+            channel.lines_per_second,
+            self.current_endpoints,
+            self._add_cause,
+        )
         self.load_estimator = LoadEstimator()
-        self.group_numbers = {name: place for place, name in enumerate(groups)}
+        self.statistics_feed = StatisticsFeed(
+            self.policy, self.load_estimator, self.joined, groups, deployment.report_interval, now
+        )
 
-    # What is heard
+    # Endpoints
 
-    def on_endpoint_update(self, now: int, news: EndpointUpdate) -> None:
-        for backend, place in news.addresses.items():
+    def on_endpoint_update(self, now: int, update: EndpointUpdate) -> None:
+        """The endpoint list has changed."""
+        for backend, address in update.addresses.items():
             known = self.proxy_tables.addresses.get(backend)
-            # Lines name the address they were sent with: another one is another process, to be let in anew.
-            if known is not None and known.address != place.address and backend in self.endpoints:
+            # Lines name the address that they were sent with. Another address is another process, to start anew.
+            if known is not None and known.address != address.address and backend in self.endpoints:
                 gone = self.endpoints[backend]._replace(ready=False, draining=False)
                 self.policy.on_endpoint_update(now, WatchEvent.DELTA, [gone])
-                self._add_cause(f"backend {backend} moved from {known.address} to {place.address}")
-                self._take_decisions(now)
-            self.proxy_tables.addresses[backend] = place
-            self.backend_by_address[place.address] = backend
-        self.endpoints |= {entry.backend: entry for entry in news.endpoints}
-        serving = [entry for entry in self.endpoints.values() if entry.ready or entry.draining]
-        self.load_estimator.on_endpoint_list({entry.backend: str(entry.kind) for entry in serving})
-        self.policy.on_endpoint_update(now, news.event, news.endpoints)
-        self._add_cause(f"list: {len(news.endpoints)} {'entries' if news.event is WatchEvent.SNAPSHOT else 'changes'}")
+                self._add_cause(f"backend {backend} moved from {known.address} to {address.address}")
+                self._run_round(now)
+            self.proxy_tables.addresses[backend] = address
+            self.backend_by_address[address.address] = backend
+        self.endpoints |= {endpoint.backend: endpoint for endpoint in update.endpoints}
+        serving = [endpoint for endpoint in self.endpoints.values() if endpoint.ready or endpoint.draining]
+        self.load_estimator.on_endpoint_list({endpoint.backend: str(endpoint.kind) for endpoint in serving})
+        self.policy.on_endpoint_update(now, update.event, update.endpoints)
+        unit = "entries" if update.event is WatchEvent.SNAPSHOT else "changes"
+        self._add_cause(f"list: {len(update.endpoints)} {unit}")
 
     def on_subscription_rejected(self, now: int) -> None:
+        """Discovery can't be read; the policy says when to subscribe again."""
         self.policy.on_endpoint_update(now, WatchEvent.REJECTED, [])
         self._add_cause("discovery refused")
 
     def restore_withdrawals(self, now: int, backends: Iterable[str]) -> None:
-        """Backends that an earlier life had withdrawn and the list no longer names: proxies may still hold them."""
+        """Withdraw backends that proxies may still hold although the endpoint list no longer names them."""
         gone = [Endpoint(b, 0, 0, False, False, 1.0, 0) for b in backends if b not in self.endpoints]
         if gone:
-            self.endpoints |= {entry.backend: entry for entry in gone}
+            self.endpoints |= {endpoint.backend: endpoint for endpoint in gone}
             self.policy.on_endpoint_update(now, WatchEvent.DELTA, gone)
 
+    def current_endpoints(self, now: int) -> CurrentEndpoints:
+        """The backends that are ready, and since when each has been warm."""
+        warmup_time = self.deployment.safety.warmup_time
+        found: dict[str, int | None] = {}
+        for name, endpoint in self.endpoints.items():
+            if endpoint.ready:
+                warm_at = endpoint.started_at + warmup_time if endpoint.started_at else 0
+                found[name] = endpoint.started_at if warm_at <= now else None
+        return CurrentEndpoints(found)
+
+    def on_health_check(self, now: int, backend: str, result: HealthCheckResult, load: LoadReport) -> None:
+        """A health check that was asked for is done."""
+        self.policy.on_health_check(now, backend, result, load)
+
+    # Proxies
+
     def proxy_number(self, name: str) -> int:
-        """The proxy's number. Raises OverflowError when there are none left."""
+        """The proxy's number, a new one for a new proxy. Raises OverflowError when there are none left."""
         if name not in self.numbers:
             free = max(self.numbers.values(), default=-1) + 1
-            if free >= MOST_PROXIES:
-                raise OverflowError(f"{MOST_PROXIES} proxies are known already")
+            if free >= MAX_PROXIES:
+                raise OverflowError(f"{MAX_PROXIES} proxies are known already")
             self.numbers[name] = free
         return self.numbers[name]
 
-    def on_proxy_joined(self, now: int, who: JoinRequest) -> int:
-        """The proxy's stream stands; an earlier one of the same name is over. Returns its number."""
-        number = self.proxy_number(who.name)
+    def on_proxy_joined(self, now: int, request: JoinRequest) -> int:
+        """The proxy's stream is open, in place of an earlier one of the same name. Returns its number."""
+        number = self.proxy_number(request.name)
         if number in self.joined:
             self.on_proxy_left(now, number)
-        self.effects.disconnects = [cut for cut in self.effects.disconnects if cut.proxy != number]
-        zone = self.zones.index(who.zone)
-        self.joined[number] = JoinedProxy(who.name, zone, now)
+        self.effects.disconnects = [each for each in self.effects.disconnects if each.proxy != number]
+        zone = self.zones.index(request.zone)
+        self.joined[number] = JoinedProxy(request.name, zone, now)
         self.delivery_queue.add_proxy(number)
-        self.proxy_tables.join(number, who.view)
-        self.policy.on_proxy_joined(now, number, zone, who.baseline_rate, who.has_standing_table)
-        self.counts["joins"] += 1
-        self._add_cause(f"{who.name} joined")
+        self.proxy_tables.join(number, request.view)
+        self.policy.on_proxy_joined(now, number, zone, request.baseline_rate, request.has_standing_table)
+        self.counts[JOINS] += 1
+        self._add_cause(f"{request.name} joined")
         return number
 
-    def on_proxy_left(self, now: int, proxy: int, why: str = "") -> None:
-        """The proxy's stream is over; what waits for it is lost."""
+    def on_proxy_left(self, now: int, proxy: int, reason: str = "") -> None:
+        """The proxy's stream is closed; what was queued for it is lost."""
         if (known := self.joined.pop(proxy, None)) is None:
             return
         self.delivery_queue.remove_proxy(proxy)
         self.proxy_tables.leave(proxy)
-        self.applied.pop(proxy, None)
+        self.acknowledged.pop(proxy, None)
         self.policy.on_proxy_left(now, proxy)
-        self.counts["breaks"] += 1
+        self.counts[LEAVES] += 1
         self.load_estimator.on_proxy_left(known.name)
-        self._add_cause(f"{known.name} left{': ' + why if why else ''}")
+        self._add_cause(f"{known.name} left{': ' + reason if reason else ''}")
 
-    def on_acknowledgement(self, now: int, proxy: int, message: ProxyUpdate, tag: str, ordered: int) -> None:
-        """The proxy says that it applied a message and holds the view with this tag."""
+    def on_acknowledgement(self, now: int, proxy: int, message: ProxyUpdate, etag: str, queued_at: int) -> None:
+        """The proxy says that it has applied a message and now holds the view with this etag."""
         if proxy not in self.joined:
             return
-        if tag != message.result.etag:
+        if etag != message.result.etag:
             self.on_stream_fault(now, proxy, "it holds another view than it was sent")
             return
         if not message.round_number:
             return
-        self.applied[proxy] = (message.round_number, tag)
-        self.policy.on_acknowledgement(now, proxy, message.round_number, now - ordered)
+        self.acknowledged[proxy] = Acknowledgement(message.round_number, etag)
+        self.policy.on_acknowledgement(now, proxy, message.round_number, now - queued_at)
         self._add_cause(f"{self.joined[proxy].name} applied {message.round_number}")
 
-    def on_stream_fault(self, now: int, proxy: int, why: str) -> None:
-        """The proxy's side broke what was agreed; its stream is given up, and its next join may have to wait."""
+    def on_stream_fault(self, now: int, proxy: int, reason: str) -> None:
+        """The proxy's side broke the protocol; its stream is closed, and its next join may have to wait."""
         if (known := self.joined.get(proxy)) is None:
             return
         self.join_backoff.on_stream_fault(now, known.name)
-        self.counts["faults"] += 1
-        self._disconnect(now, proxy, why)
+        self.counts[FAULTS] += 1
+        self._disconnect(now, proxy, reason)
 
     def on_request_statistics(self, now: int, name: str, boot: str, number: int, report: RequestStatistics) -> bool:
-        """One proxy's sums; False if they were heard before or the proxy is not joined here."""
+        """A proxy's report. False if it came before or the proxy has not joined here."""
         proxy = self.numbers.get(name)
         if proxy is None or proxy not in self.joined:
-            self.counts["sums of strangers"] += 1
+            self.counts[UNKNOWN_PROXY_STATISTICS] += 1
             return False
-        if not self.duplicate_filter.is_new(name, boot, number):
-            self.counts["sums repeated"] += 1
+        if not self.statistics_feed.duplicate_filter.is_new(name, boot, number):
+            self.counts[REPEATED_STATISTICS] += 1
             return False
-        zone = self.joined[proxy].zone
-        self.statistics.add(zone, proxy, report, self.backend_by_address, self.group_numbers)
-        # What was counted before the trial's lines were in force says nothing about them.
-        if self.canary is not None and now - self.canary.started_at > 2 * self.deployment.report_interval:
-            met = report.backends.values()
-            self.canary.record(name, sum(each.attempts for each in met), sum(each.failures for each in met))
+        pending, zone = self.statistics_feed.pending, self.joined[proxy].zone
+        pending.add(zone, proxy, report, self.backend_by_address, self.group_numbers)
+        canary, grace = self.versions.canary, CANARY_GRACE_INTERVALS * self.deployment.report_interval
+        if canary is not None and now - canary.started_at > grace:
+            totals = report.backends.values()
+            canary.record(name, sum(each.attempts for each in totals), sum(each.failures for each in totals))
         return True
 
-    def on_health_check(self, now: int, backend: str, sight: HealthCheckResult, load: LoadReport) -> None:
-        self.policy.on_health_check(now, backend, sight, load)
-
     def update_budget_shares(self, now: int, budget: SlowStartBudget) -> list[BudgetGrant]:
-        """Rule 4's budget among controllers: tells it what is cold here, lends, and tells the module its shares. Raises
-        what `budget.keep` does; the module's shares are then as they were."""
+        """Exchange the slow-start budget with other controllers, and tell the policy its shares.
+
+        Raises what storing the grants raises; the policy's shares are then as they were."""
         found = self.policy.warming_backends(now)
         budget.on_loads(
-            {Incarnation(name, started): IncarnationLoad(usual, asked) for name, started, usual, asked in found}
+            {Incarnation(name, started): IncarnationLoad(baseline, asked) for name, started, baseline, asked in found}
         )
-        made = budget.grant()
+        grants = budget.grant()
         for name, started, _, _ in found:
             self.policy.on_budget_share(now, name, budget.share(Incarnation(name, started)))
-        return made
+        return grants
 
-    # What is decided
+    # Decisions
 
     def decide(self, now: int) -> Effects:
-        """One step: sums that are due are told, the module decides, messages whose time has come leave."""
-        if now >= self.report_at:
-            self.report_at = now + self.deployment.report_interval
-            met, flows = self.statistics.drain()
-            for zone, backend, own, load in met:
-                mean = round(own.latency_sum / (own.attempts - own.failures)) if own.attempts > own.failures else 0
-                span = own.window or self.deployment.report_interval
-                self.load_estimator.on_attempts(now, backend, own.attempts, own.failures, mean / 10, span, span // 2)
-                # A word that agrees with what proxies met, and is young, tells more than the last answer's header.
-                if (busy := self.load_estimator.utilization(now, backend)) is not None:
-                    load = load._replace(utilization=busy)
-                if (latency := self.load_estimator.response_time(now, backend)) is not None:
-                    load = load._replace(latency=latency)
-                self.policy.on_attempt_statistics(now, backend, zone, own.attempts, own.failures, mean, span, load)
-            for proxy, group, came, span in flows:
-                if span > 0 and proxy in self.joined:
-                    self.load_estimator.on_demand(
-                        now, self.joined[proxy].name, self.groups[group], came * 10_000 / span
-                    )
-                self.policy.on_request_rate(now, proxy, group, came, span)
-        self._take_decisions(now)
-        if self.pin is not None and now >= self.pin.until:
-            self.release(now, "its time is over")
-        self._settle(now)
+        """Report statistics that are due, run a round of the policy, and release messages whose time has come."""
+        self.statistics_feed.report_if_due(now)
+        self._run_round(now)
+        self.versions.release_expired(now)
+        self._reconcile_tables(now)
         for proxy in self.delivery_queue.stalled_proxies(now):
             self.on_stream_fault(now, proxy, "it takes nothing")
         self.effects.deliveries = self.delivery_queue.release_due(now)
-        work, self.effects = self.effects, Effects()
-        return work
+        effects, self.effects = self.effects, Effects()
+        return effects
 
     def next_decision_at(self) -> int:
-        """When to act again if nothing is heard before."""
-        at = self.delivery_queue.next_event_at()
-        return min(self.wake_at, self.report_at, at if at is not None else self.wake_at)
+        """When to decide again if no event comes before."""
+        due = self.delivery_queue.next_event_at()
+        return min(self.wake_at, self.statistics_feed.report_at, due if due is not None else self.wake_at)
+
+    def _run_round(self, now: int) -> None:
+        decisions = list(self.policy.decisions(now))
+        round_number = self._collect_effects(now, decisions)
+        # Also while no proxy is joined: the first one to join must get the lines that are decided now.
+        reached = set()
+        for message in self.proxy_tables.apply_decisions(round_number, decisions):
+            reached.add(message.proxy)
+            self._enqueue(now, message)
+        # Proxies whose tables are held may get no message; the policy must not wait for their acknowledgements.
+        for proxy in [proxy for proxy in self.policy.round_recipients if round_number and proxy not in reached]:
+            self.policy.on_acknowledgement(now, proxy, round_number, 0)
+        self.versions.record(now, ", ".join(self.causes) or "time")
+        if round_number:
+            self.effects.rounds.append(RoundResult(round_number, decisions, self.causes))
+            self.causes = []
 
-    def _take_decisions(self, now: int) -> None:
-        decisions, turn, work = list(self.policy.decisions(now)), 0, self.effects
+    def _collect_effects(self, now: int, decisions: Iterable[Decision]) -> int:
+        """Note what is not for proxies. Returns the number of the round, 0 if it asks for no acknowledgement."""
+        round_number, effects = 0, self.effects
         for decision in decisions:
             match decision:
-                case AcknowledgementRequest(marked, _):
-                    turn = marked
+                case AcknowledgementRequest(number, _):
+                    round_number = number
                 case HealthCheckRequest(backend) if backend in self.proxy_tables.addresses:
-                    work.health_checks.append((backend, self.proxy_tables.addresses[backend].address))
-                case WakeUp(after):
-                    self.wake_at = now + after
+                    address = self.proxy_tables.addresses[backend].address
+                    effects.health_checks.append(HealthCheckTarget(backend, address))
+                case WakeUp(delay):
+                    self.wake_at = now + delay
                 case SubscribeToEndpoints():
-                    work.subscribe = True
+                    effects.subscribe = True
                 case LogMessage(text):
-                    work.log_messages.append(text)
-        # Also with no one to tell: lines decided while no proxy is joined are what the first to join must get.
-        reached = set()
-        for message in self.proxy_tables.apply_decisions(turn, decisions):
-            reached.add(message.proxy)
-            self._enqueue(now, message)
-        # While tables are held some get no message; the module must not wait for answers that can't come.
-        for proxy in [proxy for proxy in self.policy.round_recipients if turn and proxy not in reached]:
-            self.policy.on_acknowledgement(now, proxy, turn, 0)
-        self._record_version(now, ", ".join(self.causes) or "time")
-        if turn:
-            work.rounds.append(RoundResult(turn, decisions, self.causes))
-            self.causes = []
-
-    # Versions, and the way back
-
-    def _record_version(self, now: int, cause: str) -> None:
-        if self.proxy_tables.revision == self.seen_revision:
+                    effects.log_messages.append(text)
+        return round_number
+
+    def _reconcile_tables(self, now: int) -> None:
+        """Bring lines that a pin or a canary holds, or held, to what they should be."""
+        self.versions.updated_at = now
+        if (outcome := self.versions.conclude_canary(now)) is not None:
+            self.effects.log_messages.append(outcome)
+        if not self.versions.reconciling:
             return
-        self.seen_revision, sent = self.proxy_tables.revision, self.proxy_tables.sent_lines()
-        keys = {*sent, *self.last_sent}
-        changes = {key: sent.get(key, 0) for key in keys if sent.get(key, 0) != self.last_sent.get(key, 0)}
-        self.last_sent = sent
-        if (version := self.history.append(self.epoch, now, cause, changes)) is not None:
-            self.new_versions.append((version, changes))
-
-    def current_endpoints(self, now: int) -> CurrentEndpoints:
-        """Backends that are ready, and since when each is warm."""
-        cold = self.deployment.safety.warmup_time
-        found: dict[str, int | None] = {}
-        for name, entry in self.endpoints.items():
-            if entry.ready:
-                warm = entry.started_at + cold if entry.started_at else 0
-                found[name] = (entry.started_at if warm <= now else None) if entry.started_at else 0
-        return CurrentEndpoints(found)
-
-    def preview_rollback(self, now: int, name: str) -> tuple[RollbackPlan, float]:
-        """What going back would do, and the seconds that the channel takes.
-
-        Raises RollbackRejectedError, UnknownVersionError."""
-        back = plan_rollback(
-            self.history.find(name),
-            self.proxy_tables.desired,
-            self.proxy_tables.sent_lines(),
-            self.current_endpoints(now),
-        )
-        users = max((len(users) for users in self.proxy_tables.proxies_by_table.values()), default=0)
-        return back, users * (
-            back.changed_lines + self.proxy_tables.message_overhead + 1
-        ) / self.deployment.channel.lines_per_second
-
-    def roll_back(self, now: int, name: str, seconds: float) -> tuple[RollbackPlan, float]:
-        """Holds the tables as in a version for so long; returns what `preview` does. Withdrawals and levels go on.
-        Raises RollbackRejectedError, UnknownVersionError."""
-        back, took = self.preview_rollback(now, name)
-        self._set_pin(PinnedVersion(self.history.find(name), now + round(seconds * 10_000)))
-        self._add_cause(f"rolled back to version {back.version}")
-        return back, took
-
-    def freeze(self, now: int, seconds: float) -> int:
-        """Holds the tables as they are now, for so long. Returns the version that they are in."""
-        version = self.history.latest._replace(created_at=now)
-        self._set_pin(PinnedVersion(version, now + round(seconds * 10_000)))
-        self._add_cause(f"held as in version {version.number}")
-        return version.number
-
-    def _set_pin(self, pin: PinnedVersion) -> None:
-        self.pin, self.proxy_tables.main.freeze, self.unsettled = pin, self._freeze_to(pin), True
-
-    def _freeze_to(self, pin: PinnedVersion) -> Freeze:
-        return lambda wanted: pin.target(wanted, self.current_endpoints(self.at))
-
-    def release(self, now: int, why: str) -> bool:
-        """Follows the module again; its lines are sent as the channel has room. False if nothing was held."""
-        held, self.pin, self.proxy_tables.main.freeze = self.pin is not None, None, None
-        if held:
-            self._add_cause(f"released: {why}")
-        return held
-
-    def start_canary(self, now: int, name: str, share: float, seconds: float) -> tuple[RollbackPlan, Canary]:
-        """Holds a share of the proxies as in a version; worse than the others, it is taken back, else it is held for
-        all when the time is over. Raises RollbackRejectedError, UnknownVersionError."""
-        if self.canary is not None:
-            raise RollbackRejectedError(f"version {self.canary.version} is on trial already")
-        back, _ = self.preview_rollback(now, name)
-        bound = {known.name: number for number, known in self.joined.items() if self.proxy_tables.tables_of(number)}
-        names = select_canary_proxies(bound, share)
-        if not names:
-            raise RollbackRejectedError("a trial needs two proxies at least")
-        pin = PinnedVersion(self.history.find(name), now + round(seconds * 10_000))
-        self.canary = canary = Canary(back.version, frozenset(names), now, pin.until)
-        self.proxy_tables.begin_canary(frozenset(bound[name] for name in names), self._freeze_to(pin))
-        self.unsettled = True
-        self._add_cause(f"version {back.version} is tried on {len(names)} of {len(bound)} proxies")
-        return back, canary
-
-    def _evaluate_canary(self, now: int) -> None:
-        if (canary := self.canary) is None:
-            return
-        verdict = canary.verdict()
-        if verdict is not Verdict.WORSE and now < canary.ends_at:
-            return
-        self.canary = None
-        self.proxy_tables.end_canary()
-        self.unsettled = True
-        told = f"version {canary.version} on trial: {verdict.value}"
-        own, others = canary.canary_counts, canary.baseline_counts
-        told += f" ({own.failures}/{own.attempts} failed, elsewhere {others.failures}/{others.attempts})"
-        if verdict is Verdict.NOT_WORSE:
-            try:
-                self.roll_back(now, str(canary.version), (canary.ends_at - canary.started_at) / 10_000)
-                told += "; held for all"
-            except (RollbackRejectedError, UnknownVersionError) as error:
-                told += f"; not held for all: {error}"
-        self.effects.log_messages.append(told)
-        self._add_cause(told)
-
-    def _settle(self, now: int) -> None:
-        self.at = now
-        self._evaluate_canary(now)
-        if self.pin is None and self.canary is None and not self.unsettled:
-            return
-        room = SETTLE_SHARE * self.delivery_queue.limits.max_queued_lines - self.delivery_queue.queued_lines
-        for message in self.proxy_tables.reconcile(room):
+        queue = self.delivery_queue
+        capacity = RECONCILE_SHARE * queue.limits.max_queued_lines - queue.queued_lines
+        for message in self.proxy_tables.reconcile(capacity):
             self._enqueue(now, message)
-        left = self.proxy_tables.pending_changes()
-        if self.canary is None and not any(own is self.proxy_tables.canary for own, _, _ in left):
-            # Those that were on trial hold what all others hold, and are like all others again.
-            self.proxy_tables.canary_proxies = frozenset()
-        self.unsettled = self.pin is not None or bool(left) or bool(self.proxy_tables.canary_proxies)
-        self._record_version(now, "held tables" if self.pin is not None else "released tables")
+        self.versions.on_reconciled(now)
 
     def _enqueue(self, now: int, message: ProxyUpdate) -> None:
         if message.proxy not in self.joined:
@@ -441,56 +303,14 @@
         try:
             self.delivery_queue.enqueue(now, message.proxy, message, message.line_cost)
         except QueueFullError as error:
-            # The module takes what it ordered as sent. Only a new join makes it think about this proxy anew.
-            self.counts["refused by the limit"] += 1
+            # The policy takes its decisions as sent. Only a new join makes it consider this proxy again.
+            self.counts[REJECTED_BY_LIMIT] += 1
             self._disconnect(now, message.proxy, f"the channel's limit: {error}")
 
-    def _disconnect(self, now: int, proxy: int, why: str) -> None:
-        self.effects.disconnects.append(Disconnect(proxy, self.joined[proxy].name, why))
-        self.on_proxy_left(now, proxy, why)
+    def _disconnect(self, now: int, proxy: int, reason: str) -> None:
+        self.effects.disconnects.append(Disconnect(proxy, self.joined[proxy].name, reason))
+        self.on_proxy_left(now, proxy, reason)
 
     def _add_cause(self, text: str) -> None:
-        if len(self.causes) < CAUSES:
+        if len(self.causes) < MAX_CAUSES:
             self.causes.append(text)
-
-    # What operators see
-
-    def state(self, now: int) -> dict[str, Any]:
-        """All that is known, in plain values."""
-        up = {e.backend: e for e in self.endpoints.values()}
-        return {
-            "epoch": self.epoch,
-            "now": now,
-            "channel": {
-                "waiting": round(self.delivery_queue.queued_lines, 1),
-                "most": self.delivery_queue.limits.max_queued_lines,
-                "peak": round(self.delivery_queue.peak_queued_lines, 1),
-            },
-            "version": self.history.latest.number,
-            "trial": self.canary.version if self.canary is not None else None,
-            "held": self.pin.version.number if self.pin is not None else None,
-            "counts": dict(sorted(self.counts.items())) | {"tries at unknown": self.statistics.unknown_attempts},
-            "proxies": {
-                known.name: {
-                    "zone": self.zones[known.zone],
-                    "joined_for_s": round((now - known.joined_at) / 10_000, 1),
-                    "bound": bool(self.proxy_tables.tables_of(number)),
-                    "turn": self.applied.get(number, (0, ""))[0],
-                    "tag": self.applied.get(number, (0, ""))[1],
-                }
-                for number, known in sorted(self.joined.items())
-            },
-            "backends": {
-                name: {
-                    "address": place.address,
-                    "zone": place.zone,
-                    "ready": name in up and up[name].ready,
-                    "draining": name in up and up[name].draining,
-                    "withdrawn": name in self.proxy_tables.withdrawn,
-                    "lines": {
-                        str(table): lines[name] for table, lines in self.proxy_tables.tables.items() if name in lines
-                    },
-                }
-                for name, place in sorted(self.proxy_tables.addresses.items())
-            },
-        }
--- a/onyxhead/controller/discovery.py
+++ b/onyxhead/controller/discovery.py
@@ -6,6 +6,7 @@
 from collections.abc import AsyncIterator
 from pathlib import Path
 
+from onyxhead.controller.errors import DiscoveryUnavailableError
 from onyxhead.http.client import Connection
 from onyxhead.http.messages import Fault, Request
 
@@ -14,10 +15,6 @@
 TIMEOUT = 8.0
 
 
-class DiscoveryUnavailableError(Exception):
-    """Discovery can't be read now; the last list stands."""
-
-
 async def watch_file(path: Path, every: float) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
     """The file's content at first and whenever it was written anew.
 
--- a/onyxhead/controller/health_check.py
+++ b/onyxhead/controller/health_check.py
@@ -1,68 +1,86 @@
-"""Looks at one backend and says what was seen."""
+"""Active health checks: one HTTP request to a backend, and the load report in the header of its answer."""
 
 from __future__ import annotations
 
 import json
 import math
 from collections.abc import Mapping
+from typing import NamedTuple
 
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Fault, Request
 from onyxhead.policy.inputs import HealthCheckResult, LoadReport
 from onyxhead.tables.addresses import parse_address
+from onyxhead.time_units import TICKS_PER_MILLISECOND
 
-LOAD_REPORT = "endpoint-load-metrics"
-"""The header of a published load report (ORCA), as JSON or as text."""
+LOAD_HEADER = "endpoint-load-metrics"
+"""The header of a load report in the ORCA format, as JSON or as text."""
+UTILIZATION_METRIC, LATENCY_METRIC = "cpu_utilization", "latency_ms"
+NAMED_METRICS_PREFIX = "named_metrics."
+MAX_UTILIZATION = 1.5
+"""A larger value is no utilization; one above 1 is taken as 1."""
+MAX_LATENCY_MS = 600_000.0
 
 
-MOST_LATENCY_MS = 600_000.0
+class HealthCheckOutcome(NamedTuple):
+    """The result of a health check, and what the backend reported of its load."""
 
+    result: HealthCheckResult
+    load: LoadReport
 
-async def look(address: str, path: str, timeout: float) -> tuple[HealthCheckResult, LoadReport]:
-    """What a health request met, and what the backend told of its load."""
+
+async def check_health(address: str, path: str, timeout: float) -> HealthCheckOutcome:
+    """Check a backend once; `timeout` in seconds."""
     try:
         response = await ask_once(parse_address(address), Request("GET", path), timeout)
     except TimeoutError:
-        return HealthCheckResult.TIMED_OUT, LoadReport()
+        return HealthCheckOutcome(HealthCheckResult.TIMED_OUT, LoadReport())
     except (OSError, Fault):
-        return HealthCheckResult.UNREACHABLE, LoadReport()
-    sight = HealthCheckResult.HEALTHY if 200 <= response.status < 300 else HealthCheckResult.REJECTED
-    report = load_report(response.headers)
-    return sight, LoadReport(busy_share(report), latency(report))
+        return HealthCheckOutcome(HealthCheckResult.UNREACHABLE, LoadReport())
+    healthy = 200 <= response.status < 300
+    metrics = parse_load_header(response.headers)
+    load = LoadReport(reported_utilization(metrics), reported_latency(metrics))
+    return HealthCheckOutcome(HealthCheckResult.HEALTHY if healthy else HealthCheckResult.REJECTED, load)
 
 
-def load_report(headers: Mapping[str, str]) -> dict[str, float]:
-    """The finite figures of a load report header; empty for none, or for one that can't be read."""
-    form, _, told = headers.get(LOAD_REPORT, "").partition(" ")
-    pairs: list[tuple[str, object]] = []
-    if form.upper() == "JSON":
-        try:
-            given = json.loads(told)
-        except (ValueError, RecursionError):
-            given = None
-        for name, value in given.items() if isinstance(given, dict) else ():
-            pairs += value.items() if isinstance(value, dict) else [(name, value)]
-    elif form.upper() == "TEXT":
-        pairs = [(name.strip(), value) for name, _, value in (each.partition("=") for each in told.split(","))]
-    found = {}
-    for name, value in pairs:
+def parse_load_header(headers: Mapping[str, str]) -> dict[str, float]:
+    """The finite metrics of a load report header; empty if there is none or it can't be read."""
+    form, _, text = headers.get(LOAD_HEADER, "").partition(" ")
+    metrics = {}
+    for name, value in _metrics(form.upper(), text):
         try:
-            figure = float(value) if isinstance(value, int | float | str) else math.nan
+            number = float(value) if isinstance(value, int | float | str) else math.nan
         except (ValueError, OverflowError):
             continue
-        if math.isfinite(figure):
-            found[name.removeprefix("named_metrics.")] = figure
-    return found
+        if math.isfinite(number):
+            metrics[name.removeprefix(NAMED_METRICS_PREFIX)] = number
+    return metrics
+
+
+def _metrics(form: str, text: str) -> list[tuple[str, object]]:
+    if form == "TEXT":
+        return [(name.strip(), value) for name, _, value in (each.partition("=") for each in text.split(","))]
+    if form != "JSON":
+        return []
+    try:
+        document = json.loads(text)
+    except (ValueError, RecursionError):
+        return []
+    metrics: list[tuple[str, object]] = []
+    for name, value in document.items() if isinstance(document, dict) else ():
+        metrics += value.items() if isinstance(value, dict) else [(name, value)]
+    return metrics
 
 
-def busy_share(report: Mapping[str, float]) -> float | None:
-    """The share of its cores that a backend says are in use; None if it does not say, or says what can't be."""
-    busy = report.get("cpu_utilization")
-    return min(1.0, busy) if busy is not None and 0 <= busy <= 1.5 else None
+def reported_utilization(metrics: Mapping[str, float]) -> float | None:
+    """The share of its cores that a backend reports in use, at most 1; None if it reports none or no possible one."""
+    utilization = metrics.get(UTILIZATION_METRIC)
+    return min(1.0, utilization) if utilization is not None and 0 <= utilization <= MAX_UTILIZATION else None
 
 
-def latency(report: Mapping[str, float]) -> int | None:
-    """How long its answers took lately, in tenths of a millisecond, from the report's `latency_ms`; None if it does not
-    say, or says what can't be."""
-    told = report.get("latency_ms")
-    return max(1, round(told * 10)) if told is not None and 0 < told <= MOST_LATENCY_MS else None
+def reported_latency(metrics: Mapping[str, float]) -> int | None:
+    """The recent latency of a backend's answers in ticks; None if it reports none or no possible one."""
+    milliseconds = metrics.get(LATENCY_METRIC)
+    if milliseconds is None or not 0 < milliseconds <= MAX_LATENCY_MS:
+        return None
+    return max(1, round(milliseconds * TICKS_PER_MILLISECOND))
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -16,16 +16,22 @@
 
 import structlog
 
-from onyxhead.controller import discovery, endpoint_list, request_statistics, version_requests
+from onyxhead.controller import discovery, endpoint_list
 from onyxhead.controller.clock import Clock
 from onyxhead.controller.configuration import commit_plan
 from onyxhead.controller.configuration.commit_plan import FleetFacts
 from onyxhead.controller.configuration.tree import Tree
 from onyxhead.controller.configuration.views import as_records, deployment, overlaid, tree_of
-from onyxhead.controller.core import ControllerCore, Effects, JoinRequest
+from onyxhead.controller.controller_status import controller_status
+from onyxhead.controller.core import ControllerCore
+from onyxhead.controller.effects import Effects
+from onyxhead.controller.errors import DiscoveryUnavailableError, InvalidEndpointListError, InvalidStatisticsError
 from onyxhead.controller.fleet_transport import FleetTransport
-from onyxhead.controller.health_check import look
+from onyxhead.controller.health_check import check_health
 from onyxhead.controller.load_report_ingest import LoadReportIngest
+from onyxhead.controller.load_stats import parse_load_stats
+from onyxhead.controller.proxies import NEVER_ACKNOWLEDGED, JoinRequest
+from onyxhead.controller.version_requests import CHANGING_VERBS, handle_version_request
 from onyxhead.fleet.fencing import StaleTokenError, next_token
 from onyxhead.fronts.files.push import Encoder, Refused, Stream
 from onyxhead.http.messages import Request, Response, answer, problem
@@ -42,7 +48,7 @@
 from onyxhead.tables.addresses import parse_address
 from onyxhead.tables.errors import MalformedViewError, UnknownVersionError
 from onyxhead.tables.errors import RollbackRejectedError as Impossible
-from onyxhead.tables.history import History, VersionRecord
+from onyxhead.tables.history import History
 from onyxhead.tables.updates import ProxyUpdate, coalesce
 from onyxhead.tables.view import View
 
@@ -128,9 +134,9 @@
             log.warning("the remembered list is not used", age_s=round(age), good_for_s=self.settings.list_good_for)
             return
         try:
-            self.endpoint_list = endpoint_list.read(known.endpoint_list)
+            self.endpoint_list = endpoint_list.parse_endpoint_list(known.endpoint_list)
             news = self.follower.restore(self._as_ordered(self.endpoint_list))
-        except endpoint_list.InvalidEndpointListError as error:
+        except InvalidEndpointListError as error:
             log.warning("the remembered list is not used", why=str(error))
             return
         self.core.on_endpoint_update(now, news)
@@ -240,14 +246,12 @@
             log.info("remark", text=remark)
 
     def _save_versions(self) -> None:
-        fresh, self.core.new_versions = self.core.new_versions, []
-        for version, changes in fresh:
-            record = VersionRecord(version.number, version.epoch, version.created_at, version.cause, changes)
+        for record in self.core.versions.drain_new_versions():
             self.store.append_version(record)
 
     async def _check_health(self, backend: str, address: str) -> None:
         async with self.health_check_slots:
-            sight, load = await look(address, self.settings.probes.path, self.settings.probes.timeout)
+            sight, load = await check_health(address, self.settings.probes.path, self.settings.probes.timeout)
         self.core.on_health_check(self.clock.now(), backend, sight, load)
         self.wake.set()
 
@@ -255,7 +259,7 @@
 
     async def _watch_discovery(self) -> None:
         given = self.settings.discovery
-        heard: AsyncIterator[bytes | discovery.DiscoveryUnavailableError]
+        heard: AsyncIterator[bytes | DiscoveryUnavailableError]
         if given.file is not None:
             heard = discovery.watch_file(given.file, given.every)
         else:
@@ -266,15 +270,15 @@
             await self.subscribed.wait()
         async for body in heard:
             try:
-                if isinstance(body, discovery.DiscoveryUnavailableError):
+                if isinstance(body, DiscoveryUnavailableError):
                     raise body
-                read = endpoint_list.read(body)
+                read = endpoint_list.parse_endpoint_list(body)
                 news = self.follower.update(self._as_ordered(read))
-            except (discovery.DiscoveryUnavailableError, endpoint_list.InvalidEndpointListError) as error:
+            except (DiscoveryUnavailableError, InvalidEndpointListError) as error:
                 if last != str(error):
                     last = str(error)
                     log.warning("the list is not followed", why=last)
-                if asked and isinstance(error, discovery.DiscoveryUnavailableError):
+                if asked and isinstance(error, DiscoveryUnavailableError):
                     # The module asks again when it thinks best; until then discovery is left alone.
                     self.subscribed.clear()
                     self.core.on_subscription_rejected(self.clock.now())
@@ -360,7 +364,7 @@
             known.name
             for number, known in house.joined.items()
             if (view := house.proxy_tables.views.get(number)) is not None
-            and house.applied.get(number, (0, ""))[1] != view.etag
+            and house.acknowledged.get(number, NEVER_ACKNOWLEDGED).etag != view.etag
         )
         backends = {}
         for name in selected(names, [Backend(b, p.zone, "") for b, p in house.proxy_tables.addresses.items()]):
@@ -380,7 +384,7 @@
         self.streams.clear()
         withdrawn = list(self.core.proxy_tables.withdrawn)
         self._save_versions()
-        self.core = self._house(start, epoch, self.core.numbers, self.core.history)
+        self.core = self._house(start, epoch, self.core.numbers, self.core.versions.history)
         self.follower = endpoint_list.EndpointListFollower(
             self.settings.zones, self.clock.from_wall_time, self.clock.now
         )
@@ -589,7 +593,7 @@
         version = self.follower.last.version if self.follower.last else None
         own = {"name": self.settings.name, "list": {"version": version, "age_s": age}, "store": kept}
         orders = {"drained": sorted(self.operator_orders.drained), "cordoned": sorted(self.operator_orders.cordoned)}
-        return own | {"operators": orders} | self.core.state(self.clock.now())
+        return own | {"operators": orders} | controller_status(self.core, self.clock.now())
 
     def _join(self, name: str, request: Request) -> Response:
         try:
@@ -629,12 +633,12 @@
             given = request.json() if request.body else {}
             if not isinstance(given, dict):
                 raise ValueError("not an object")
-            if what in ("rollback", "pin", "try", "release", "label"):
+            if what in CHANGING_VERBS:
                 if request.method != "POST":
                     return problem(405, f"{what} is asked for by POST")
                 log.info("tables", asked=what, **{name: given.get(name) for name in ("version", "label", "seconds")})
                 self.wake.set()
-            return answer(200, version_requests.run(self.core, now, what, given, self._keep_label))
+            return answer(200, handle_version_request(self.core.versions, now, what, given, self._keep_label))
         except UnknownVersionError as error:
             return problem(404, str(error.args[0]))
         except Impossible as error:
@@ -657,8 +661,8 @@
             given = request.json()
             boot, number = given["node"]["metadata"]["boot"], given["node"]["metadata"]["number"]
             if type(boot) is not str or type(number) is not int:
-                raise request_statistics.InvalidReportError("boot or number is missing")
-            report = request_statistics.read(given)
+                raise InvalidStatisticsError("boot or number is missing")
+            report = parse_load_stats(given)
         except (ValueError, KeyError, TypeError) as error:
             return problem(400, f"not a report: {error}")
         fresh = self.core.on_request_statistics(self.clock.now(), name, boot, number, report)
--- a/onyxhead/controller/version_requests.py
+++ b/onyxhead/controller/version_requests.py
@@ -1,94 +1,156 @@
-"""What operators ask of a controller's table versions, in plain values. No I/O."""
+"""Operators' requests on the versions of a controller's tables: JSON values in, JSON values out. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
-from onyxhead.controller.core import ControllerCore
+from onyxhead.controller.table_versions import TableVersions
 from onyxhead.tables.history import Version, diff
 from onyxhead.tables.rollback import RollbackPlan
+from onyxhead.time_units import TICKS_PER_SECOND
 
-LONGEST = 24 * 3600.0
-USUAL = 600.0
-MOST_ROWS = 200
-
-
-def run(
-    house: ControllerCore, now: int, what: str, given: dict[str, Any], keep: Callable[[dict[str, int]], None]
-) -> Any:  # noqa: ANN401
-    """The answer to one question or command. Raises UnknownVersionError, RollbackRejectedError,
-    ValueError, KeyError, TypeError."""
-    history = house.history
-    match what:
-        case "log":
-            labels = {number: name for name, number in history.labels.items()}
-            return [
-                _version(version, now) | {"lines": changed, "label": labels.get(version.number, "")}
-                for version, changed in history.recent(min(MOST_ROWS, int(given.get("most", 20))))
-            ]
-        case "show":
-            version = history.find(str(given["version"]))
-            return _version(version, now) | {"tables": _tables(version)}
-        case "diff":
-            one, two = (history.find(str(given[name])) for name in ("one", "two"))
-            return [
-                {"table": table, "backend": backend, "before": before, "after": after}
-                for (table, backend), before, after in diff(one.lines, two.lines)
-            ]
-        case "blame":
-            return [
-                _version(version, now) | {"table": table, "before": before, "after": after}
-                for version, lines in history.blame(str(given["backend"]))[:MOST_ROWS]
-                for (table, _), before, after in lines
-            ]
-        case "label":
-            history.label(str(given["label"]), int(given["version"]))
-            keep(history.labels)
-            return {"label": given["label"], "version": int(given["version"])}
-        case "preview":
-            back, seconds = house.preview_rollback(now, str(given["version"]))
-            return _back(back) | {"channel_s": round(seconds, 3)}
-        case "rollback":
-            hold = float(given.get("seconds", USUAL))
-            if not 0 < hold <= LONGEST:
-                raise ValueError(f"tables are held for 0 to {LONGEST:.0f} seconds")
-            back, seconds = house.roll_back(now, str(given["version"]), hold)
-            return _back(back) | {"channel_s": round(seconds, 3), "hold_s": hold}
-        case "pin":
-            hold = float(given.get("seconds", USUAL))
-            if not 0 < hold <= LONGEST:
-                raise ValueError(f"tables are held for 0 to {LONGEST:.0f} seconds")
-            return {"version": house.freeze(now, hold), "hold_s": hold}
-        case "try":
-            hold, share = float(given.get("seconds", USUAL)), float(given.get("share", 0.1))
-            if not 0 < hold <= LONGEST or not 0 < share <= 0.5:
-                raise ValueError(f"a trial takes 0 to {LONGEST:.0f} seconds and up to half of the proxies")
-            back, canary = house.start_canary(now, str(given["version"]), share, hold)
-            return _back(back) | {"proxies": sorted(canary.proxies), "seconds": hold}
-        case "release":
-            tried, house.canary = house.canary is not None, None
-            house.proxy_tables.end_canary()
-            return {"released": house.release(now, "asked for") or tried}
-    raise ValueError(f"there is no {what!r}")
-
-
-def _version(version: Version, now: int) -> dict[str, Any]:
+MAX_HOLD_S = 24 * 3600.0
+DEFAULT_HOLD_S = 600.0
+DEFAULT_CANARY_SHARE, MAX_CANARY_SHARE = 0.1, 0.5
+DEFAULT_LOG_ROWS, MAX_ROWS = 20, 200
+SHOWN_DIGEST_DIGITS = 16
+CHANGING_VERBS = frozenset({"rollback", "pin", "try", "release", "label"})
+"""Verbs that change something, and are therefore asked for by POST."""
+
+
+class VersionRequest(NamedTuple):
+    """One request. `save_labels` stores the labels before it returns, or raises."""
+
+    versions: TableVersions
+    now: int
+    arguments: dict[str, Any]
+    save_labels: Callable[[dict[str, int]], None]
+
+    def version(self, name: str = "version") -> Version:
+        """The version that an argument names. Raises UnknownVersionError, KeyError."""
+        return self.versions.history.find(str(self.arguments[name]))
+
+    def hold_s(self) -> float:
+        """For how long to hold the tables. Raises ValueError."""
+        hold = float(self.arguments.get("seconds", DEFAULT_HOLD_S))
+        if not 0 < hold <= MAX_HOLD_S:
+            raise ValueError(f"tables are held for 0 to {MAX_HOLD_S:.0f} seconds")
+        return hold
+
+
+def handle_version_request(
+    versions: TableVersions,
+    now: int,
+    verb: str,
+    arguments: dict[str, Any],
+    save_labels: Callable[[dict[str, int]], None],
+) -> Any:  # noqa: ANN401  JSON
+    """The answer to a request.
+
+    Raises UnknownVersionError, RollbackRejectedError, and ValueError, KeyError, TypeError for malformed arguments.
+    """
+    if (handler := HANDLERS.get(verb)) is None:
+        raise ValueError(f"there is no {verb!r}")
+    return handler(VersionRequest(versions, now, arguments, save_labels))
+
+
+def _log(request: VersionRequest) -> list[dict[str, Any]]:
+    history = request.versions.history
+    labels = {number: name for name, number in history.labels.items()}
+    limit = min(MAX_ROWS, int(request.arguments.get("most", DEFAULT_LOG_ROWS)))
+    return [
+        _summary(version, request.now) | {"lines": changed, "label": labels.get(version.number, "")}
+        for version, changed in history.recent(limit)
+    ]
+
+
+def _show(request: VersionRequest) -> dict[str, Any]:
+    version = request.version()
+    tables: dict[str, dict[str, int]] = {}
+    for (table, backend), weight in sorted(version.lines.items()):
+        tables.setdefault(str(table), {})[backend] = weight
+    return _summary(version, request.now) | {"tables": tables}
+
+
+def _diff(request: VersionRequest) -> list[dict[str, Any]]:
+    one, two = request.version("one"), request.version("two")
+    return [
+        {"table": table, "backend": backend, "before": before, "after": after}
+        for (table, backend), before, after in diff(one.lines, two.lines)
+    ]
+
+
+def _blame(request: VersionRequest) -> list[dict[str, Any]]:
+    versions = request.versions.history.blame(str(request.arguments["backend"]))
+    return [
+        _summary(version, request.now) | {"table": table, "before": before, "after": after}
+        for version, changes in versions[:MAX_ROWS]
+        for (table, _), before, after in changes
+    ]
+
+
+def _label(request: VersionRequest) -> dict[str, Any]:
+    label, number = request.arguments["label"], int(request.arguments["version"])
+    history = request.versions.history
+    history.label(str(label), number)
+    request.save_labels(history.labels)
+    return {"label": label, "version": number}
+
+
+def _preview(request: VersionRequest) -> dict[str, Any]:
+    preview = request.versions.preview_rollback(request.now, str(request.arguments["version"]))
+    return _plan(preview.plan) | {"channel_s": round(preview.channel_s, 3)}
+
+
+def _roll_back(request: VersionRequest) -> dict[str, Any]:
+    hold = request.hold_s()
+    preview = request.versions.roll_back(request.now, str(request.arguments["version"]), hold)
+    return _plan(preview.plan) | {"channel_s": round(preview.channel_s, 3), "hold_s": hold}
+
+
+def _freeze(request: VersionRequest) -> dict[str, Any]:
+    hold = request.hold_s()
+    return {"version": request.versions.freeze(request.now, hold), "hold_s": hold}
+
+
+def _start_canary(request: VersionRequest) -> dict[str, Any]:
+    hold = float(request.arguments.get("seconds", DEFAULT_HOLD_S))
+    share = float(request.arguments.get("share", DEFAULT_CANARY_SHARE))
+    if not 0 < hold <= MAX_HOLD_S or not 0 < share <= MAX_CANARY_SHARE:
+        raise ValueError(f"a trial takes 0 to {MAX_HOLD_S:.0f} seconds and up to half of the proxies")
+    plan, canary = request.versions.start_canary(request.now, str(request.arguments["version"]), share, hold)
+    return _plan(plan) | {"proxies": sorted(canary.proxies), "seconds": hold}
+
+
+def _release(request: VersionRequest) -> dict[str, Any]:
+    cancelled = request.versions.cancel_canary()
+    return {"released": request.versions.release("asked for") or cancelled}
+
+
+HANDLERS: dict[str, Callable[[VersionRequest], Any]] = {
+    "log": _log,
+    "show": _show,
+    "diff": _diff,
+    "blame": _blame,
+    "label": _label,
+    "preview": _preview,
+    "rollback": _roll_back,
+    "pin": _freeze,
+    "try": _start_canary,
+    "release": _release,
+}
+
+
+def _summary(version: Version, now: int) -> dict[str, Any]:
     return {
         "version": version.number,
         "epoch": version.epoch,
-        "age_s": round((now - version.created_at) / 10_000, 1),
+        "age_s": round((now - version.created_at) / TICKS_PER_SECOND, 1),
         "cause": version.cause,
-        "tag": version.digest_hex[:16],
+        "tag": version.digest_hex[:SHOWN_DIGEST_DIGITS],
     }
 
 
-def _tables(version: Version) -> dict[str, dict[str, int]]:
-    found: dict[str, dict[str, int]] = {}
-    for (table, backend), parts in sorted(version.lines.items()):
-        found.setdefault(str(table), {})[backend] = parts
-    return found
-
-
-def _back(back: RollbackPlan) -> dict[str, Any]:
-    return {"version": back.version, "lines": back.changed_lines, "not_brought_back": back.excluded}
+def _plan(plan: RollbackPlan) -> dict[str, Any]:
+    return {"version": plan.version, "lines": plan.changed_lines, "not_brought_back": plan.excluded}
--- a/onyxhead/standins/proxy.py
+++ b/onyxhead/standins/proxy.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from onyxhead.controller.health_check import load_report
+from onyxhead.controller.health_check import parse_load_header
 from onyxhead.http.client import Connection
 from onyxhead.http.messages import Fault, Request, Response, answer
 from onyxhead.http.server import Server
@@ -160,7 +160,7 @@
         bad = response.status >= 500
         own["bad" if bad else "good"] += 1
         own["ms"] += 0 if bad else (time.time() - began) * 1000
-        busy = load_report(response.headers).get("cpu_utilization")
+        busy = parse_load_header(response.headers).get("cpu_utilization")
         if busy is not None:
             self.loads[line.address] = busy
         self.failed[line.address] = self.failed[line.address] + 1 if bad else 0
--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -6,9 +6,11 @@
 import random
 
 from onyxhead.agent.keeper import Keeper, Taken
-from onyxhead.controller.core import ControllerCore, Effects, JoinRequest
+from onyxhead.controller.core import ControllerCore
 from onyxhead.controller.delivery_queue import QueuedMessage
+from onyxhead.controller.effects import Effects
 from onyxhead.controller.endpoint_list import EndpointEntry, EndpointList, EndpointListFollower
+from onyxhead.controller.proxies import JoinRequest
 from onyxhead.fronts.files.push import Encoder, Stream
 from onyxhead.http.messages import JSON, MERGE_PATCH, ORDER, STREAM, Request, order_field
 from onyxhead.policy.inputs import AdmissionMode, ChannelLimits, Deployment, RetrySafety, SafetyLimits, TrafficGroup
--- a/tests/test_controller_core.py
+++ b/tests/test_controller_core.py
@@ -8,12 +8,14 @@
 import pytest
 
 from onyxhead.agent.keeper import Keeper, Taken
-from onyxhead.controller import request_statistics
 from onyxhead.controller.clock import Clock
-from onyxhead.controller.delivery_queue import DeliveryQueue, QueueFullError
-from onyxhead.controller.endpoint_list import EndpointList, EndpointListFollower, InvalidEndpointListError, read
-from onyxhead.controller.health_check import busy_share, latency, load_report
+from onyxhead.controller.delivery_queue import DeliveryQueue
+from onyxhead.controller.endpoint_list import EndpointList, EndpointListFollower, parse_endpoint_list
+from onyxhead.controller.errors import InvalidEndpointListError, InvalidStatisticsError, QueueFullError
+from onyxhead.controller.health_check import parse_load_header, reported_latency, reported_utilization
 from onyxhead.controller.join_backoff import JoinBackoff
+from onyxhead.controller.load_stats import parse_load_stats
+from onyxhead.controller.request_statistics import BackendStatistics, DuplicateFilter
 from onyxhead.policy.decisions import TableChange, Withdrawal
 from onyxhead.policy.inputs import ChannelLimits, WatchEvent
 from onyxhead.tables.addresses import EndpointAddress
@@ -90,7 +92,7 @@
 )
 def test_a_list_that_is_half_written_or_contradicts_itself_is_not_followed(given: bytes) -> None:
     with pytest.raises(InvalidEndpointListError):
-        read(given)
+        parse_endpoint_list(given)
 
 
 def follower(now: int = 50 * SECOND) -> EndpointListFollower:
@@ -136,55 +138,60 @@
 
 def test_sums_are_read_from_a_load_report() -> None:
     latency = {"metric_name": "latency_ms", "num_requests_finished_with_metric": "8", "total_metric_value": 400.0}
-    told = request_statistics.read(load_report_of(total_error_requests="2", load_metric_stats=[latency]))
-    assert told.backends == {"127.0.0.1:9001": request_statistics.BackendStatistics(10, 2, 4000.0, 15_000, None)}
+    told = parse_load_stats(load_report_of(total_error_requests="2", load_metric_stats=[latency]))
+    assert told.backends == {"127.0.0.1:9001": BackendStatistics(10, 2, 4000.0, 15_000, None)}
     assert told.request_counts == {"read": (2, 15_000)}
 
 
 @pytest.mark.parametrize("bad", [{"total_error_requests": "-1"}, {"total_error_requests": 1e99}, {"address": 5}])
 def test_sums_that_are_no_counts_are_refused(bad: dict[str, Any]) -> None:
-    with pytest.raises(request_statistics.InvalidReportError):
-        request_statistics.read(load_report_of(**bad))
+    with pytest.raises(InvalidStatisticsError):
+        parse_load_stats(load_report_of(**bad))
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -1.0, "1", 7.0])
 def test_a_load_that_can_not_be_is_left_out(value: object) -> None:
     stats = [{"metric_name": "cpu_utilization", "total_metric_value": value}]
-    assert (
-        request_statistics.read(load_report_of(load_metric_stats=stats)).backends["127.0.0.1:9001"].utilization is None
-    )
+    assert parse_load_stats(load_report_of(load_metric_stats=stats)).backends["127.0.0.1:9001"].utilization is None
 
 
 def test_sums_count_once_whatever_their_order_and_those_of_strangers_never() -> None:
     rig = Rig(proxies=1)
-    told = request_statistics.read(load_report_of("127.0.0.1:9001"))
+    told = parse_load_stats(load_report_of("127.0.0.1:9001"))
     assert rig.core.on_request_statistics(rig.now, "p0", "x", 5, told)
     assert not rig.core.on_request_statistics(rig.now, "p0", "x", 5, told)
     assert rig.core.on_request_statistics(rig.now, "p0", "x", 3, told)
     assert not rig.core.on_request_statistics(rig.now, "p9", "x", 1, told)
     assert rig.core.on_request_statistics(rig.now, "p0", "restarted", 5, told)
-    rig.core.on_request_statistics(rig.now, "p0", "x", 6, request_statistics.read(load_report_of("127.0.0.1:9999")))
-    met, _ = rig.core.statistics.drain()
-    assert [(backend, own.attempts) for _, backend, own, _ in met] == [("b1", 24)]
-    assert rig.core.statistics.unknown_attempts == 8
+    rig.core.on_request_statistics(rig.now, "p0", "x", 6, parse_load_stats(load_report_of("127.0.0.1:9999")))
+    met = rig.core.statistics_feed.pending.drain_backends()
+    assert [(backend, own.attempts) for _, backend, own in met] == [("b1", 24)]
+    assert rig.core.statistics_feed.pending.unknown_attempts == 8
 
 
 def test_a_report_far_older_than_the_last_is_not_counted() -> None:
-    gate = request_statistics.DuplicateFilter()
+    gate = DuplicateFilter()
     assert gate.is_new("p", "x", 1000) and not gate.is_new("p", "x", 900)
 
 
 def test_load_headers_in_both_forms() -> None:
-    assert load_report({"endpoint-load-metrics": "TEXT cpu_utilization=0.3,named_metrics.queue=4"}) == {
+    assert parse_load_header({"endpoint-load-metrics": "TEXT cpu_utilization=0.3,named_metrics.queue=4"}) == {
         "cpu_utilization": 0.3,
         "queue": 4.0,
     }
     form = 'JSON {"cpu_utilization": 0.5, "named_metrics": {"queue": 2}, "eps": NaN}'
-    assert load_report({"endpoint-load-metrics": form}) == {"cpu_utilization": 0.5, "queue": 2.0}
-    assert load_report({"endpoint-load-metrics": "JSON {"}) == {} == load_report({})
-    assert busy_share({"cpu_utilization": 9.0}) is None and busy_share({"cpu_utilization": 1.2}) == 1.0
-    assert latency({"latency_ms": 12.34}) == 123 and latency({"latency_ms": 0.01}) == 1
-    assert latency({}) is latency({"latency_ms": -1.0}) is latency({"latency_ms": 1e9}) is latency({"latency_ms": 0.0})
+    assert parse_load_header({"endpoint-load-metrics": form}) == {"cpu_utilization": 0.5, "queue": 2.0}
+    assert parse_load_header({"endpoint-load-metrics": "JSON {"}) == {} == parse_load_header({})
+    assert (
+        reported_utilization({"cpu_utilization": 9.0}) is None and reported_utilization({"cpu_utilization": 1.2}) == 1.0
+    )
+    assert reported_latency({"latency_ms": 12.34}) == 123 and reported_latency({"latency_ms": 0.01}) == 1
+    assert (
+        reported_latency({})
+        is reported_latency({"latency_ms": -1.0})
+        is reported_latency({"latency_ms": 1e9})
+        is reported_latency({"latency_ms": 0.0})
+    )
 
 
 def test_one_broken_stream_costs_no_wait_and_repeated_faults_ever_longer_ones() -> None:
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -12,7 +12,7 @@
 
 from onyxhead.agent.keeper import Taken
 from onyxhead.cli.main import main
-from onyxhead.controller.version_requests import run as ask
+from onyxhead.controller.version_requests import handle_version_request
 from onyxhead.policy.decisions import TableChange
 from onyxhead.store.store import Store
 from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
@@ -101,7 +101,7 @@
 
 
 def rolled(rig: Rig, version: str = "1", seconds: float = 60.0) -> None:
-    rig.core.roll_back(rig.now, version, seconds)
+    rig.core.versions.roll_back(rig.now, version, seconds)
 
 
 def worsened() -> Rig:
@@ -126,7 +126,7 @@
     rig.set("b3", "draining")
     rig.run(1)
     assert all(set(rig.lines(name)) == {"b0", "b1", "b2", "b4", "b5"} for name in rig.keepers)
-    assert rig.core.release(rig.now, "test") and not rig.core.release(rig.now, "again")
+    assert rig.core.versions.release("test") and not rig.core.versions.release("again")
     rig.run(1)
     assert rig.lines("p0")["b1"] == 1000 and "b3" not in rig.lines("p0")
 
@@ -138,7 +138,7 @@
     rig.run(3)
     assert 0 < rig.lines("p0")["b7"] <= FULL // 3 and rig.lines("p0")["b1"] == FULL
     rig.run(4)
-    assert rig.core.pin is None and rig.lines("p0")["b1"] == 1000
+    assert rig.core.versions.pin is None and rig.lines("p0")["b1"] == 1000
     rig.join("p9")
     rig.run(1)
     assert rig.lines("p9") == rig.lines("p0")
@@ -150,13 +150,17 @@
     rig.step()
     rolled(rig, "2")
     rig.run(1)
-    assert rig.core.pin is not None and rig.core.pin.version.number == 2 and rig.lines("p0")["b1"] == 1000
+    assert (
+        rig.core.versions.pin is not None
+        and rig.core.versions.pin.version.number == 2
+        and rig.lines("p0")["b1"] == 1000
+    )
 
 
 def test_a_rollback_at_size_goes_out_within_the_channels_share() -> None:
     rig = Rig(backends=60, proxies=30, lines_per_second=3000.0, max_queued_lines=3000.0)
     rig.run(4)
-    first = rig.core.history.latest.number
+    first = rig.core.versions.history.latest.number
     changed = tuple((f"b{n}", 0.5) for n in range(50))
     for message in rig.core.proxy_tables.apply_decisions(0, [TableChange(0, changed)]):
         rig.core._enqueue(rig.now, message)
@@ -169,17 +173,17 @@
 
 def report(rig: Rig, number: int, **bad: int) -> None:
     """Every proxy tells of 40 tries, of which so many failed."""
-    from onyxhead.controller import request_statistics
+    from onyxhead.controller.request_statistics import BackendStatistics, RequestStatistics
 
     for name in rig.keepers:
-        met = {"127.0.0.1:9001": request_statistics.BackendStatistics(40, bad.get(name, 1), 400.0, SECOND)}
-        rig.core.on_request_statistics(rig.now, name, "x", number, request_statistics.RequestStatistics(met, {}))
+        met = {"127.0.0.1:9001": BackendStatistics(40, bad.get(name, 1), 400.0, SECOND)}
+        rig.core.on_request_statistics(rig.now, name, "x", number, RequestStatistics(met, {}))
 
 
 def on_trial(seconds: float = 20.0) -> tuple[Rig, str, list[str]]:
     """A version tried on one of four proxies."""
     rig = worsened()
-    _, canary = rig.core.start_canary(rig.now, "1", 0.25, seconds)
+    _, canary = rig.core.versions.start_canary(rig.now, "1", 0.25, seconds)
     (name,) = canary.proxies
     rig.run(2.5)
     return rig, name, [other for other in rig.keepers if other != name]
@@ -196,7 +200,7 @@
     rig.run(1)
     assert rig.lines(name)["b1"] == FULL
     with pytest.raises(RollbackRejectedError, match="on trial already"):
-        rig.core.start_canary(rig.now, "1", 0.25, 5.0)
+        rig.core.versions.start_canary(rig.now, "1", 0.25, 5.0)
 
 
 def test_a_trial_that_loses_more_than_chance_is_taken_back_by_itself() -> None:
@@ -205,7 +209,9 @@
         report(rig, number, **{name: 20})
         rig.run(0.5)
     rig.run(1)
-    assert rig.core.canary is None and rig.core.pin is None and not rig.core.proxy_tables.canary_proxies
+    assert (
+        rig.core.versions.canary is None and rig.core.versions.pin is None and not rig.core.proxy_tables.canary_proxies
+    )
     assert rig.lines(name)["b1"] == 1000
     assert any("worse than the others" in told for work in rig.works for told in work.log_messages)
 
@@ -214,9 +220,9 @@
     rig, name, others = on_trial(seconds=6.0)
     report(rig, 1, **{name: 40})
     rig.run(1)
-    assert rig.core.canary is not None
+    assert rig.core.versions.canary is not None
     rig.run(6)
-    assert rig.core.canary is None and rig.lines(name)["b1"] == 1000 == rig.lines(others[0])["b1"]
+    assert rig.core.versions.canary is None and rig.lines(name)["b1"] == 1000 == rig.lines(others[0])["b1"]
 
 
 def test_a_trial_that_does_no_worse_is_held_for_all_in_the_end() -> None:
@@ -224,9 +230,13 @@
     for number in range(4):
         report(rig, number)
         rig.run(0.5)
-    assert rig.core.canary is not None
+    assert rig.core.versions.canary is not None
     rig.run(4)
-    assert rig.core.canary is None and rig.core.pin is not None and not rig.core.proxy_tables.canary_proxies
+    assert (
+        rig.core.versions.canary is None
+        and rig.core.versions.pin is not None
+        and not rig.core.proxy_tables.canary_proxies
+    )
     assert all(rig.lines(each)["b1"] == FULL for each in [name, *others])
 
 
@@ -248,7 +258,7 @@
 def test_tables_that_are_pinned_stay_as_they_are_but_for_what_rules_demand() -> None:
     rig = Rig(proxies=2)
     rig.run(2)
-    assert rig.core.freeze(rig.now, 60.0) == rig.core.history.latest.number
+    assert rig.core.versions.freeze(rig.now, 60.0) == rig.core.versions.history.latest.number
     for message in rig.core.proxy_tables.apply_decisions(0, [TableChange(0, (("b1", 0.001),))]):
         rig.core._enqueue(rig.now, message)
     rig.set("b2", "draining")
@@ -261,13 +271,13 @@
     core, now = rig.core, rig.now
 
     def to(what: str, **given: object) -> object:
-        return ask(core, now, what, given, lambda _: None)
+        return handle_version_request(core.versions, now, what, given, lambda _: None)
 
     assert [row["version"] for row in to("log")] == [2, 1]  # type: ignore[attr-defined]
     assert to("diff", one=1, two=2)[0] == {"table": 0, "backend": "b1", "before": FULL, "after": 1000}  # type: ignore[index]
     assert to("label", label="good", version=1) and to("show", version="good")["tables"]["0"]["b1"] == FULL  # type: ignore[index]
     assert len(to("blame", backend="b1")) == 2  # type: ignore[arg-type]
-    assert to("preview", version="good")["lines"] == 2 and core.pin is None  # type: ignore[index]
+    assert to("preview", version="good")["lines"] == 2 and core.versions.pin is None  # type: ignore[index]
     for what, given in (("rollback", {"version": "1", "seconds": -1}), ("what", {}), ("show", {})):
         with pytest.raises((ValueError, KeyError)):
             to(what, **given)
@@ -301,7 +311,7 @@
         controller = await running.controller()
         await running.agent("p1", port_of(controller))
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        good = controller.core.history.latest.number
+        good = controller.core.versions.history.latest.number
         entries = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north", "weight": 1} for n in (1, 2, 3)]
         list_of(tmp_path, 2, [entries[0] | {"weight": 0.01}, entries[1] | {"weight": 0.01}, entries[2]])
         await until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
@@ -324,8 +334,8 @@
         controller.stopping.set()
         await until(lambda: running.tasks[0].done())
         second = await running.controller()
-        assert second.core.history.find("good").number == good
-        assert second.core.history.latest.number > good and SECOND == 10_000
+        assert second.core.versions.history.find("good").number == good
+        assert second.core.versions.history.latest.number > good and SECOND == 10_000
 
     play(tmp_path, work)
 
@@ -338,7 +348,7 @@
     first.run(2)
     second.set("b3", "draining")
     second.run(2)
-    one, two = first.core.history.latest, second.core.history.latest
+    one, two = first.core.versions.history.latest, second.core.versions.history.latest
     assert one.number == two.number and one.digest_hex != two.digest_hex
     # The proxy is handed over; an order of the first controller's version, late on its way, finds another view.
     late = first.core.proxy_tables.apply_decisions(77, [TableChange(0, (("b2", 0.5),))])[0]
@@ -349,7 +359,7 @@
     refused = second.keepers["p0"].take(request_of(late, "p0", second.now))
     assert not isinstance(refused, Taken) and refused.status == 412 and second.keepers["p0"].view.etag == held
     # By that number each controller finds its own version, and what it would bring back.
-    assert second.core.history.find(str(two.number)).digest_hex == two.digest_hex
+    assert second.core.versions.history.find(str(two.number)).digest_hex == two.digest_hex
     with pytest.raises(RollbackRejectedError, match="already"):
-        second.core.roll_back(second.now, str(two.number), 60.0)
-    assert {b for _, b in first.core.history.find(str(one.number)).lines} == {"b0", "b2", "b3", "b4"}
+        second.core.versions.roll_back(second.now, str(two.number), 60.0)
+    assert {b for _, b in first.core.versions.history.find(str(one.number)).lines} == {"b0", "b2", "b3", "b4"}
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -681,7 +681,7 @@
         desk.access.rules = (Rule("all", ("*",), None, None, ("*",), True),)
         desk.commit("u", 1)
         assert controller.core.epoch > epoch and controller.core.deployment.safety.drain_grace == 9000
-        await until(lambda: controller.core.applied)
+        await until(lambda: controller.core.acknowledged)
         assert json.dumps(sorted(shown(tmp_path, "p1"))) == "[9001, 9002, 9003]"
 
     play(tmp_path, work)
