--- a/onyxhead/fronts/streams/messages.py
+++ b/onyxhead/fronts/streams/messages.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from onyxhead.fronts.streams.resp import RawMessage
+from onyxhead.fronts.streams.resp import RawMessage, StreamProtocolError
 from onyxhead.policy.inputs import LoadReport
 from onyxhead.settings.instance import load_report
 from onyxhead.time_units import TICKS_PER_MILLISECOND
@@ -36,7 +36,7 @@
 """The values of load reports: the stream's name to the settings' name."""
 
 
-class InvalidMessageError(ValueError):
+class InvalidMessageError(StreamProtocolError):
     """One message has no meaning; those before and after it have. The text names the field."""
 
 
@@ -110,17 +110,17 @@
 Fields = dict[bytes, bytes]
 
 
-def read_message(raw: RawMessage, known: KnownNames) -> StreamMessage:
+def read_message(elements: RawMessage, known: KnownNames) -> StreamMessage:
     """The meaning of one message. Raises InvalidMessageError."""
-    kind = raw[0]
+    kind = elements[0]
     if (reader := READERS.get(kind)) is None:
         raise InvalidMessageError(f"kind {kind[:SHOWN_BYTES]!r} is not taken here")
     fields: Fields = {}
-    for index in range(1, len(raw) - 1, 2):
-        if raw[index] in fields:
-            raise InvalidMessageError(f"{_shown(kind)}: {_shown(raw[index])} is told twice")
-        fields[raw[index]] = raw[index + 1]
-    if len(raw) % 2 == 0:
+    for index in range(1, len(elements) - 1, 2):
+        if elements[index] in fields:
+            raise InvalidMessageError(f"{_shown(kind)}: {_shown(elements[index])} is told twice")
+        fields[elements[index]] = elements[index + 1]
+    if len(elements) % 2 == 0:
         raise InvalidMessageError(f"{_shown(kind)}: a name without its value")
     try:
         return reader(fields, known)
--- a/onyxhead/fronts/streams/resp.py
+++ b/onyxhead/fronts/streams/resp.py
@@ -17,12 +17,18 @@
 ARRAY = b"*"
 BULK_STRING = b"$"
 LINE_END = b"\r\n"
+LINE_END_BYTES = len(LINE_END)
+ELEMENT_OVERHEAD_BYTES = LINE_END_BYTES + MAX_LENGTH_LINE_BYTES
 
 RawMessage = tuple[bytes, ...]
 """The elements of one message: its kind, then field names and values in turn."""
 
 
-class FramingError(Exception):
+class StreamProtocolError(Exception):
+    """What a peer sent breaks the protocol."""
+
+
+class FramingError(StreamProtocolError):
     """The bytes are not a message, and no later message can be found. The text says what was met."""
 
 
@@ -82,7 +88,7 @@
         if self.message_bytes + length > self.max_message_bytes:
             raise FramingError(f"a message of over {self.max_message_bytes} bytes")
         end = self.position + length
-        after = end + len(LINE_END)
+        after = end + LINE_END_BYTES
         if len(self.buffer) < after:
             self.position = start
             return False
@@ -91,7 +97,7 @@
         self.elements.append(bytes(self.buffer[self.position : end]))
         self.position = after
         self.missing_elements -= 1
-        self.message_bytes += length + len(LINE_END) + MAX_LENGTH_LINE_BYTES
+        self.message_bytes += length + ELEMENT_OVERHEAD_BYTES
         return True
 
     def _drop_read_bytes(self) -> None:
@@ -114,7 +120,7 @@
         digits = bytes(buffer[start + 1 : end])
         if not digits.isdigit():
             raise FramingError(f"{digits!r} is no length of {what}")
-        self.position = end + len(LINE_END)
+        self.position = end + LINE_END_BYTES
         return int(digits)
 
 
--- a/onyxhead/node/configuration.py
+++ b/onyxhead/node/configuration.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from onyxhead.node.errors import NodeError
 from onyxhead.policy.inputs import Deployment
 from onyxhead.settings.instance import InvalidSettingsError, read_deployment
 from onyxhead.time_units import NANOSECONDS_PER_TICK
@@ -26,7 +27,7 @@
 NO_LOAD_REPORTS = "off"
 
 
-class ConfigurationError(Exception):
+class ConfigurationError(NodeError):
     """The node can't start with this; one line that names the variable or file, and what is wrong."""
 
 
--- a/onyxhead/node/discovery.py
+++ b/onyxhead/node/discovery.py
@@ -114,7 +114,7 @@
         async with connection:
             while connection.usable and not self._is_superseded():
                 known_revision = self.revision
-                update = self._read_response(await _ask(connection, known_revision), known_revision)
+                update = self._read_response(await _request_list(connection, known_revision), known_revision)
                 self.answered |= self._is_current()
                 self._take_in(update, known_revision)
 
@@ -136,7 +136,7 @@
         self.revision = update.revision
 
 
-async def _ask(connection: Connection, known_revision: int | None) -> Response:
+async def _request_list(connection: Connection, known_revision: int | None) -> Response:
     """The whole list, or a watch for what is newer than a known revision."""
     target, wait_s = ENDPOINTS_PATH, 0.0
     if known_revision is not None:
--- a/onyxhead/node/endpoint_list.py
+++ b/onyxhead/node/endpoint_list.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
+from onyxhead.node.errors import NodeError
 from onyxhead.policy.inputs import Endpoint
 
 READY_AND_DRAINING_BY_PHASE = {"SERVING": (True, False), "DRAINING": (False, True), "DELETED": (False, False)}
@@ -17,7 +18,7 @@
 """They would break an update that names the backend."""
 
 
-class InvalidEndpointListError(ValueError):
+class InvalidEndpointListError(NodeError):
     """The answer is not a list that can be followed; the list known before stays in force."""
 
 
--- a/onyxhead/node/health_checks.py
+++ b/onyxhead/node/health_checks.py
@@ -6,8 +6,7 @@
 from collections.abc import Callable, Hashable
 
 from onyxhead.fronts.streams.messages import InvalidMessageError, parse_load_report
-from onyxhead.http.client import Connection
-from onyxhead.http.messages import Fault, Request
+from onyxhead.health_check import HealthCheckFailedError, request_health
 from onyxhead.policy.inputs import HealthCheckResult, LoadReport
 
 LOAD_PATH = "/load"
@@ -26,13 +25,9 @@
 ) -> tuple[HealthCheckResult, LoadReport]:
     """The outcome of one health check, and what the backend reported of its load."""
     try:
-        async with asyncio.timeout(timeout_s):
-            async with await Connection.open(*address) as connection:
-                response = await connection.ask(Request("GET", path), MAX_REPORT_BYTES)
-    except TimeoutError:
-        return HealthCheckResult.TIMED_OUT, LoadReport()
-    except (OSError, Fault):
-        return HealthCheckResult.UNREACHABLE, LoadReport()
+        response = await request_health(address, path, timeout_s, MAX_REPORT_BYTES)
+    except HealthCheckFailedError as error:
+        return error.result, LoadReport()
     if response.status != OK:
         return HealthCheckResult.REJECTED, LoadReport()
     if path != LOAD_PATH:
--- a/onyxhead/node/proxy_streams.py
+++ b/onyxhead/node/proxy_streams.py
@@ -58,10 +58,10 @@
         """Looks for silent streams from now on."""
         asyncio.get_running_loop().call_later(SILENCE_CHECK_INTERVAL_S, self._check_silence)
 
-    def on_message(self, connection: Connection, raw: RawMessage) -> None:
+    def on_message(self, connection: Connection, elements: RawMessage) -> None:
         """One message. What is wrong with it or with us ends neither the loop nor a stream that has joined."""
         try:
-            self._handle(connection, raw)
+            self._handle(connection, elements)
         except InvalidMessageError as error:
             if not connection.joined:
                 self.context.counts[counters.CONNECTIONS_REJECTED] += 1
@@ -73,17 +73,17 @@
         except Exception as error:
             self.context.internal_error("message from a proxy", describe_error(error))
 
-    def _handle(self, connection: Connection, raw: RawMessage) -> None:
+    def _handle(self, connection: Connection, elements: RawMessage) -> None:
         now, proxy = self.context.clock.now(), self.proxies.get(connection.number)
         if proxy is not None:
             self.host.on_message(now, proxy, connection.number)
-        message = read_message(raw, self.known_names)
+        message = read_message(elements, self.known_names)
         if isinstance(message, Heartbeat):
             connection.send(HEARTBEAT_REPLY)
             return
         if connection.joined == isinstance(message, ProxyJoined | CollectorJoined):
             where = "on a joined stream" if connection.joined else "before joining"
-            raise InvalidMessageError(f"{raw[0][:SHOWN_KIND_BYTES]!r} has no place {where}")
+            raise InvalidMessageError(f"{elements[0][:SHOWN_KIND_BYTES]!r} has no place {where}")
         self._dispatch(now, connection, proxy, message)
         self.context.counts[counters.MESSAGES[type(message)]] += 1
         self.schedule_round()
--- a/tests/test_endings.py
+++ b/tests/test_node_failures.py
@@ -1,4 +1,4 @@
-"""What is still owed where something ends: each bad order of events is forced, on real connections."""
+"""Failures and shutdown of the node: each bad order of events is forced, on real connections."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 from onyxhead.node.listener import Listener
 from onyxhead.node.serve import NodeServer
 from onyxhead.policy.decisions import TableChange, Withdrawal
-from tests.test_node import SETTINGS, Client, Platform, Running, config, free_port, running
+from tests.node_testbed import SETTINGS, Client, Platform, Running, config, free_port, running
 
-JOINING = b"attach proxy %d zone a weight 5.0 fresh 1"
+JOIN_MESSAGE = b"attach proxy %d zone a weight 5.0 fresh 1"
 
 
 def members(*phases: str) -> list[dict[str, Any]]:
@@ -81,21 +81,23 @@
         platform.server.close()
 
 
-# Connections that are given up
+# Connections that are closed by the node
 
 
-class Heard:
+class JoiningListener:
     """A listener whose connections join with their first message; the loop does not run between its steps."""
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_connections: int) -> None:
         self.joined: list[RawMessage] = []
-        self.ended: list[str] = []
-        self.listener = Listener(most, self.heard, lambda _, why: self.ended.append(why), encode_rejection)
+        self.closed: list[str] = []
+        self.listener = Listener(
+            max_connections, self.on_message, lambda _, reason: self.closed.append(reason), encode_rejection
+        )
         self.address = self.listener.open(("127.0.0.1", 0))
 
-    def heard(self, connection: Connection, words: RawMessage) -> None:
+    def on_message(self, connection: Connection, message: RawMessage) -> None:
         connection.join()
-        self.joined.append(words)
+        self.joined.append(message)
 
     def dial(self, data: bytes = b"") -> socket.socket:
         client = socket.create_connection(self.address)
@@ -103,46 +105,46 @@
         return client
 
 
-def test_a_joining_that_lies_unread_when_its_time_is_over_is_read_first(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unread_join_is_read_before_the_join_timeout_closes_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     async def play() -> None:
-        heard = Heard(4)
-        good, mute = heard.dial(encode_message([b"hello"])), heard.dial()
-        heard.listener._accept()
+        server = JoiningListener(4)
+        good, silent_client = server.dial(encode_message([b"hello"])), server.dial()
+        server.listener._accept()
         monkeypatch.setattr(
             "onyxhead.node.listener.JOIN_TIMEOUT_S", -1.0
         )  # as after a slow moment between accept and read
-        heard.listener._close_late()
-        assert heard.joined == [(b"hello",)] and heard.ended == ["never joined"]
-        assert mute.recv(1) == b""
+        server.listener._close_late()
+        assert server.joined == [(b"hello",)] and server.closed == ["never joined"]
+        assert silent_client.recv(1) == b""
         good.close()
-        await heard.listener.drain(0)
+        await server.listener.drain(0)
 
     asyncio.run(play())
 
 
-def test_a_joining_that_lies_unread_is_not_crowded_out_by_those_that_come_behind_it() -> None:
+def test_an_unread_join_is_read_before_newer_connections_evict_it() -> None:
     async def play() -> None:
-        heard = Heard(3)
-        clients = [heard.dial(encode_message([b"hello"])), heard.dial(), heard.dial(), heard.dial()]
-        heard.listener._accept()
-        assert heard.joined == [(b"hello",)] and heard.ended == ["crowded out"]
+        server = JoiningListener(3)
+        clients = [server.dial(encode_message([b"hello"])), server.dial(), server.dial(), server.dial()]
+        server.listener._accept()
+        assert server.joined == [(b"hello",)] and server.closed == ["crowded out"]
         assert clients[1].recv(1) == b""
-        await heard.listener.drain(0)
+        await server.listener.drain(0)
 
     asyncio.run(play())
 
 
-def test_a_proxy_that_joins_and_leaves_in_one_read_is_left(tmp_path: Path) -> None:
+def test_a_proxy_that_joins_and_closes_in_one_read_has_left(tmp_path: Path) -> None:
     async def play() -> None:
         async with node_here(tmp_path) as (node, here):
             for data in (
-                encode_message((JOINING % 3).split(b" ")),
-                encode_message((JOINING % 3).split(b" ")) + encode_message([b"hb"]) + b"*",
+                encode_message((JOIN_MESSAGE % 3).split(b" ")),
+                encode_message((JOIN_MESSAGE % 3).split(b" ")) + encode_message([b"hb"]) + b"*",
             ):
                 client = await here.dial()
                 client.writer.write(data)
                 client.writer.write_eof()
-                while await client.hear() is not None:
+                while await client.receive() is not None:
                     pass
                 client.writer.close()
             while node.host.counts["left"] < 2:
@@ -157,12 +159,12 @@
     asyncio.run(play())
 
 
-# Watches
+# The discovery watch
 
 
-def test_an_answer_half_read_at_the_old_address_still_counts_after_a_move(tmp_path: Path) -> None:
+def test_a_half_read_response_of_the_old_address_still_counts_after_a_move(tmp_path: Path) -> None:
     async def play() -> None:
-        moved, mute = asyncio.Event(), asyncio.Event()
+        moved, silent_client = asyncio.Event(), asyncio.Event()
 
         async def old(target: bytes, writer: asyncio.StreamWriter) -> None:
             if b"index" not in target:
@@ -177,27 +179,27 @@
 
         async def silent(target: bytes, writer: asyncio.StreamWriter) -> None:
             asked.append(target)
-            mute.set()
+            silent_client.set()
 
         half, asked = asyncio.Event(), list[bytes]()
-        heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
+        received: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         names = SettingsIndex({"a": 0}, {}, round)
         async with discovery(old) as before, discovery(silent) as after, asyncio.timeout(30):
-            watch = DiscoveryWatch(before, names, heard.put_nowait, lambda why: None, 1)
+            watch = DiscoveryWatch(before, names, received.put_nowait, lambda reason: None, 1)
             watch.start()
-            assert (await heard.get()).revision == 7
+            assert (await received.get()).revision == 7
             await half.wait()
             watch.move(after)
-            await mute.wait()
+            await silent_client.wait()
             moved.set()
-            told = await heard.get()
-            assert told.revision == 8 and told.endpoints[0].draining and b"index=7" in asked[0]
+            update = await received.get()
+            assert update.revision == 8 and update.endpoints[0].draining and b"index=7" in asked[0]
             await watch.stop()
 
     asyncio.run(play())
 
 
-def test_what_two_calls_both_tell_is_told_once_and_never_backwards() -> None:
+def test_overlapping_calls_deliver_each_revision_once_and_in_order() -> None:
     async def play() -> None:
         later = asyncio.Event()
 
@@ -235,38 +237,38 @@
     asyncio.run(play())
 
 
-def test_a_watch_outlives_a_fault_of_those_it_tells() -> None:
+def test_a_watch_survives_errors_of_its_callbacks() -> None:
     async def play() -> None:
         async def reply(target: bytes, writer: asyncio.StreamWriter) -> None:
             asked.append(target)
             if b"index" not in target:
                 writer.write(answer(7, True, "SERVING"))
 
-        def heard(found: EndpointUpdate) -> None:
+        def on_update(found: EndpointUpdate) -> None:
             seen.append(found)
             if len(seen) == 1:
-                raise KeyError("a fault of ours")
+                raise KeyError("an internal error")
 
-        def failed(why: str) -> None:
-            told.append(why)
-            if len(told) < 3:
-                raise RuntimeError("and another one, also while the first is told")
+        def failed(reason: str) -> None:
+            failures.append(reason)
+            if len(failures) < 3:
+                raise RuntimeError("and another one, while the first is reported")
 
-        asked, seen, told = list[bytes](), list[EndpointUpdate](), list[str]()
+        asked, seen, failures = list[bytes](), list[EndpointUpdate](), list[str]()
         async with discovery(reply) as address, asyncio.timeout(30):
-            watch = DiscoveryWatch(address, SettingsIndex({"a": 0}, {}, round), heard, failed, 1)
+            watch = DiscoveryWatch(address, SettingsIndex({"a": 0}, {}, round), on_update, failed, 1)
             watch.start()
             while len(seen) < 2:
                 await asyncio.sleep(0.01)
-            # What it could not book is told again, whole.
+            # What could not be taken in is requested again, as the whole list.
             assert asked[:2] == [b"/v1/servers"] * 2
-            assert "KeyError" in told[0] and "the watch ended" in told[1]
+            assert "KeyError" in failures[0] and "the watch ended" in failures[1]
             await watch.stop()
 
     asyncio.run(play())
 
 
-def test_discovery_that_stops_behind_its_head_is_asked_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_that_stops_after_its_header_is_requested_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("onyxhead.node.discovery.RESPONSE_MARGIN_S", 0.05)
 
     async def play() -> None:
@@ -276,24 +278,24 @@
             writer.write(whole if len(asked) > 1 else whole[:30])
 
         asked = list[bytes]()
-        heard: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
-        told = list[str]()
+        received: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
+        failures = list[str]()
         async with discovery(reply) as address, asyncio.timeout(30):
-            watch = DiscoveryWatch(address, SettingsIndex({"a": 0}, {}, round), heard.put_nowait, told.append, 1)
+            watch = DiscoveryWatch(address, SettingsIndex({"a": 0}, {}, round), received.put_nowait, failures.append, 1)
             watch.start()
-            assert (await heard.get()).revision == 7 and told == ["no answer in time"]
+            assert (await received.get()).revision == 7 and failures == ["no answer in time"]
             await watch.stop()
 
     asyncio.run(play())
 
 
-def test_a_whole_list_that_leaves_out_one_that_drains_takes_no_withdrawal_back(tmp_path: Path) -> None:
+def test_a_snapshot_without_a_draining_backend_keeps_its_withdrawal(tmp_path: Path) -> None:
     async def play() -> None:
-        # Two seconds between rounds: both lists are heard before the round that tells of them.
+        # Two seconds between rounds: both lists come before the round that decides on them.
         async with node_here(tmp_path, roundNs=2_000_000_000) as (node, here):
-            proxy = await here.dial((JOINING % 3).decode())
+            proxy = await here.dial((JOIN_MESSAGE % 3).decode())
             table = await proxy.until(lambda m: "rows" in m)
-            proxy.say(f"done proxy 3 mark {table['stamp']} took_ms 1")
+            proxy.send(f"done proxy 3 mark {table['stamp']} took_ms 1")
             here.platform.change(0, phase="DRAINING")
             while node.context.counts["lists"] < 2:
                 await asyncio.sleep(0)
@@ -307,17 +309,17 @@
     asyncio.run(play())
 
 
-# Pulls and what they write
+# Decision rounds and their updates
 
 
-def test_orders_that_can_not_be_written_to_one_proxy_reach_the_others(tmp_path: Path) -> None:
+def test_an_update_that_can_not_be_sent_to_one_proxy_reaches_the_others(tmp_path: Path) -> None:
     async def play() -> None:
         async with node_here(tmp_path) as (node, here):
             proxies: list[Client] = []
             for number in (3, 4):
-                proxies.append(await here.dial((JOINING % number).decode()))
+                proxies.append(await here.dial((JOIN_MESSAGE % number).decode()))
                 table = await proxies[-1].until(lambda m: "rows" in m)
-                proxies[-1].say(f"done proxy {number} mark {table['stamp']} took_ms 1")
+                proxies[-1].send(f"done proxy {number} mark {table['stamp']} took_ms 1")
             encode, faults = node.streams.encoder.encode, [ValueError("65 parts in one message")]
 
             def message(update: Any) -> bytes:
@@ -327,47 +329,47 @@
 
             node.streams.encoder.encode = message  # type: ignore[method-assign]
             here.platform.change(0, phase="DRAINING")
-            # The first of them must join anew; the other one is told at once.
+            # The first of them must join anew; the other one gets the update at once.
             assert (await proxies[1].until(lambda m: "drop" in m))["drop"] == "s-0"
-            while await proxies[0].hear() is not None:
+            while await proxies[0].receive() is not None:
                 pass
-            again = await here.dial((JOINING % 3).decode())
+            again = await here.dial((JOIN_MESSAGE % 3).decode())
             assert (await again.until(lambda m: "rows" in m)).get("drop") == "s-0"
             assert node.context.counts["faults"] == 1
 
     asyncio.run(play())
 
 
-def test_a_joining_that_can_not_be_booked_ends_its_stream_so_that_the_proxy_joins_anew(tmp_path: Path) -> None:
+def test_a_join_that_fails_closes_its_stream_so_that_the_proxy_joins_anew(tmp_path: Path) -> None:
     async def play() -> None:
         async with node_here(tmp_path) as (node, here):
-            book, faults = node.host.policy.on_proxy_joined, [KeyError("a fault of ours")]
+            join, faults = node.host.policy.on_proxy_joined, [KeyError("an internal error")]
 
-            def joined(*told: Any) -> None:
+            def joined(*arguments: Any) -> None:
                 if faults:
                     raise faults.pop()
-                book(*told)
+                join(*arguments)
 
             node.host.policy.on_proxy_joined = joined  # type: ignore[method-assign]
-            assert await (await here.dial((JOINING % 3).decode())).hear() is None
-            assert "rows" in await (await here.dial((JOINING % 3).decode())).until(lambda m: "rows" in m)
+            assert await (await here.dial((JOIN_MESSAGE % 3).decode())).receive() is None
+            assert "rows" in await (await here.dial((JOIN_MESSAGE % 3).decode())).until(lambda m: "rows" in m)
 
     asyncio.run(play())
 
 
-def test_a_decision_that_can_not_be_booked_takes_no_other_with_it(tmp_path: Path) -> None:
+def test_a_decision_that_can_not_be_applied_does_not_lose_the_others(tmp_path: Path) -> None:
     async def play() -> None:
         async with node_here(tmp_path) as (node, here):
-            proxy = await here.dial((JOINING % 3).decode())
+            proxy = await here.dial((JOIN_MESSAGE % 3).decode())
             table = await proxy.until(lambda m: "rows" in m)
-            proxy.say(f"done proxy 3 mark {table['stamp']} took_ms 1")
-            decide, unfit = node.host.policy.decisions, [TableChange(0, None)]  # type: ignore[arg-type]
+            proxy.send(f"done proxy 3 mark {table['stamp']} took_ms 1")
+            decide, invalid = node.host.policy.decisions, [TableChange(0, None)]  # type: ignore[arg-type]
 
             def decisions(now: int) -> Any:
                 made = list(decide(now))
                 yield from made
-                if unfit and any(isinstance(each, Withdrawal) for each in made):
-                    yield unfit.pop()
+                if invalid and any(isinstance(each, Withdrawal) for each in made):
+                    yield invalid.pop()
 
             node.host.policy.decisions = decisions  # type: ignore[method-assign]
             here.platform.change(0, phase="DRAINING")
@@ -377,28 +379,30 @@
     asyncio.run(play())
 
 
-def test_what_was_heard_before_the_end_is_told_before_it(tmp_path: Path) -> None:
+def test_events_before_sigterm_are_decided_on_before_the_end(tmp_path: Path) -> None:
     async def play() -> None:
         # Two seconds between pulls: the end comes after the list and before the pull that would tell of it.
         async with running(tmp_path, settings=SETTINGS | {"roundNs": 2_000_000_000}) as node:
-            proxy = await node.dial((JOINING % 3).decode())
+            proxy = await node.dial((JOIN_MESSAGE % 3).decode())
             table = await proxy.until(lambda m: "rows" in m)
-            proxy.say(f"done proxy 3 mark {table['stamp']} took_ms 1")
+            proxy.send(f"done proxy 3 mark {table['stamp']} took_ms 1")
             node.platform.change(0, phase="DRAINING")
             assert (await node.logged("endpoint list updated"))["revision"] == 8
             node.process.send_signal(signal.SIGTERM)
             assert (await proxy.until(lambda m: "drop" in m))["drop"] == "s-0"
-            assert await proxy.hear() is None and await node.process.wait() == 0
+            assert await proxy.receive() is None and await node.process.wait() == 0
 
     asyncio.run(play())
 
 
-def test_a_timer_that_raises_comes_again_and_is_counted(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_timer_that_raises_runs_again_and_the_error_is_counted(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("onyxhead.node.proxy_streams.SILENCE_CHECK_INTERVAL_S", 0.01)
 
     async def play() -> None:
         async with node_here(tmp_path) as (node, _):
-            faults = [KeyError("a fault of ours")]
+            faults = [KeyError("an internal error")]
             calls: list[int] = []
 
             def detect_silent_streams(now: int) -> list[int]:
@@ -415,21 +419,21 @@
     asyncio.run(play())
 
 
-def test_a_look_at_a_backend_that_has_made_room_for_another_tells_nothing_of_that_one(tmp_path: Path) -> None:
+def test_a_health_check_of_a_replaced_backend_does_not_judge_its_successor(tmp_path: Path) -> None:
     async def play() -> None:
-        open_looks: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
+        open_checks: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
 
         async def backend(target: bytes, writer: asyncio.StreamWriter) -> None:
-            open_looks.put_nowait(writer)
+            open_checks.put_nowait(writer)
 
         async with discovery(backend) as (host, port), node_here(tmp_path) as (node, here):
             here.platform.change(0, host_port=f"{host}:{port}")
-            look = await open_looks.get()
+            check = await open_checks.get()
             here.platform.change(0, host_port="127.0.0.1:1")
             while node.endpoints.addresses["s-0"][1] != 1:
                 await asyncio.sleep(0)
             before = node.context.counts["probe served"]
-            look.write(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n")
+            check.write(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n")
             while not node.context.counts["probe outlived"]:
                 await asyncio.sleep(0)
             assert not node.host.policy.backends["s-0"].unseen and node.context.counts["probe served"] >= before
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: lines in, lines out, and plain words on what is malformed."""
+"""The simulator's wire: batches in, replies out, and clear errors on malformed input."""
 
 from __future__ import annotations
 
@@ -64,21 +64,21 @@
     return sink.getvalue().split("END\n")[:-1]
 
 
-def test_a_proxy_that_joins_is_put_on_the_table_and_asked_to_answer() -> None:
+def test_a_joining_proxy_is_assigned_a_table_and_asked_for_an_acknowledgement() -> None:
     started, joined = replies(batch(BEGIN.strip()) + batch("SELECT 0", "ATTACHED 41 0 6.5 1", now=8416250000))
     assert "PUT_LINE 0 backend_a 1\n" in started and "SET_TIMER 1 250000000\n" in started
     assert joined == "FROM 0\nPIN 41 0 0\nNONCE 0 1\n"
 
 
-def test_a_refused_call_names_no_list() -> None:
+def test_a_rejected_discovery_call_has_no_list() -> None:
     assert len(replies(batch(BEGIN.strip(), "PEERS_KNOWN refused - -"))) == 1
 
 
-def test_empty_batches_and_the_end_of_input_are_quiet() -> None:
+def test_empty_batches_get_empty_replies() -> None:
     assert replies(batch() + batch()) == ["", ""]
 
 
-def test_instances_are_kept_apart_and_a_stop_ends_one() -> None:
+def test_instances_are_independent_and_a_stop_ends_one() -> None:
     both = BEGIN + BEGIN.replace("SELECT 0", "SELECT 1")
     later = batch("SELECT 1", "STOP", "FIRED 1", "SELECT 0", "FIRED 1", now=9412250000)
     out = replies(batch(both.strip()) + later)
@@ -101,20 +101,20 @@
         (["SELECT 0", "BEGIN 7 []"], "not an object"),
     ],
 )
-def test_malformed_input_is_named(lines: list[str], word: str) -> None:
+def test_malformed_input_is_rejected_with_its_cause(lines: list[str], word: str) -> None:
     with pytest.raises(WireError, match=word):
         replies(batch(*lines))
 
 
-def test_the_program_exits_with_one_line_that_names_the_place() -> None:
-    done = subprocess.run(  # the input is ours
+def test_the_program_exits_with_one_line_that_names_the_input_line() -> None:
+    done = subprocess.run(  # a fixed command
         [sys.executable, "-m", "onyxhead.wirehost"], input="FRAME x\n", capture_output=True, text=True
     )
     assert done.returncode == 2 and done.stdout == ""
     assert done.stderr == "line 1: 'x' is no whole number\n"
 
 
-def test_a_fault_of_the_module_is_told_in_the_wires_word(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_of_the_policy_is_reported_in_the_reply(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("onyxhead.policy.balancer.BalancingPolicy.on_proxy_left", lambda *_: 1 / 0)
     out = replies(batch(BEGIN.strip(), "STREAM_DOWN 3"))
     assert "BUG ZeroDivisionError: division by zero" in out[0]
