--- /dev/null
+++ b/tests/programs.py
@@ -0,0 +1,153 @@
+"""Runs the installed programs as processes, and talks to them as another program would.
+
+Nothing of the code under test is imported here: the tests that use this module see settings files, bytes and disk."""
+
+from __future__ import annotations
+
+import http.client
+import json
+import os
+import signal
+import subprocess
+import sys
+import threading
+from collections.abc import Callable
+from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
+from pathlib import Path
+from typing import Any, NamedTuple
+
+COMMAND = ("-m", "onyxhead.cli.main")
+NODE = ("-m", "onyxhead.node")
+ADAPTER = ("-m", "onyxhead.wirehost")
+PATIENCE = 10.0
+
+
+class Program:
+    """One process. Its log (one JSON object a line on standard error) tells when something has happened."""
+
+    def __init__(self, folder: Path, *words: str, **variables: str) -> None:
+        self.process = subprocess.Popen(
+            [sys.executable, *words], cwd=folder, env=os.environ | variables, stderr=subprocess.PIPE, text=True
+        )
+        self.lines: list[dict[str, Any]] = []
+        self.changed = threading.Condition()
+        self.reader = threading.Thread(target=self._read, daemon=True)
+        self.reader.start()
+
+    def _read(self) -> None:
+        assert self.process.stderr is not None
+        for line in self.process.stderr:
+            with self.changed:
+                self.lines.append(json.loads(line) if line.startswith("{") else {"event": line})
+                self.changed.notify_all()
+        with self.changed:
+            self.lines.append({"event": "end of log"})
+            self.changed.notify_all()
+
+    def logged(self, event: str, **fields: object) -> dict[str, Any]:
+        """The first log line of this event with these fields, as soon as there is one."""
+
+        def found() -> dict[str, Any] | None:
+            fitting = (each for each in self.lines if each["event"] == event)
+            return next((each for each in fitting if fields.items() <= each.items()), None)
+
+        with self.changed:
+            self.changed.wait_for(lambda: found() or self.lines[-1:] == [{"event": "end of log"}], PATIENCE)
+            line = found()
+        assert line is not None, f"no {event!r} in {self.lines}"
+        return line
+
+    def end(self) -> int:
+        """Asks the process to end; its exit code."""
+        if self.process.poll() is None:
+            self.process.send_signal(signal.SIGTERM)
+        try:
+            return self.process.wait(PATIENCE)
+        finally:
+            self.process.kill()
+            self.reader.join(PATIENCE)
+
+
+class Reply(NamedTuple):
+    """Header names in lower case."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
+
+    def json(self) -> Any:
+        return json.loads(self.body)
+
+
+def ask(port: int, method: str, target: str, body: object = None, **headers: str) -> Reply:
+    """One HTTP request. Bytes are sent as they are, other values as JSON; header names take underscores for dashes."""
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE)
+    data = body if body is None or isinstance(body, bytes) else json.dumps(body).encode()
+    connection.request(method, target, data, {name.replace("_", "-"): value for name, value in headers.items()})
+    response = connection.getresponse()
+    reply = Reply(response.status, {name.lower(): text for name, text in response.headers.items()}, response.read())
+    connection.close()
+    return reply
+
+
+class Request(NamedTuple):
+    """What a peer was asked; header names as they were sent."""
+
+    method: str
+    target: str
+    headers: dict[str, str]
+    body: bytes
+
+    def json(self) -> Any:
+        return json.loads(self.body)
+
+
+class Peer:
+    """An HTTP server that keeps every request and answers by `reply`, which returns status, headers and body."""
+
+    def __init__(self, reply: Callable[[Request], tuple[int, dict[str, str], bytes]]) -> None:
+        self.requests: list[Request] = []
+        self.changed = threading.Condition()
+        peer = self
+
+        class Handler(BaseHTTPRequestHandler):
+            protocol_version = "HTTP/1.1"
+
+            def answer(self) -> None:
+                body = self.rfile.read(int(self.headers.get("content-length", 0)))
+                request = Request(self.command, self.path, dict(self.headers.items()), body)
+                status, headers, out = reply(request)
+                with peer.changed:
+                    peer.requests.append(request)
+                    peer.changed.notify_all()
+                self.send_response(status)
+                for name, value in {**headers, "content-length": str(len(out))}.items():
+                    self.send_header(name, value)
+                self.end_headers()
+                if self.command != "HEAD":
+                    self.wfile.write(out)
+
+            do_GET = do_HEAD = do_POST = do_PUT = do_PATCH = answer  # noqa: N815
+
+            def log_message(self, *_: object) -> None:
+                """Nothing is written."""
+
+        self.server = ThreadingHTTPServer(("127.0.0.1", 0), Handler)
+        self.server.daemon_threads = True
+        self.port = int(self.server.server_address[1])
+        self.thread = threading.Thread(target=self.server.serve_forever, args=(0.02,), daemon=True)
+        self.thread.start()
+
+    def asked(self, method: str, target: str, count: int = 1) -> Request:
+        """The request of this method whose target begins so, as soon as that many have come."""
+
+        def found() -> list[Request]:
+            return [each for each in self.requests if each.method == method and each.target.startswith(target)]
+
+        with self.changed:
+            assert self.changed.wait_for(lambda: len(found()) >= count, PATIENCE), (method, target, self.requests)
+            return found()[count - 1]
+
+    def close(self) -> None:
+        self.server.shutdown()
+        self.server.server_close()
