--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -159,6 +159,8 @@
         until(lambda: ask(port, "GET", "/v1/state").json()["proxies"]["p1"]["turn"] == 2)
         talk.told["POST load"] = ask(port, "POST", "/v1/load/s1", load_reports())
         until(lambda: ask(port, "GET", "/v1/load").json()["backends"])
+        # Orders are told from disk, where they come a little after they were sent.
+        until(lambda: len(ask(port, "GET", "/v1/orders").json()) == 2)
         questions: list[tuple[str, str, Any]] = [
             ("GET", "health", None), ("GET", "state", None), ("GET", "orders", None), ("GET", "operate", None),
             ("GET", "operate/b1", None), ("GET", "config", None), ("GET", "load", None), ("GET", "load/busy", None),
