--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -25,23 +25,23 @@
 from ncclient import manager
 
 from onyxhead.cli.main import main as command
-from onyxhead.fleet.budget import Budget, Life, Strain
-from onyxhead.series.courses import Courses
+from onyxhead.fleet.slow_start_budget import Incarnation, IncarnationLoad, SlowStartBudget
+from onyxhead.series.time_series_store import TimeSeriesStore
 from tests.programs import COMMAND, Program, ask, until
 
 # The names of the code that are used here; all else is programs, files and rows.
 
 
 def write_series(folder: Path, at: float, figures: dict[str, float]) -> None:
-    Courses(folder).write(at, figures)
+    TimeSeriesStore(folder).write(at, figures)
 
 
 def lend(keep: Callable[[list[list[Any]]], None]) -> None:
     """Controller c1 lends c2 a part of what it leaves of the cold backend b3, and has it written by `keep`."""
-    budget, life = Budget("c1", 0, [["c1", 3, "c2", "b3", 9_000_000, 2.5]], keep), Life("b3", 9_000_000)
-    budget.strained({life: Strain(10.0, 2.0)})
-    budget.lacks["c2"] = {life: 1.0}
-    budget.lend()
+    budget, life = SlowStartBudget("c1", 0, [["c1", 3, "c2", "b3", 9_000_000, 2.5]], keep), Incarnation("b3", 9_000_000)
+    budget.on_loads({life: IncarnationLoad(10.0, 2.0)})
+    budget.shortfalls["c2"] = {life: 1.0}
+    budget.grant()
 
 
 STORED = Path(__file__).parent / "data" / "stored"
@@ -124,9 +124,15 @@
 def netconf(folder: Path, port: int) -> dict[str, str]:
     """Reads the startup datastore, cancels the commit that waits to be confirmed, and edits the startup datastore."""
     with manager.connect(
-        host="127.0.0.1", port=port, username="op", key_filename=str(folder / "user"), hostkey_verify=False,
-        allow_agent=False, look_for_keys=False, timeout=10,
-    ) as session:  # fmt: skip
+        host="127.0.0.1",
+        port=port,
+        username="op",
+        key_filename=str(folder / "user"),
+        hostkey_verify=False,
+        allow_agent=False,
+        look_for_keys=False,
+        timeout=10,
+    ) as session:
         told = {"startup": str(session.get_config("startup").xml)}
         base, fleet = "urn:ietf:params:xml:ns:netconf:base:1.0", "urn:onyxhead:fleet"
         cancel = f'<cancel-commit xmlns="{base}"><persist-id>key</persist-id></cancel-commit>'
@@ -198,9 +204,11 @@
     assert state["list"]["version"] == 8
     told = {name: (own["address"], own["zone"], own["ready"]) for name, own in state["backends"].items()}
     assert told == {
-        "b1": ("127.0.0.1:9001", "north", False), "b2": ("127.0.0.1:9002", "north", False),
-        "b3": ("127.0.0.1:9003", "north", True), "b6": ("127.0.0.1:9006", "north", True),
-    }  # fmt: skip
+        "b1": ("127.0.0.1:9001", "north", False),
+        "b2": ("127.0.0.1:9002", "north", False),
+        "b3": ("127.0.0.1:9003", "north", True),
+        "b6": ("127.0.0.1:9006", "north", True),
+    }
 
 
 def test_a_stored_withdrawal_of_an_endpoint_that_is_no_longer_listed_holds(run: Run) -> None:
@@ -213,26 +221,48 @@
 
 def test_a_stored_command_that_is_sent_again_gets_its_first_answer(run: Run) -> None:
     assert run.answers["repeated"] == {
-        "id": "n1", "asked": ["drain", ["b1"]], "by": "ann", "backends": ["b1"], "status": "applied", "why": "",
-        "changed": ["b1"], "channel_s": 0.002, "again": True,
-    }  # fmt: skip
+        "id": "n1",
+        "asked": ["drain", ["b1"]],
+        "by": "ann",
+        "backends": ["b1"],
+        "status": "applied",
+        "why": "",
+        "changed": ["b1"],
+        "channel_s": 0.002,
+        "again": True,
+    }
 
 
 def test_stored_orders_are_told_newest_first_and_found_undamaged(run: Run) -> None:
     assert run.answers["orders"] == [
         {
-            "number": 8, "at": 1796220108.4273472, "epoch": 1, "turn": 8, "causes": ["p1 applied 7"],
-            "decisions": [["level", 0, [0], 0.2, 1], ["lines", 0, {"b3": 0.0, "b4": 0.0}]], "sound": True,
+            "number": 8,
+            "at": 1796220108.4273472,
+            "epoch": 1,
+            "turn": 8,
+            "causes": ["p1 applied 7"],
+            "decisions": [["level", 0, [0], 0.2, 1], ["lines", 0, {"b3": 0.0, "b4": 0.0}]],
+            "sound": True,
         },
         {
-            "number": 3, "at": 1796220106.0034647, "epoch": 1, "turn": 3, "causes": ["p1 applied 2", "list: 1 changes"],
-            "decisions": [["withdraw", "b1"]], "sound": True,
+            "number": 3,
+            "at": 1796220106.0034647,
+            "epoch": 1,
+            "turn": 3,
+            "causes": ["p1 applied 2", "list: 1 changes"],
+            "decisions": [["withdraw", "b1"]],
+            "sound": True,
         },
         {
-            "number": 1, "at": 1796220104.657815, "epoch": 1, "turn": 1, "causes": ["list: 4 entries", "p1 joined"],
-            "decisions": [["assign", 0, 0, []]], "sound": True,
+            "number": 1,
+            "at": 1796220104.657815,
+            "epoch": 1,
+            "turn": 1,
+            "causes": ["list: 4 entries", "p1 joined"],
+            "decisions": [["assign", 0, 0, []]],
+            "sound": True,
         },
-    ]  # fmt: skip
+    ]
 
 
 def test_stored_table_versions_keep_their_numbers_causes_digests_and_labels(run: Run) -> None:
@@ -300,8 +330,11 @@
 
 def test_settings_that_are_as_stored_are_no_new_commit(run: Run) -> None:
     assert [(row[0], row[4]) for row in run.rows["commits"]] == [
-        (1, "settings"), (2, "commit"), (3, "confirmed commit"), (4, "roll back"),
-    ]  # fmt: skip
+        (1, "settings"),
+        (2, "commit"),
+        (3, "confirmed commit"),
+        (4, "roll back"),
+    ]
 
 
 def test_a_stored_fleet_member_is_known_beside_those_of_the_settings(run: Run) -> None:
@@ -387,17 +420,25 @@
     assert (kept["drained"], kept["cordoned"]) == (["b1"], [])
     assert [number for number, _ in kept["done"]] == ["n1", "n2", "n3"]
     assert kept["done"][-1][1] == {
-        "asked": ["uncordon", ["b4"]], "backends": ["b4"], "by": "bob", "changed": ["b4"], "channel_s": 0.0, "id": "n3",
-        "status": "applied", "why": "",
-    }  # fmt: skip
+        "asked": ["uncordon", ["b4"]],
+        "backends": ["b4"],
+        "by": "bob",
+        "changed": ["b4"],
+        "channel_s": 0.0,
+        "id": "n3",
+        "status": "applied",
+        "why": "",
+    }
 
 
 def test_the_audit_log_is_written_after_the_stored_rows(run: Run) -> None:
     assert [(row[0], *row[2:]) for row in run.rows["audit"]] == [
-        (1, "ann", 0, "drain b1", "applied"), (7, "op", 1, "confirmed commit 3", "done"),
-        (8, "op", 1, "roll back 4", "done"), (9, "op", 1, "edit startup", "done"),
+        (1, "ann", 0, "drain b1", "applied"),
+        (7, "op", 1, "confirmed commit 3", "done"),
+        (8, "op", 1, "roll back 4", "done"),
+        (9, "op", 1, "edit startup", "done"),
         (10, "bob", 0, "uncordon b4", "applied"),
-    ]  # fmt: skip
+    ]
 
 
 def test_a_loan_is_written_before_it_is_made() -> None:
@@ -449,30 +490,50 @@
     assert told.exit_code == 0, told.output
     assert json.loads(told.output) == [
         {
-            "name": "c1", "hosts": ["127.0.0.1"], "role": "controller", "until": "2027-03-02T14:03:16+00:00",
-            "serial": "621080979642387056173580391740745679431500544107", "revoked": False,
+            "name": "c1",
+            "hosts": ["127.0.0.1"],
+            "role": "controller",
+            "until": "2027-03-02T14:03:16+00:00",
+            "serial": "621080979642387056173580391740745679431500544107",
+            "revoked": False,
         },
         {
-            "name": "c1", "hosts": ["127.0.0.1"], "role": "controller", "until": "2027-03-02T14:03:18+00:00",
-            "serial": "668710598326158105414317406163439384844298034913", "revoked": False,
+            "name": "c1",
+            "hosts": ["127.0.0.1"],
+            "role": "controller",
+            "until": "2027-03-02T14:03:18+00:00",
+            "serial": "668710598326158105414317406163439384844298034913",
+            "revoked": False,
         },
         {
-            "name": "p1", "hosts": [], "role": "agent", "until": "2027-03-02T14:03:17+00:00",
-            "serial": "485112005587328461658453262978670071583319063020", "revoked": True,
+            "name": "p1",
+            "hosts": [],
+            "role": "agent",
+            "until": "2027-03-02T14:03:17+00:00",
+            "serial": "485112005587328461658453262978670071583319063020",
+            "revoked": True,
         },
-    ]  # fmt: skip
+    ]
 
 
 def test_an_authority_writes_its_index_and_files(tmp_path: Path) -> None:
     folder = str(tmp_path)
     for words in (
-        ["init", folder], ["issue", folder, "c1", "--role", "controller", "--host", "127.0.0.1"], ["revoke", folder, "c1"],
-    ):  # fmt: skip
+        ["init", folder],
+        ["issue", folder, "c1", "--role", "controller", "--host", "127.0.0.1"],
+        ["revoke", folder, "c1"],
+    ):
         assert CliRunner().invoke(command, ["keys", *words]).exit_code == 0
     assert sorted(path.name for path in tmp_path.iterdir()) == [
-        "authorities.pem", "authority.crt", "authority.key", "c1.crt", "c1.key", "index.json", "revoked-1.pem",
+        "authorities.pem",
+        "authority.crt",
+        "authority.key",
+        "c1.crt",
+        "c1.key",
+        "index.json",
+        "revoked-1.pem",
         "revoked.pem",
-    ]  # fmt: skip
+    ]
     index = json.loads((tmp_path / "index.json").read_text())
     (issued,) = index["issued"]["c1"]
     assert list(index) == ["issued", "number", "revoked"] and index["number"] == 1
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -24,17 +24,17 @@
 from click.testing import CliRunner
 
 from onyxhead.cli.main import main as command
-from onyxhead.controller.probe import look
-from onyxhead.interface import Admission, Assignment, Remark, TurnMark
-from onyxhead.wirehost.codec import written
+from onyxhead.controller.health_check import look
+from onyxhead.policy.decisions import AcknowledgementRequest, AdmissionLevel, LogMessage, TableAssignment
+from onyxhead.wirehost.codec import encode_decision
 from tests.programs import ADAPTER, COMMAND, NODE, PATIENCE, Line, Peer, Program, Reply, Request, ask, until
-from tests.test_sockets import Running, play, port_of, shown
+from tests.test_controller_server import Running, play, port_of, shown
 
 # The names of the code that are used here; all else is programs and bytes.
 
 
 def adapter_lines(decision: Any) -> list[str]:
-    return list(written(decision))
+    return list(encode_decision(decision))
 
 
 def probe(port: int, path: str) -> tuple[float | None, int | None]:
@@ -45,7 +45,7 @@
 
 def series_names(controller: Any) -> set[str]:
     """Names of the time series that a running controller would write now."""
-    return set(controller.reception._figures(controller.clock.now()))
+    return set(controller.load_reports._figures(controller.clock.now()))
 
 
 STREAM, EMPTY = "c1.abc", f'"{0:064x}"'
@@ -134,9 +134,15 @@
 
 
 PACKET = {
-    "to": "c1", "sender": "c2", "boot": "7", "kind": "ping", "number": 5, "about": "c1",
-    "updates": [["c2", 0, 3, "7"]], "version": 1,
-}  # fmt: skip
+    "to": "c1",
+    "sender": "c2",
+    "boot": "7",
+    "kind": "ping",
+    "number": 5,
+    "about": "c1",
+    "updates": [["c2", 0, 3, "7"]],
+    "version": 1,
+}
 NEWS = {"proxies": {"p7": "south"}, "withdrawn": ["b3"], "list": 9, "budget": {"lacks": [], "loans": []}}
 
 
@@ -162,28 +168,55 @@
         # Orders are told from disk, where they come a little after they were sent.
         until(lambda: len(ask(port, "GET", "/v1/orders").json()) == 2)
         questions: list[tuple[str, str, Any]] = [
-            ("GET", "health", None), ("GET", "state", None), ("GET", "orders", None), ("GET", "operate", None),
-            ("GET", "operate/b1", None), ("GET", "config", None), ("GET", "load", None), ("GET", "load/busy", None),
-            ("GET", "nothing", None), ("GET", "tables/log", None), ("GET", "tables/pin", None),
-            ("POST", "tables/show", {"version": "1"}), ("POST", "tables/diff", {"one": "1", "two": "last"}),
-            ("POST", "tables/blame", {"backend": "b2"}), ("POST", "tables/preview", {"version": "1"}),
-            ("POST", "tables/label", {"version": 1, "label": "good"}), ("POST", "tables/pin", {"seconds": 5}),
-            ("POST", "tables/release", {}), ("POST", "tables/try", {"version": "1"}),
+            ("GET", "health", None),
+            ("GET", "state", None),
+            ("GET", "orders", None),
+            ("GET", "operate", None),
+            ("GET", "operate/b1", None),
+            ("GET", "config", None),
+            ("GET", "load", None),
+            ("GET", "load/busy", None),
+            ("GET", "nothing", None),
+            ("GET", "tables/log", None),
+            ("GET", "tables/pin", None),
+            ("POST", "tables/show", {"version": "1"}),
+            ("POST", "tables/diff", {"one": "1", "two": "last"}),
+            ("POST", "tables/blame", {"backend": "b2"}),
+            ("POST", "tables/preview", {"version": "1"}),
+            ("POST", "tables/label", {"version": 1, "label": "good"}),
+            ("POST", "tables/pin", {"seconds": 5}),
+            ("POST", "tables/release", {}),
+            ("POST", "tables/try", {"version": "1"}),
             ("POST", "operate", {"id": "n1", "verb": "drain", "names": ["b2"], "by": "ann", "dry_run": True}),
-            ("POST", "fleet", {"packet": PACKET, "news": NEWS}), ("POST", "fleet/who", {"proxy": "p1"}),
-            ("POST", "fleet/move", {"proxy": "p1", "to": "c1"}), ("GET", "fleet", None),
-            ("POST", "fleet/members", {"name": "c9", "member": {"address": "127.0.0.1:19", "zone": "south", "pace": 5}}),
-            ("PUT", "proxies/p8", join | {"zone": "south"}), ("PUT", "proxies/p9", join | {"zone": "west"}),
+            ("POST", "fleet", {"packet": PACKET, "news": NEWS}),
+            ("POST", "fleet/who", {"proxy": "p1"}),
+            ("POST", "fleet/move", {"proxy": "p1", "to": "c1"}),
+            ("GET", "fleet", None),
+            (
+                "POST",
+                "fleet/members",
+                {"name": "c9", "member": {"address": "127.0.0.1:19", "zone": "south", "pace": 5}},
+            ),
+            ("PUT", "proxies/p8", join | {"zone": "south"}),
+            ("PUT", "proxies/p9", join | {"zone": "west"}),
             ("POST", "proxies/p1/sums", {"node": {"metadata": {"boot": "x", "number": 1}}, "cluster_stats": []}),
-        ]  # fmt: skip
+        ]
         for method, target, given in questions:
             talk.told[f"{method} {target}"] = ask(port, method, f"/v1/{target}", given)
         at = f"127.0.0.1:{port}"
         for words in (
-            f"show {at}", f"load {at}", f"tables log {at}", f"tables show good {at}", f"tables diff 1 2 {at}",
-            f"tables blame b2 {at}", f"tables rollback 1 {at} --dry-run", f"fleet status {at}",
-            f"drain b2 --at {at} --id n2 --dry-run", f"compare --at {at}", f"tables rollback 1 {at} --seconds 5",
-        ):  # fmt: skip
+            f"show {at}",
+            f"load {at}",
+            f"tables log {at}",
+            f"tables show good {at}",
+            f"tables diff 1 2 {at}",
+            f"tables blame b2 {at}",
+            f"tables rollback 1 {at} --dry-run",
+            f"fleet status {at}",
+            f"drain b2 --at {at} --id n2 --dry-run",
+            f"compare --at {at}",
+            f"tables rollback 1 {at} --seconds 5",
+        ):
             done = CliRunner().invoke(command, [*words.split(), "--json"])
             talk.shown[words.replace(at, "ADDRESS")] = done.exit_code, done.output
         talk.notes = asyncio.run(netconf(int(controller.logged("netconf over ssh")["port"]), key))
@@ -230,9 +263,10 @@
 # An agent and its peers
 
 STATS = {
-    "boot": "s", "loads": {"127.0.0.1:9001": 0.5},
+    "boot": "s",
+    "loads": {"127.0.0.1:9001": 0.5},
     "groups": {"read": {"flows": 12, "dropped": 1, "backends": {"127.0.0.1:9001": {"good": 8, "bad": 2, "ms": 80.5}}}},
-}  # fmt: skip
+}
 STANDING = '"6de90596708e86ee63fe6528b709e7c9b48112d54c2cdb9bcaaa7648c97cd4b8"'
 SHARE = '"4459b2e9660f1cd26aaafe4a2390e9abd912a6ed2418928332e08ab27ffbd5ce"'
 RATE = '"7bd0cc78202a98ddaa46ebd01c7af117d44cd7060d2b7eaa84e049f5ef3ebde9"'
@@ -245,20 +279,28 @@
 CHANGE = b'{"tables":{"t0":{"levels":{"read":{"rate":120,"tries":3}},"lines":{"b2":null}}},"withdrawn":{"b2":null}}'
 STREAM_HEADERS = {"onyxhead_stream": STREAM, "onyxhead_token": "7"}
 PUT_HEADERS = STREAM_HEADERS | {
-    "onyxhead_order": "turn=3, lines=9, at=17962202310623", "content_type": "application/json", "if_match": STANDING,
-    "content_digest": "sha-256=:/tX0n8jflDrTbFsdWvgQQTl7VhX63SYHihJEyp9BZOg=:", "onyxhead_result": SHARE,
-}  # fmt: skip
+    "onyxhead_order": "turn=3, lines=9, at=17962202310623",
+    "content_type": "application/json",
+    "if_match": STANDING,
+    "content_digest": "sha-256=:/tX0n8jflDrTbFsdWvgQQTl7VhX63SYHihJEyp9BZOg=:",
+    "onyxhead_result": SHARE,
+}
 PATCH_HEADERS = STREAM_HEADERS | {
-    "onyxhead_order": "turn=4, lines=9, at=17962202310623", "content_type": "application/merge-patch+json",
-    "content_digest": "sha-256=:IYSmsRxoMvW4PIEH4TaaihO1lPKCc2yxHOMohFiJH6U=:", "if_match": SHARE,
+    "onyxhead_order": "turn=4, lines=9, at=17962202310623",
+    "content_type": "application/merge-patch+json",
+    "content_digest": "sha-256=:IYSmsRxoMvW4PIEH4TaaihO1lPKCc2yxHOMohFiJH6U=:",
+    "if_match": SHARE,
     "onyxhead_result": RATE,
-}  # fmt: skip
+}
 REFUSED = {
-    "an older token": {"onyxhead_token": "6"}, "another stream": {"onyxhead_stream": "c0.x"},
-    "a digest that does not fit": {"content_digest": "sha-256=:x:"}, "another base": {"if_match": EMPTY},
-    "no base": {"if_match": ""}, "another media type": {"content_type": "text/plain"},
+    "an older token": {"onyxhead_token": "6"},
+    "another stream": {"onyxhead_stream": "c0.x"},
+    "a digest that does not fit": {"content_digest": "sha-256=:x:"},
+    "another base": {"if_match": EMPTY},
+    "no base": {"if_match": ""},
+    "another media type": {"content_type": "text/plain"},
     "another result": {"onyxhead_result": EMPTY},
-}  # fmt: skip
+}
 
 
 class AnsweringController:
@@ -386,11 +428,15 @@
     request = controller.asked["whole view"]
     assert (request.method, request.target) == ("PUT", "/v1/view")
     assert headers_of(request) == {
-        "onyxhead-stream": "STREAM", "onyxhead-token": "5", "onyxhead-order": "turn=1, lines=11, at=TIME",
-        "content-type": "application/json", "content-length": "252", "if-match": EMPTY,
+        "onyxhead-stream": "STREAM",
+        "onyxhead-token": "5",
+        "onyxhead-order": "turn=1, lines=11, at=TIME",
+        "content-type": "application/json",
+        "content-length": "252",
+        "if-match": EMPTY,
         "content-digest": "sha-256=:uGRDNF70BpDJxtllxfVLe27jHfD8N5rFOZPUE7DkCSQ=:",
         "onyxhead-result": f'"{VERSION_1}"',
-    }  # fmt: skip
+    }
     assert request.body == (
         b'{"bindings":{"read":"t0"},"tables":{"t0":{"lines":{'
         b'"b1":{"address":"127.0.0.1:9001","weight":1000000,"zone":"north"},'
@@ -403,11 +449,15 @@
     request = controller.asked["change"]
     assert (request.method, request.target) == ("PATCH", "/v1/view")
     assert headers_of(request) == {
-        "onyxhead-stream": "STREAM", "onyxhead-token": "5", "onyxhead-order": "turn=2, lines=8, at=TIME",
-        "content-type": "application/merge-patch+json", "content-length": "94", "if-match": f'"{VERSION_1}"',
+        "onyxhead-stream": "STREAM",
+        "onyxhead-token": "5",
+        "onyxhead-order": "turn=2, lines=8, at=TIME",
+        "content-type": "application/merge-patch+json",
+        "content-length": "94",
+        "if-match": f'"{VERSION_1}"',
         "content-digest": "sha-256=:ItzSSXTI7JLslV1GGvFWKz82H/g9dzAtemAVPo6kNYE=:",
         "onyxhead-result": f'"{VERSION_2}"',
-    }  # fmt: skip
+    }
     assert request.body == (
         b'{"tables":{"t0":{"lines":{"b2":{"address":"127.0.0.1:9002","weight":500000,"zone":"north"}}}}}'
     )
@@ -432,73 +482,141 @@
 # The /v1 interface of a controller
 
 STATE = {
-    "name": "c1", "list": {"version": 2, "age_s": "..."}, "store": {"failing": "", "dropped": 0},
-    "operators": {"drained": [], "cordoned": []}, "epoch": 1, "now": "...",
-    "channel": {"waiting": "...", "most": 2000.0, "peak": "..."}, "version": 2, "trial": None, "held": None,
+    "name": "c1",
+    "list": {"version": 2, "age_s": "..."},
+    "store": {"failing": "", "dropped": 0},
+    "operators": {"drained": [], "cordoned": []},
+    "epoch": 1,
+    "now": "...",
+    "channel": {"waiting": "...", "most": 2000.0, "peak": "..."},
+    "version": 2,
+    "trial": None,
+    "held": None,
     "counts": {"joins": 1, "tries at unknown": 0},
     "proxies": {"p1": {"zone": "north", "joined_for_s": "...", "bound": True, "turn": 2, "tag": f'"{VERSION_2}"'}},
     "backends": {
         name: {
-            "address": address, "zone": "north", "ready": True, "draining": False, "withdrawn": False,
+            "address": address,
+            "zone": "north",
+            "ready": True,
+            "draining": False,
+            "withdrawn": False,
             "lines": {"0": weight},
         }
         for name, address, weight in (
-            ("b1", "127.0.0.1:9001", 1_000_000), ("b2", "127.0.0.1:9002", 500_000), ("b3", "127.0.0.1:9003", 1_000_000),
+            ("b1", "127.0.0.1:9001", 1_000_000),
+            ("b2", "127.0.0.1:9002", 500_000),
+            ("b3", "127.0.0.1:9003", 1_000_000),
         )
     },
-}  # fmt: skip
+}
 VARYING_STATE = ("age_s", "now", "waiting", "peak", "joined_for_s")
 LOG = [
     {
-        "version": 2, "epoch": 1, "age_s": "...", "cause": "p1 applied 1, list: 1 changes", "tag": "e05684f26ce996a1",
-        "lines": 1, "label": "",
+        "version": 2,
+        "epoch": 1,
+        "age_s": "...",
+        "cause": "p1 applied 1, list: 1 changes",
+        "tag": "e05684f26ce996a1",
+        "lines": 1,
+        "label": "",
     },
     {
-        "version": 1, "epoch": 1, "age_s": "...", "cause": "list: 3 entries", "tag": "8f280ef4aed8b856", "lines": 3,
+        "version": 1,
+        "epoch": 1,
+        "age_s": "...",
+        "cause": "list: 3 entries",
+        "tag": "8f280ef4aed8b856",
+        "lines": 3,
         "label": "",
     },
-]  # fmt: skip
+]
 SHOWN = {
-    "version": 1, "epoch": 1, "age_s": "...", "cause": "list: 3 entries", "tag": "8f280ef4aed8b856",
+    "version": 1,
+    "epoch": 1,
+    "age_s": "...",
+    "cause": "list: 3 entries",
+    "tag": "8f280ef4aed8b856",
     "tables": {"0": {"b1": 1_000_000, "b2": 1_000_000, "b3": 1_000_000}},
-}  # fmt: skip
+}
 DIFF = [{"table": 0, "backend": "b2", "before": 1_000_000, "after": 500_000}]
 BLAME = [
     {
-        "version": 2, "epoch": 1, "age_s": "...", "cause": "p1 applied 1, list: 1 changes", "tag": "e05684f26ce996a1",
-        "table": 0, "before": 1_000_000, "after": 500_000,
+        "version": 2,
+        "epoch": 1,
+        "age_s": "...",
+        "cause": "p1 applied 1, list: 1 changes",
+        "tag": "e05684f26ce996a1",
+        "table": 0,
+        "before": 1_000_000,
+        "after": 500_000,
     },
     {
-        "version": 1, "epoch": 1, "age_s": "...", "cause": "list: 3 entries", "tag": "8f280ef4aed8b856", "table": 0,
-        "before": 0, "after": 1_000_000,
+        "version": 1,
+        "epoch": 1,
+        "age_s": "...",
+        "cause": "list: 3 entries",
+        "tag": "8f280ef4aed8b856",
+        "table": 0,
+        "before": 0,
+        "after": 1_000_000,
     },
-]  # fmt: skip
+]
 PREVIEW = {"version": 1, "lines": 1, "not_brought_back": {}, "channel_s": 0.002}
 FIGURE = {"value": "...", "error": "..."}
 COUNTS = {"bodies": 1, "faulty reports": 0, "reports": 20, "reports too old": 0}
 LOADS = {
-    "counts": COUNTS, "shed_most": {}, "receivers": 0, "series": None,
+    "counts": COUNTS,
+    "shed_most": {},
+    "receivers": 0,
+    "series": None,
     "backends": {
         "b2": {
-            "rate": FIGURE, "busy": FIGURE, "said": FIGURE, "queue": FIGURE, "loss": None, "p50": FIGURE, "p99": FIGURE,
-            "met": None, "speed": None, "trust": 1.0, "why": "", "age_s": "...",
+            "rate": FIGURE,
+            "busy": FIGURE,
+            "said": FIGURE,
+            "queue": FIGURE,
+            "loss": None,
+            "p50": FIGURE,
+            "p99": FIGURE,
+            "met": None,
+            "speed": None,
+            "trust": 1.0,
+            "why": "",
+            "age_s": "...",
         },
     },
-}  # fmt: skip
+}
 VARYING_LOADS = ("value", "error", "age_s")
 MEMBERS = {
     "c1": {
-        "status": "alive", "incarnation": 0, "since_s": None, "proxies": None, "news_age_s": None, "list": None,
+        "status": "alive",
+        "incarnation": 0,
+        "since_s": None,
+        "proxies": None,
+        "news_age_s": None,
+        "list": None,
     },
     "c2": {"status": "alive", "incarnation": 3, "since_s": "...", "proxies": 1, "news_age_s": "...", "list": 9},
-}  # fmt: skip
+}
 NEVER_HEARD = {
-    "status": "never heard", "incarnation": 0, "since_s": "...", "proxies": None, "news_age_s": None, "list": None,
-}  # fmt: skip
+    "status": "never heard",
+    "incarnation": 0,
+    "since_s": "...",
+    "proxies": None,
+    "news_age_s": None,
+    "list": None,
+}
 DRAIN = {
-    "asked": ["drain", ["b2"]], "by": "...", "backends": ["b2"], "status": "applied", "why": "", "changed": ["b2"],
-    "channel_s": 0.002, "dry_run": True,
-}  # fmt: skip
+    "asked": ["drain", ["b2"]],
+    "by": "...",
+    "backends": ["b2"],
+    "status": "applied",
+    "why": "",
+    "changed": ["b2"],
+    "channel_s": 0.002,
+    "dry_run": True,
+}
 IN_USE = {"ready": True, "out": False}
 
 
@@ -541,13 +659,23 @@
 def test_orders_are_told_newest_first_with_causes_and_decisions(controller: Talk) -> None:
     newest, oldest = without(controller.told["GET orders"].json(), "at")
     assert newest == {
-        "number": 2, "at": "...", "epoch": 1, "turn": 2, "causes": ["p1 applied 1", "list: 1 changes"],
-        "decisions": [["lines", 0, {"b2": 0.5}]], "sound": True,
-    }  # fmt: skip
+        "number": 2,
+        "at": "...",
+        "epoch": 1,
+        "turn": 2,
+        "causes": ["p1 applied 1", "list: 1 changes"],
+        "decisions": [["lines", 0, {"b2": 0.5}]],
+        "sound": True,
+    }
     assert oldest == {
-        "number": 1, "at": "...", "epoch": 1, "turn": 1, "causes": ["list: 3 entries", "p1 joined"],
-        "decisions": [["assign", 0, 0, []]], "sound": True,
-    }  # fmt: skip
+        "number": 1,
+        "at": "...",
+        "epoch": 1,
+        "turn": 1,
+        "causes": ["list: 3 entries", "p1 joined"],
+        "decisions": [["assign", 0, 0, []]],
+        "sound": True,
+    }
 
 
 def test_the_configuration_is_told_as_records(controller: Talk) -> None:
@@ -628,10 +756,13 @@
     assert done.exit_code == 1
     assert json.loads(done.output) == [
         {
-            "where": ["channel", "pace"], "before": 5000.0, "after": 4000.0,
-            "text": "channel pace: 5000/s -> 4000/s", "rules": "3 5",
+            "where": ["channel", "pace"],
+            "before": 5000.0,
+            "after": 4000.0,
+            "text": "channel pace: 5000/s -> 4000/s",
+            "rules": "3 5",
         }
-    ]  # fmt: skip
+    ]
 
 
 # Gossip between controllers
@@ -679,14 +810,20 @@
 def test_netconf_greets_with_its_capabilities(controller: Talk) -> None:
     netconf_capability = "urn:ietf:params:netconf:capability:"
     capabilities = (
-        "urn:ietf:params:netconf:base:1.0", "urn:ietf:params:netconf:base:1.1", f"{netconf_capability}candidate:1.0",
-        f"{netconf_capability}confirmed-commit:1.1", f"{netconf_capability}rollback-on-error:1.0",
-        f"{netconf_capability}validate:1.1", f"{netconf_capability}startup:1.0", f"{netconf_capability}xpath:1.0",
-        f"{netconf_capability}notification:1.0", f"{netconf_capability}interleave:1.0",
+        "urn:ietf:params:netconf:base:1.0",
+        "urn:ietf:params:netconf:base:1.1",
+        f"{netconf_capability}candidate:1.0",
+        f"{netconf_capability}confirmed-commit:1.1",
+        f"{netconf_capability}rollback-on-error:1.0",
+        f"{netconf_capability}validate:1.1",
+        f"{netconf_capability}startup:1.0",
+        f"{netconf_capability}xpath:1.0",
+        f"{netconf_capability}notification:1.0",
+        f"{netconf_capability}interleave:1.0",
         f"{netconf_capability}with-defaults:1.0?basic-mode=explicit&amp;also-supported=report-all,trim",
         "urn:ietf:params:xml:ns:yang:ietf-netconf-monitoring",
         "urn:onyxhead:fleet?module=onyxhead-fleet&amp;revision=2026-12-01",
-    )  # fmt: skip
+    )
     listed = "".join(f"<capability>{each}</capability>" for each in capabilities)
     assert controller.notes[0] == (
         f'{XML}<hello xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><capabilities>{listed}</capabilities>'
@@ -755,8 +892,10 @@
 def test_an_agent_asks_to_join_with_all_that_it_holds(agent: Talk) -> None:
     request = agent.asked["join 1"]
     assert (request.method, request.target, request.headers["content-type"]) == (
-        "PUT", "/v1/proxies/p1", "application/json",
-    )  # fmt: skip
+        "PUT",
+        "/v1/proxies/p1",
+        "application/json",
+    )
     assert re.sub(rb"127\.0\.0\.1:\d+(?=\", \"token\")", b"ADDRESS", request.body) == (
         b'{"zone": "north", "usual": 10.0, "standing": true, "held": {"standing": {"b9": {"address": '
         b'"127.0.0.1:9009", "weight": 1000000, "zone": "north"}}}, "push": "ADDRESS", "token": 0, "insist": false, '
@@ -789,12 +928,14 @@
         ("another base", 412, "another view is held", ("etag", SHARE)),
         ("no base", 428, "If-Match is wanted", None),
         (
-            "another media type", 415, "PATCH of text/plain is not taken",
+            "another media type",
+            415,
+            "PATCH of text/plain is not taken",
             ("accept-patch", "application/merge-patch+json"),
         ),
         ("another result", 422, f"the change leads to {RATE}, not to {EMPTY}", None),
     ],
-)  # fmt: skip
+)
 def test_an_order_is_refused(agent: Talk, why: str, status: int, detail: str, header: tuple[str, str] | None) -> None:
     told = agent.told[why]
     assert (told.status, told.headers["content-type"]) == (status, "application/problem+json")
@@ -803,9 +944,16 @@
 
 
 AGENT_STATE = {
-    "name": "p1", "controller": "...", "heard_s_ago": "...", "turn": 4, "tag": RATE, "swaps": 2, "files": RATE,
-    "lines": {"read": 1, "write": 1}, "withdrawn": [],
-}  # fmt: skip
+    "name": "p1",
+    "controller": "...",
+    "heard_s_ago": "...",
+    "turn": 4,
+    "tag": RATE,
+    "swaps": 2,
+    "files": RATE,
+    "lines": {"read": 1, "write": 1},
+    "withdrawn": [],
+}
 
 
 @pytest.mark.parametrize(
@@ -1043,13 +1191,15 @@
         await asyncio.to_thread(until, lambda: shown(tmp_path, "p1") == {9001, 9002, 9003})
         endpoint = {
             "address": {"socket_address": {"address": "127.0.0.1", "port_value": 9002}},
-            "total_successful_requests": "80", "total_error_requests": "20",
-        }  # fmt: skip
+            "total_successful_requests": "80",
+            "total_error_requests": "20",
+        }
         cluster = {
-            "cluster_name": "read", "load_report_interval": "1.0s",
+            "cluster_name": "read",
+            "load_report_interval": "1.0s",
             "load_metric_stats": [{"metric_name": "flows", "num_requests_finished_with_metric": "100"}],
             "upstream_locality_stats": [{"upstream_endpoint_stats": [endpoint]}],
-        }  # fmt: skip
+        }
         sums = {"node": {"metadata": {"boot": "x", "number": 1}}, "cluster_stats": [cluster]}
         await asyncio.to_thread(ask, port_of(daemon), "POST", "/v1/load/s1", load_reports())
         await asyncio.to_thread(until, lambda: "busy.b2" in series_names(daemon))
@@ -1063,34 +1213,66 @@
 
     play(tmp_path, work)
     assert names == {
-        "busy.b2", "channel.waiting", "flows.p1/read", "loss.b2", "p99.b2", "queue.b2", "rate.b2", "trust.b2",
-    }  # fmt: skip
+        "busy.b2",
+        "channel.waiting",
+        "flows.p1/read",
+        "loss.b2",
+        "p99.b2",
+        "queue.b2",
+        "rate.b2",
+        "trust.b2",
+    }
 
 
 # RESP2 between a node and proxies
 
 SIMULATED: dict[str, Any] = {
-    "balancers": 1, "zone": 0, "zones": ["a", "b"], "discovery": "automatic", "hostTypes": ["k1"], "roundNs": 4000000,
+    "balancers": 1,
+    "zone": 0,
+    "zones": ["a", "b"],
+    "discovery": "automatic",
+    "hostTypes": ["k1"],
+    "roundNs": 4000000,
     "bounds": {"probes": False},
     "extra": {
-        "agents": 40, "classOwnZone": [False], "egressPerS": 900.0, "perMessage": 6.0, "mostWaiting": 1800.0,
-        "pushDelayNs": 264000000, "lateMostNs": 660000000, "unservedMaxNs": 3100000000, "throttleBy": "ratio",
-        "baseMode": 1, "tryFactor": 1.2, "cycleNs": 1000000000, "updateCap": 0, "messagesOverNs": 10000000000,
+        "agents": 40,
+        "classOwnZone": [False],
+        "egressPerS": 900.0,
+        "perMessage": 6.0,
+        "mostWaiting": 1800.0,
+        "pushDelayNs": 264000000,
+        "lateMostNs": 660000000,
+        "unservedMaxNs": 3100000000,
+        "throttleBy": "ratio",
+        "baseMode": 1,
+        "tryFactor": 1.2,
+        "cycleNs": 1000000000,
+        "updateCap": 0,
+        "messagesOverNs": 10000000000,
     },
     "guarantees": {
-        "drainGraceNs": 2900000000, "coldFrom": 0.2, "coldNs": 15000000000, "overloadFactor": 3.0,
+        "drainGraceNs": 2900000000,
+        "coldFrom": 0.2,
+        "coldNs": 15000000000,
+        "overloadFactor": 3.0,
         "fallNs": 1500000000,
     },
     "report": {"fields": ["cpu_share", "svc_ms"], "via": "on_probe"},
     "services": [{"aimNs": 75000000, "credit": 1.0, "deadlineNs": 250000000, "effect": "pure", "name": "look"}],
-}  # fmt: skip
+}
 SERVERS = [
     {
-        "id": f"s-{n}", "host_port": f"127.0.0.1:900{n}", "locality": "a", "flavor": "k1", "cell": 3, "phase": "SERVING",
-        "size": 1.0, "up_since_ms": 0,
+        "id": f"s-{n}",
+        "host_port": f"127.0.0.1:900{n}",
+        "locality": "a",
+        "flavor": "k1",
+        "cell": 3,
+        "phase": "SERVING",
+        "size": 1.0,
+        "up_since_ms": 0,
     }
     for n in (0, 1)
-]  # fmt: skip
+]
 
 
 def test_a_node_speaks_resp2_and_follows_the_platforms_discovery(tmp_path: Path) -> None:
@@ -1114,11 +1296,15 @@
     given = {"name": "n0", "listen": listen, "discovery": found, "seed": "ff", "settings": SIMULATED}
     (tmp_path / "config.json").write_text(json.dumps(given))
     node = Program(
-        tmp_path, *NODE, BALANCER_NAME="n0", BALANCER_LISTEN=listen, BALANCER_DISCOVERY=found,
+        tmp_path,
+        *NODE,
+        BALANCER_NAME="n0",
+        BALANCER_LISTEN=listen,
+        BALANCER_DISCOVERY=found,
         BALANCER_CONFIG="config.json",
-    )  # fmt: skip
+    )
     try:
-        node.logged("list", revision=7)
+        node.logged("endpoint list updated", revision=7)
         with socket.create_connection(("127.0.0.1", port), PATIENCE) as proxy:
             read = proxy.makefile("rb").read
             proxy.sendall(b"*1\r\n$2\r\nhb\r\n")
@@ -1155,15 +1341,18 @@
 ADAPTER_BEGIN = json.dumps(SIMULATED | {"discovery": "subscribe", "bounds": {"probes": True}})
 TRANSCRIPT = (
     (
-        "a subscription at the start", f"BEGIN 7 {ADAPTER_BEGIN}",
+        "a subscription at the start",
+        f"BEGIN 7 {ADAPTER_BEGIN}",
         "OBSERVE 1\nSET_TIMER 1 250000000\n",
     ),
     (
-        "a list", "DEFINE_LIST 0 2\nROW s1 0 0 0 ready 1 -\nROW s2 1 0 0 ready 1.5 6100000000\nPEERS_KNOWN all 41 0",
+        "a list",
+        "DEFINE_LIST 0 2\nROW s1 0 0 0 ready 1 -\nROW s2 1 0 0 ready 1.5 6100000000\nPEERS_KNOWN all 41 0",
         "SOUND_OUT s1\nSOUND_OUT s2\nPUT_LINE 0 s1 1\nPUT_LINE 0 s2 0.15\nSET_TIMER 1 250000000\n",
     ),
     (
-        "a proxy that joins", "ATTACHED 1 0 6.5 1\nPROBED s1 served 2000000 0.5,20",
+        "a proxy that joins",
+        "ATTACHED 1 0 6.5 1\nPROBED s1 served 2000000 0.5,20",
         "PIN 1 0 0\nNONCE 0 1\nSET_TIMER 1 250000000\n",
     ),
     (
@@ -1184,7 +1373,7 @@
         "SUSPEND s2 1\nSOUND_OUT s1\nGATE_CLASS 0 1 0.2 1\nPUT_LINE 0 s2 0\nNONCE 0 3\nSET_TIMER 1 250000000\n",
     ),
     ("a stop", "STREAM_DOWN 1\nSTOP", ""),
-)  # fmt: skip
+)
 
 
 @pytest.fixture(scope="module")
@@ -1207,10 +1396,10 @@
 @pytest.mark.parametrize(
     ("decision", "line"),
     [
-        (Remark("text of a remark"), "REMARK text of a remark"),
-        (TurnMark(5, True), "NONCE 1 5"),
-        (Assignment(41, 2, (0, 2)), "PIN 41 2 5"),
-        (Admission(1, (1, 3), 0.25, 0), "GATE_CLASS 1 10 0.25 0"),
+        (LogMessage("text of a remark"), "REMARK text of a remark"),
+        (AcknowledgementRequest(5, True), "NONCE 1 5"),
+        (TableAssignment(41, 2, (0, 2)), "PIN 41 2 5"),
+        (AdmissionLevel(1, (1, 3), 0.25, 0), "GATE_CLASS 1 10 0.25 0"),
     ],
 )
 def test_the_adapter_writes_a_decision(decision: Any, line: str) -> None:
