--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -29,7 +29,7 @@
 from onyxhead.node.policy_host import SILENCE_TIMEOUT, StreamPolicyHost
 from onyxhead.policy.inputs import Endpoint, HealthCheckResult, LoadReport, WatchEvent
 from onyxhead.settings.instance import InvalidSettingsError, read_deployment
-from tests import rig
+from tests import policy_harness
 
 SETTINGS: dict[str, Any] = {
     "balancers": 2,
@@ -143,7 +143,7 @@
 
 
 def fleet(*names: str, started: int = 0) -> list[Endpoint]:
-    return [rig.ready(name, started=started) for name in names]
+    return [policy_harness.ready_endpoint(name, started) for name in names]
 
 
 def test_a_joining_proxy_gets_the_whole_table_once_and_then_changed_lines_only() -> None:
@@ -165,7 +165,7 @@
     for proxy in (1, 2, 3):
         day.join(proxy)
     day.run(2)
-    day.host.on_endpoint_update(day.now, WatchEvent.DELTA, [rig.draining("s2")])
+    day.host.on_endpoint_update(day.now, WatchEvent.DELTA, [policy_harness.draining_endpoint("s2")])
     day.act()
     assert all("s2" in mux.shut for mux in day.muxes.values())
     day.run(3)
@@ -216,7 +216,7 @@
         and not day.host.detect_silent_streams(day.now)
     )
     day.host.on_stream_closed(day.now, 2, day.streams.pop(2))
-    day.host.on_endpoint_update(day.now, WatchEvent.DELTA, [rig.draining("s2")])
+    day.host.on_endpoint_update(day.now, WatchEvent.DELTA, [policy_harness.draining_endpoint("s2")])
     assert day.act() == []
     day.host.on_message(day.now, 1, day.streams[1])
     day.run(3)
@@ -237,7 +237,7 @@
         raise ZeroDivisionError("division by zero")
 
     monkeypatch.setattr(day.host.policy, "_decide_changes", broken)
-    day.host.on_endpoint_update(day.now, WatchEvent.DELTA, [rig.gone("s1")])
+    day.host.on_endpoint_update(day.now, WatchEvent.DELTA, [policy_harness.departed_endpoint("s1")])
     day.now += 20_000
     effects = day.host.decide(day.now)
     assert [update.withdrawn for _, _, update in effects.updates] == [("s1",)]
@@ -258,7 +258,9 @@
             elif chance < 0.35 and proxy in day.streams:
                 assert day.host.on_stream_closed(day.now, proxy, day.streams.pop(proxy))
             elif chance < 0.5:
-                entry = vary.choice([rig.draining, rig.gone, rig.ready])(name)
+                entry = vary.choice(
+                    [policy_harness.draining_endpoint, policy_harness.departed_endpoint, policy_harness.ready_endpoint]
+                )(name)
                 started = (
                     day.now
                     if entry.ready and not day.host.state.endpoints.listed[name].ready
@@ -302,10 +304,10 @@
     day.run(2)
     for n in range(2, 200):
         day.host.on_endpoint_update(
-            day.now, WatchEvent.DELTA, [*fleet(f"s{n}", started=day.now), rig.draining(f"s{n - 2}")]
+            day.now, WatchEvent.DELTA, [*fleet(f"s{n}", started=day.now), policy_harness.draining_endpoint(f"s{n - 2}")]
         )
         day.run(1.2)
-        day.host.on_endpoint_update(day.now, WatchEvent.DELTA, [rig.gone(f"s{n - 2}")])
+        day.host.on_endpoint_update(day.now, WatchEvent.DELTA, [policy_harness.departed_endpoint(f"s{n - 2}")])
     assert (
         day.host.policy.statistics().known_backends < 30
         and len(day.host.state.endpoints.listed) <= 61
