--- a/onyxhead/controller/health_check.py
+++ b/onyxhead/controller/health_check.py
@@ -7,8 +7,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from onyxhead.http.client import ask_once
-from onyxhead.http.messages import Fault, Request
+from onyxhead.health_check import HealthCheckFailedError, request_health
+from onyxhead.http.messages import MOST_BODY
 from onyxhead.policy.inputs import HealthCheckResult, LoadReport
 from onyxhead.tables.addresses import parse_address
 from onyxhead.time_units import TICKS_PER_MILLISECOND
@@ -32,11 +32,9 @@
 async def check_health(address: str, path: str, timeout: float) -> HealthCheckOutcome:
     """Check a backend once; `timeout` in seconds."""
     try:
-        response = await ask_once(parse_address(address), Request("GET", path), timeout)
-    except TimeoutError:
-        return HealthCheckOutcome(HealthCheckResult.TIMED_OUT, LoadReport())
-    except (OSError, Fault):
-        return HealthCheckOutcome(HealthCheckResult.UNREACHABLE, LoadReport())
+        response = await request_health(parse_address(address), path, timeout, MOST_BODY)
+    except HealthCheckFailedError as error:
+        return HealthCheckOutcome(error.result, LoadReport())
     healthy = 200 <= response.status < 300
     metrics = parse_load_header(response.headers)
     load = LoadReport(reported_utilization(metrics), reported_latency(metrics))
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -24,7 +24,7 @@
 from click.testing import CliRunner
 
 from onyxhead.cli.main import main as command
-from onyxhead.controller.health_check import look
+from onyxhead.controller.health_check import check_health
 from onyxhead.policy.decisions import AcknowledgementRequest, AdmissionLevel, LogMessage, TableAssignment
 from onyxhead.wirehost.codec import encode_decision
 from tests.programs import ADAPTER, COMMAND, NODE, PATIENCE, Line, Peer, Program, Reply, Request, ask, until
@@ -39,7 +39,7 @@
 
 def probe(port: int, path: str) -> tuple[float | None, int | None]:
     """Busy share and latency in tenths of a millisecond, as a health check of a backend reads them."""
-    _, load = asyncio.run(look(f"127.0.0.1:{port}", path, PATIENCE))
+    _, load = asyncio.run(check_health(f"127.0.0.1:{port}", path, PATIENCE))
     return tuple(load)[:2]
 
 
