--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -118,7 +118,7 @@
     async def __aexit__(self, *_: object) -> None:
         for end in self.ends:
             end.send(True)
-        self.daemon.stopping.set()
+        self.daemon.supervisor.stopping.set()
         await self.task
         for process in self.processes:
             process.join()
@@ -139,7 +139,7 @@
         since, reports = time.perf_counter(), taken(daemon)
         for drained in range(2, 2 + rounds):
             for number in list(core.joined)[:joining]:
-                daemon.streams[number].task.cancel()
+                daemon.streams.by_proxy[number].task.cancel()
                 core.on_proxy_left(daemon.clock.now(), number, "for the measurement")
             await asyncio.sleep(0.02)
             began = time.perf_counter()
--- a/onyxhead/controller/discovery.py
+++ b/onyxhead/controller/discovery.py
@@ -1,67 +1,76 @@
-"""Where the list comes from: a watched file, or a server asked over HTTP. Each yields bodies as they change."""
+"""Sources of the endpoint list: a watched file, or a server polled over HTTP. Each yields documents as they change."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import AsyncIterator
+from http import HTTPStatus
 from pathlib import Path
+from typing import NamedTuple
 
 from onyxhead.controller.errors import DiscoveryUnavailableError
 from onyxhead.http.client import Connection
 from onyxhead.http.messages import Fault, Request
 
-LIST = "/v1/list"
-WAIT = 5.0
-TIMEOUT = 8.0
+LIST_PATH = "/v1/list"
+LONG_POLL_S = 5.0
+"""For how long the server may hold its answer (RFC 7240, wait)."""
+TIMEOUT_S = 8.0
 
 
-async def watch_file(path: Path, every: float) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
-    """The file's content at first and whenever it was written anew.
+class FileRevision(NamedTuple):
+    """What changes when a file is replaced or written."""
 
-    A file that stays half written is read again each time, since its writer need not touch it once more."""
-    seen: tuple[int, int, int] | None = None
-    told = ""
+    inode: int
+    modified_ns: int
+    size: int
+
+
+async def watch_file(path: Path, interval_s: float) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
+    """The file's content at first and whenever it was written again."""
+    last_revision: FileRevision | None = None
+    last_error = ""
     while True:
         try:
             status = path.stat()
-            mark = (status.st_ino, status.st_mtime_ns, status.st_size)
-            if mark != seen:
+            revision = FileRevision(status.st_ino, status.st_mtime_ns, status.st_size)
+            if revision != last_revision:
                 body = await asyncio.to_thread(path.read_bytes)
-                seen, told = mark, ""
+                last_revision, last_error = revision, ""
                 yield body
         except OSError as error:
-            if told != str(error):
-                told = str(error)
+            if last_error != str(error):
+                last_error = str(error)
                 yield DiscoveryUnavailableError(f"cannot read {path.name}: {error.strerror}")
-        await asyncio.sleep(every)
+        await asyncio.sleep(interval_s)
 
 
-async def ask_server(
-    address: tuple[str, int], every: float, name: str
+async def poll_server(
+    address: tuple[str, int], interval_s: float, name: str
 ) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
-    """The server's list at first and whenever its tag changes; the server may hold its answer (RFC 7240, wait)."""
-    tag = ""
+    """The server's list at first and whenever its etag changes. `name` tells the server who asks."""
+    etag = ""
     while True:
         try:
-            async with asyncio.timeout(TIMEOUT):
+            async with asyncio.timeout(TIMEOUT_S):
                 connection = await Connection.open(*address)
             async with connection:
                 while True:
-                    headers = {"prefer": f"wait={WAIT:.0f}", "from": name}
-                    if tag:
-                        headers["if-none-match"] = tag
-                    async with asyncio.timeout(TIMEOUT + WAIT):
-                        response = await connection.ask(Request("GET", LIST, headers))
-                    if response.status == 200:
-                        tag = response.headers.get("etag", "")
+                    headers = {"prefer": f"wait={LONG_POLL_S:.0f}", "from": name}
+                    if etag:
+                        headers["if-none-match"] = etag
+                    async with asyncio.timeout(TIMEOUT_S + LONG_POLL_S):
+                        response = await connection.ask(Request("GET", LIST_PATH, headers))
+                    if response.status == HTTPStatus.OK:
+                        etag = response.headers.get("etag", "")
                         yield response.body
-                    elif response.status != 304:
+                    elif response.status != HTTPStatus.NOT_MODIFIED:
                         yield DiscoveryUnavailableError(f"discovery answers {response.status}")
                         break
-                    if not tag:
-                        await asyncio.sleep(every)
+                    if not etag:
+                        await asyncio.sleep(interval_s)
         except TimeoutError:
             yield DiscoveryUnavailableError("discovery does not answer in time")
         except (OSError, Fault) as error:
             yield DiscoveryUnavailableError(f"discovery can't be reached: {error}")
-        await asyncio.sleep(every)
+        await asyncio.sleep(interval_s)
--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -1,43 +1,75 @@
-"""Carries a controller's part in a shared fleet: packets over HTTP, news beside them, hand-overs at a pace."""
+"""A controller's part in a shared fleet: gossip packets over HTTP with reports beside them, and paced hand-overs."""
 
 from __future__ import annotations
 
 import asyncio
 import secrets
 import time
+from collections.abc import Callable
+from http import HTTPStatus
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
 import structlog
 
-from onyxhead.fleet import slow_start_budget as loans
+from onyxhead.controller import log_events
+from onyxhead.controller.core_host import CoreHost
+from onyxhead.controller.task_supervisor import TaskSupervisor
 from onyxhead.fleet.assignment import Member
 from onyxhead.fleet.membership import MalformedPacketError, Membership, Packet, read
 from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
+from onyxhead.fleet.slow_start_budget import SlowStartBudget, parse_report
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Fault, Request, Response, answer, problem
+from onyxhead.keys.rotate import Keys
 from onyxhead.settings.load import Fellow, Fleet
 from onyxhead.store.errors import StoreUnavailableError
+from onyxhead.store.store import Store
 from onyxhead.store.value_names import BUDGET_GRANTS, FLEET_MEMBERS
 from onyxhead.tables.addresses import parse_address
+from onyxhead.time_units import TICKS_PER_SECOND
 
-if TYPE_CHECKING:
-    from onyxhead.controller.server import ControllerServer
+FLEET_PATH = "/v1/fleet"
+BUDGET_INTERVAL = TICKS_PER_SECOND // 4
+WITHDRAWAL_GRACES = 10
+"""Withdrawals that members reported within so many drain graces are taken over."""
+MAX_LOGGED_ERRORS = 100
+MAX_PACE = 1e9
 
-PATH = "/v1/fleet"
-LEND_EVERY = 2_500
-TENTHS = 10_000
 log = structlog.get_logger()
 
 
+class StreamControl(Protocol):
+    """What the fleet needs of the streams to the proxies."""
+
+    def end_stream(self, name: str, reason: str) -> None:
+        """Close one proxy's stream, so that it joins again."""
+
+    def join_time_s(self) -> float:
+        """Seconds for which one proxy's full tables occupy the channel."""
+
+
 class FleetTransport:
-    def __init__(self, daemon: ControllerServer, settings: Fleet) -> None:
-        self.daemon, self.settings = daemon, settings
-        now = daemon.clock.now()
+    """`list_version` tells the version of the endpoint list that is followed, 0 for none."""
+
+    def __init__(
+        self,
+        name: str,
+        settings: Fleet,
+        host: CoreHost,
+        store: Store,
+        supervisor: TaskSupervisor,
+        keys: Keys | None,
+        streams: StreamControl,
+        list_version: Callable[[], int],
+    ) -> None:
+        self.settings, self.host, self.store, self.supervisor = settings, host, store, supervisor
+        self.keys, self.streams, self.list_version = keys, streams, list_version
+        now = host.now()
         # A later start must win over an earlier one of the same name, also on an empty or a restored disk.
         boot = f"{int(time.time() * 1000):015d}.{secrets.token_hex(3)}"
         membership = Membership(
-            daemon.settings.name,
+            name,
             boot,
             tuple(settings.members),
             Random(boot),
@@ -47,174 +79,202 @@
             settings.suspicion,
         )
         members = {name: Member(name, each.zone, each.pace) for name, each in settings.members.items()}
-        self.coalition = OwnershipCoordinator(membership, members, now, settings.settle)
+        self.coordinator = OwnershipCoordinator(membership, members, now, settings.settle)
+        # A disk that knows of an earlier incarnation would know its grants; an empty one proves nothing.
+        grants = store.get(BUDGET_GRANTS) or ([] if host.core.epoch > 1 else None)
+        self.budget = SlowStartBudget(name, now, grants, lambda made: store.put(BUDGET_GRANTS, made))
+        self.budget_due_at = now
         self.logged_errors: set[str] = set()
-        # A disk that knows of an earlier life would know its loans; an empty one proves nothing.
-        kept = daemon.store.get(BUDGET_GRANTS) or ([] if daemon.core.epoch > 1 else None)
-        self.budget = loans.SlowStartBudget(
-            daemon.settings.name, now, kept, lambda made: daemon.store.put(BUDGET_GRANTS, made)
-        )
-        self.lend_at = now
-        for name, each in (daemon.store.get(FLEET_MEMBERS) or {}).items():
-            self._set_member(name, each, now)
-
-    def _set_member(self, name: str, given: dict[str, Any] | None, now: int) -> None:
-        """Adds, changes or (with None) removes a member. Raises ValueError, KeyError for what is none."""
-        coalition, members = self.coalition, self.settings.members
-        if given is None:
-            members.pop(name, None)
-            coalition.members.pop(name, None)
-            coalition.peer_reports.pop(name, None)
-            coalition.membership.remove(name)
-            return
-        fellow = Fellow(parse_address(given["address"]), str(given["zone"]), float(given["pace"]))
-        if not name or not 0 < fellow.pace < 1e9:
-            raise ValueError("name or pace out of range")
-        members[name] = fellow
-        coalition.members[name] = Member(name, fellow.zone, fellow.pace)
-        coalition.membership.add(name, now)
+        self.handlers = {
+            "handover": self._hand_over,
+            "move": self._move,
+            "members": self._change_member,
+            "who": self._find_owner,
+        }
+        for member, given in (store.get(FLEET_MEMBERS) or {}).items():
+            self._set_member(member, given, now)
 
-    def joined_zones(self) -> dict[str, str]:
-        house = self.daemon.core
-        return {known.name: house.zones[known.zone] for known in house.joined.values()}
+    def own_proxies(self) -> dict[str, str]:
+        """The zones of the proxies that have joined here, by name."""
+        core = self.host.core
+        return {proxy.name: core.zones[proxy.zone] for proxy in core.joined.values()}
 
     def better_owner(self, proxy: str, zone: str) -> str | None:
-        return self.coalition.better_owner(proxy, zone, self.joined_zones(), self.daemon.clock.now())
+        """The controller that should serve a proxy in place of this one."""
+        return self.coordinator.better_owner(proxy, zone, self.own_proxies(), self.host.now())
 
-    # Carrying
+    # Gossip
 
     async def run(self) -> None:
+        """Take part in the fleet for ever."""
         while True:
-            now = self.daemon.clock.now()
-            for packet in self.coalition.membership.tick(now):
-                self.daemon.start(self._send(packet), vital=False)
-            for said in self.coalition.observe_membership(now):
-                log.info("fleet", said=said, alive=self.coalition.alive)
-                self._renew(now)
-                for name in [name for name in self.budget.shortfalls if name not in self.coalition.alive]:
-                    self.budget.on_member_left(name)
-            self._share(now)
-            if (
-                move := self.coalition.next_handover(
-                    self.joined_zones(), now, round(2 * self.daemon.join_time() * TENTHS)
-                )
-            ) is not None:
-                proxy, to = move
-                log.info("handed over", proxy=proxy, to=to)
-                self.daemon.end_stream(proxy, f"handed over to {to}")
-            await asyncio.sleep(self.settings.timeout / TENTHS / 2)
-
-    def _share(self, now: int) -> None:
-        if now < self.lend_at:
+            now = self.host.now()
+            for packet in self.coordinator.membership.tick(now):
+                self.supervisor.start_background(self._send(packet))
+            for change in self.coordinator.observe_membership(now):
+                self._on_membership_change(now, change)
+            self._share_budget(now)
+            self._hand_over_next(now)
+            await asyncio.sleep(self.settings.timeout / TICKS_PER_SECOND / 2)
+
+    def _on_membership_change(self, now: int, change: str) -> None:
+        log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change=change, alive=self.coordinator.alive)
+        self._take_over_withdrawals(now)
+        for name in [name for name in self.budget.shortfalls if name not in self.coordinator.alive]:
+            self.budget.on_member_left(name)
+
+    def _hand_over_next(self, now: int) -> None:
+        """Hand over the next proxy that another controller should serve, if it is time."""
+        gap = round(2 * self.streams.join_time_s() * TICKS_PER_SECOND)
+        if (move := self.coordinator.next_handover(self.own_proxies(), now, gap)) is not None:
+            proxy, to = move
+            log.info(log_events.PROXY_HANDED_OVER, proxy=proxy, to=to)
+            self.streams.end_stream(proxy, f"handed over to {to}")
+
+    def _share_budget(self, now: int) -> None:
+        if now < self.budget_due_at:
             return
-        self.lend_at = now + LEND_EVERY
+        self.budget_due_at = now + BUDGET_INTERVAL
         try:
-            made = self.daemon.core.update_budget_shares(now, self.budget)
+            grants = self.host.core.update_budget_shares(now, self.budget)
         except StoreUnavailableError as error:
-            log.warning("nothing is lent", why=str(error))
+            log.warning(log_events.BUDGET_GRANT_FAILED, error=str(error))
             return
-        for loan in made:
-            log.info("lent", to=loan.borrower, backend=loan.incarnation.backend, flows=loan.amount, number=loan.number)
+        for grant in grants:
+            log.info(
+                log_events.BUDGET_GRANTED,
+                to=grant.borrower,
+                backend=grant.incarnation.backend,
+                amount=grant.amount,
+                number=grant.number,
+            )
 
-    def _renew(self, now: int) -> None:
-        """What members kept withdrawn and no list names any more is kept withdrawn here too."""
-        grace = self.daemon.core.deployment.safety.drain_grace
-        self.daemon.core.restore_withdrawals(now, sorted(self.coalition.withdrawn_by_peers(now, 10 * grace)))
+    def _take_over_withdrawals(self, now: int) -> None:
+        """Keep withdrawn what members had withdrawn and no endpoint list names any more."""
+        grace = self.host.core.deployment.safety.drain_grace
+        withdrawn = self.coordinator.withdrawn_by_peers(now, WITHDRAWAL_GRACES * grace)
+        self.host.core.restore_withdrawals(now, sorted(withdrawn))
 
     async def _send(self, packet: Packet) -> None:
         member = self.settings.members.get(packet.to)
         if member is None:
             return
-        keys = self.daemon.keys
-        request = answer(200, {"packet": packet.plain(), "news": self._news()})
-        seconds = 2 * self.settings.timeout / TENTHS
+        document = answer(HTTPStatus.OK, {"packet": packet.plain(), "news": self._report()})
+        timeout_s = 2 * self.settings.timeout / TICKS_PER_SECOND
+        request = Request("POST", FLEET_PATH, document.headers, document.body)
         try:
-            told = await ask_once(
-                member.address,
-                Request("POST", PATH, request.headers, request.body),
-                seconds,
-                keys.client if keys is not None else None,
+            response = await ask_once(
+                member.address, request, timeout_s, self.keys.client if self.keys is not None else None
             )
-            given = told.json()
+            given = response.json()
             self._receive(given["packets"], given.get("news"), packet.to)
         except (OSError, Fault, TimeoutError, ValueError, KeyError, TypeError):
+            # To the membership protocol, a packet without a proper answer is a packet that was lost.
             return
 
-    def _receive(self, packets: list[Any], news: Any, sender: str) -> list[Packet]:  # noqa: ANN401
-        now = self.daemon.clock.now()
+    def _receive(self, packets: list[Any], report: Any, sender: str) -> list[Packet]:  # noqa: ANN401  decoded JSON
+        """Take packets and a member's report. Returns the packets that answer them."""
+        now = self.host.now()
         replies = []
-        for each in packets:
-            replies += self.coalition.membership.receive(read(each), now)
-        if isinstance(news, dict):
-            proxies = {str(name): str(zone) for name, zone in dict(news.get("proxies", {})).items()}
-            withdrawn = tuple(map(str, news.get("withdrawn", ())))
-            self.coalition.on_peer_report(sender, PeerReport(proxies, withdrawn, int(news.get("list") or 0), now))
-            # A member of an older program says nothing of budgets; nothing is lent to it.
-            if sender in self.coalition.alive and sender != self.coalition.own_name and "budget" in news:
-                self.budget.on_report(sender, loans.parse_report(news["budget"]))
+        for packet in packets:
+            replies += self.coordinator.membership.receive(read(packet), now)
+        if isinstance(report, dict):
+            proxies = {str(name): str(zone) for name, zone in dict(report.get("proxies", {})).items()}
+            withdrawn = tuple(map(str, report.get("withdrawn", ())))
+            version = int(report.get("list") or 0)
+            self.coordinator.on_peer_report(sender, PeerReport(proxies, withdrawn, version, now))
+            # A member of an older version reports no budget; nothing is granted to it.
+            if sender in self.coordinator.alive and sender != self.coordinator.own_name and "budget" in report:
+                self.budget.on_report(sender, parse_report(report["budget"]))
         return replies
 
     def handle_packet(self, request: Request) -> Response:
-        """Another member's packet. The answer carries what goes back to it; the rest is sent."""
+        """Another member's packet. The response carries what goes back to it; the other packets are sent."""
         try:
             given = request.json()
             sender = str(given["packet"]["sender"])
             replies = self._receive([given["packet"]], given.get("news"), sender)
         except MalformedPacketError as error:
-            if str(error) not in self.logged_errors and len(self.logged_errors) < 100:
+            if str(error) not in self.logged_errors and len(self.logged_errors) < MAX_LOGGED_ERRORS:
                 self.logged_errors.add(str(error))
-                log.warning("fleet", refused=str(error))
-            return problem(422, str(error))
+                log.warning(log_events.GOSSIP_PACKET_REJECTED, error=str(error))
+            return problem(HTTPStatus.UNPROCESSABLE_ENTITY, str(error))
         except (ValueError, KeyError, TypeError) as error:
-            return problem(400, f"not a packet: {error}")
+            return problem(HTTPStatus.BAD_REQUEST, f"not a packet: {error}")
         back = [packet for packet in replies if packet.to == sender]
         for packet in replies:
             if packet.to != sender:
-                self.daemon.start(self._send(packet), vital=False)
-        return answer(200, {"packets": [packet.plain() for packet in back], "news": self._news()})
+                self.supervisor.start_background(self._send(packet))
+        return answer(HTTPStatus.OK, {"packets": [packet.plain() for packet in back], "news": self._report()})
 
-    def _news(self) -> dict[str, Any]:
-        last = self.daemon.follower.last
-        house = self.daemon.core
+    def _report(self) -> dict[str, Any]:
+        """What this controller tells the others beside its packets."""
         return {
-            "proxies": self.joined_zones(),
-            "withdrawn": sorted(house.proxy_tables.withdrawn),
-            "list": last.version if last else 0,
+            "proxies": self.own_proxies(),
+            "withdrawn": sorted(self.host.core.proxy_tables.withdrawn),
+            "list": self.list_version(),
             "budget": self.budget.report().plain(),
         }
 
-    # What operators ask
-
-    def command(self, what: str, given: Any) -> Response:  # noqa: ANN401
-        coalition, now = self.coalition, self.daemon.clock.now()
-        if what == "handover":
-            coalition.membership.leave()
-            log.info("fleet", said="leaving: all proxies are handed over")
-            return answer(200, {"proxies": len(self.joined_zones())})
-        if what == "move":
-            proxy, to = str(given.get("proxy")), str(given.get("to"))
-            if to not in coalition.serving():
-                return problem(409, f"{to} is not known to serve now")
-            coalition.sticky[proxy] = to
-            return answer(200, {"proxy": proxy, "to": to, "here": proxy in self.joined_zones()})
-        if what == "members":
-            name, each = str(given.get("name")), given.get("member")
-            if name == coalition.own_name and each is None:
-                return problem(409, "a controller leaves by handover, not by removing itself")
-            try:
-                self._set_member(name, each, now)
-            except (ValueError, KeyError, TypeError) as error:
-                return problem(422, f"not a member: {error}")
-            # Over the settings, and on disk before it is answered.
-            kept = self.daemon.store.get(FLEET_MEMBERS) or {}
-            self.daemon.store.put(FLEET_MEMBERS, kept | {name: each})
-            log.info("fleet", said=f"{name} {'removed' if each is None else 'put in'} by command")
-            return answer(200, {"members": sorted(self.settings.members)})
-        if what == "who":
-            proxy = str(given.get("proxy"))
-            # A member that is gone serves nobody, whatever it said last; of the others the newest word counts.
-            heard = sorted(coalition.peer_reports.items(), key=lambda item: -item[1].received_at)
-            told: list[str | None] = [n for n, news in heard if n in coalition.alive and proxy in news.proxies]
-            found = coalition.own_name if proxy in self.joined_zones() else (told or [None])[0]
-            return answer(200, {"proxy": proxy, "served_by": found})
-        return answer(200, coalition.state(now) | {"budget": self.budget.status()})
+    # Operators' requests
+
+    def status(self) -> dict[str, Any]:
+        """The fleet as this controller sees it."""
+        return self.coordinator.state(self.host.now()) | {"budget": self.budget.status()}
+
+    def _hand_over(self, arguments: dict[str, Any]) -> Response:
+        """Leave the fleet and hand over all proxies."""
+        self.coordinator.membership.leave()
+        log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change="leaving: all proxies are handed over")
+        return answer(HTTPStatus.OK, {"proxies": len(self.own_proxies())})
+
+    def _move(self, arguments: dict[str, Any]) -> Response:
+        """Have one proxy served by a certain controller."""
+        proxy, to = str(arguments.get("proxy")), str(arguments.get("to"))
+        if to not in self.coordinator.serving():
+            return problem(HTTPStatus.CONFLICT, f"{to} is not known to serve now")
+        self.coordinator.sticky[proxy] = to
+        return answer(HTTPStatus.OK, {"proxy": proxy, "to": to, "here": proxy in self.own_proxies()})
+
+    def _change_member(self, arguments: dict[str, Any]) -> Response:
+        """Add, change or remove a member, over the settings and across restarts."""
+        name, member = str(arguments.get("name")), arguments.get("member")
+        if name == self.coordinator.own_name and member is None:
+            return problem(HTTPStatus.CONFLICT, "a controller leaves by handover, not by removing itself")
+        try:
+            self._set_member(name, member, self.host.now())
+        except (ValueError, KeyError, TypeError) as error:
+            return problem(HTTPStatus.UNPROCESSABLE_ENTITY, f"not a member: {error}")
+        self.store.put(FLEET_MEMBERS, (self.store.get(FLEET_MEMBERS) or {}) | {name: member})
+        change = f"{name} {'removed' if member is None else 'put in'} by command"
+        log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change=change)
+        return answer(HTTPStatus.OK, {"members": sorted(self.settings.members)})
+
+    def _set_member(self, name: str, given: dict[str, Any] | None, now: int) -> None:
+        """Add, change or (with None) remove a member. Raises ValueError, KeyError for one that is malformed."""
+        coordinator, members = self.coordinator, self.settings.members
+        if given is None:
+            members.pop(name, None)
+            coordinator.members.pop(name, None)
+            coordinator.peer_reports.pop(name, None)
+            coordinator.membership.remove(name)
+            return
+        member = Fellow(parse_address(given["address"]), str(given["zone"]), float(given["pace"]))
+        if not name or not 0 < member.pace < MAX_PACE:
+            raise ValueError("name or pace out of range")
+        members[name] = member
+        coordinator.members[name] = Member(name, member.zone, member.pace)
+        coordinator.membership.add(name, now)
+
+    def _find_owner(self, arguments: dict[str, Any]) -> Response:
+        """Tell which controller serves a proxy, as far as is known."""
+        proxy = str(arguments.get("proxy"))
+        owner: str | None = None
+        if proxy in self.own_proxies():
+            owner = self.coordinator.own_name
+        else:
+            # A member that is gone serves nobody, whatever it last reported; of the others the newest report counts.
+            reports = sorted(self.coordinator.peer_reports.items(), key=lambda item: -item[1].received_at)
+            alive = self.coordinator.alive
+            owner = next((name for name, report in reports if name in alive and proxy in report.proxies), None)
+        return answer(HTTPStatus.OK, {"proxy": proxy, "served_by": owner})
--- a/onyxhead/controller/ingest_worker.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -1,8 +1,8 @@
-"""A process of its own that takes load reports and hands sums to the controller: one core each, nothing shared.
+"""Decodes load reports, in the controller or in a process of its own that sends the sums to it.
 
-Several listen on one address, so that the kernel deals connections out. None judges anything: a receiver adds up what
-it decoded, by backend and life, and sums add up the same in any order. What a backend's load means is thought in one
-place."""
+Several worker processes listen on one address, so that the kernel distributes the connections. None judges anything:
+each adds up what it has decoded by backend and incarnation, and sums add up the same in any order.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 import struct
 import sys
 import time
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -24,88 +25,109 @@
 from onyxhead.intake.report_decoder import ReportDecoder
 from onyxhead.keys.rotate import Keys, Peer, Unusable, peer_of
 from onyxhead.settings.load import Tls
+from onyxhead.time_units import TICKS_PER_SECOND
 
-HEAD = struct.Struct(">I")
-MOST_BODY = 256 * 1024
-BITE = 0.1
-"""Of a second's budget, what one bite takes at most."""
+FRAME_LENGTH = struct.Struct(">I")
+"""Before each frame, its length in bytes."""
+MAX_BODY_BYTES = 256 * 1024
+MAX_SLICE_S = 0.1
+"""A slice decodes at most what the budget allows in this time."""
+KEY_CHECK_FRAMES = 50
+"""The key files are checked once every so many frames."""
+AGENT_ROLE = "agent"
 
 
 class WorkerFrame(msgspec.Struct, array_like=True):
-    """`counts` since the last one."""
+    """What was decoded since the last frame, and counters since then by name."""
 
     counts: dict[str, int]
     sums: list[LoadSums]
 
 
-ENCODE, DECODE = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(WorkerFrame)
+FRAME_ENCODER, FRAME_DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(WorkerFrame)
 
 
 class IngestWorker:
-    """The decoding path, in whatever process: requests in, sums out at each beat."""
+    """Takes reports in and decodes them slice by slice. `budget` in bytes a second."""
 
     def __init__(self, seed: int, budget: int, keys: Keys | None, clock: Clock) -> None:
         self.decoder, self.budget, self.keys, self.clock = ReportDecoder(seed), budget, keys, clock
-        self.credit, self.at = 0.0, clock.now()
+        self.credit = 0.0
+        self.credited_at = clock.now()
 
     async def handle_request(self, request: Request, writer: asyncio.StreamWriter) -> Response:
-        parts = request.target.strip("/").split("/")
-        if request.method != "POST" or parts[:2] != ["v1", "load"] or len(parts) != 3:
-            return problem(404, "nothing here")
-        if self.keys is not None:
-            peer = peer_of(writer.get_extra_info("peercert"))
-            if peer != Peer("agent", parts[2]):
-                return problem(403, "this certificate may not report that")
-        return self.accept(parts[2], request.body)
+        """The response to a request that brings reports."""
+        path = request.target.strip("/").split("/")
+        if request.method != "POST" or path[:2] != ["v1", "load"] or len(path) != 3:
+            return problem(HTTPStatus.NOT_FOUND, "nothing here")
+        sender = path[2]
+        if self.keys is not None and peer_of(writer.get_extra_info("peercert")) != Peer(AGENT_ROLE, sender):
+            return problem(HTTPStatus.FORBIDDEN, "this certificate may not report that")
+        return self.accept(sender, request.body)
 
     def accept(self, sender: str, body: bytes) -> Response:
-        if len(body) > MOST_BODY:
-            return problem(413, f"a body of over {MOST_BODY} bytes")
+        """Queue a body of reports for decoding."""
+        if len(body) > MAX_BODY_BYTES:
+            return problem(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"a body of over {MAX_BODY_BYTES} bytes")
         if not self.decoder.offer(sender, body, self.clock.now()):
-            return problem(503, "too many senders")
-        return answer(202, {})
+            return problem(HTTPStatus.SERVICE_UNAVAILABLE, "too many senders")
+        return answer(HTTPStatus.ACCEPTED, {})
 
     def decode_slice(self) -> WorkerFrame:
+        """Decode as much as the budget allows now."""
         now = self.clock.now()
-        # In bytes a second; a bite taken too large is paid back before the next one.
-        self.credit = min(BITE * self.budget, self.credit + self.budget * (now - self.at) / 10_000)
-        self.at = now
-        sums = self.decoder.decode(now, round(self.credit)) if self.credit > 0 else []
-        self.credit -= self.decoder.bytes_decoded if self.credit > 0 else 0
+        # A slice that decoded too much is paid back before the next one.
+        earned = self.budget * (now - self.credited_at) / TICKS_PER_SECOND
+        self.credit = min(MAX_SLICE_S * self.budget, self.credit + earned)
+        self.credited_at = now
+        sums: list[LoadSums] = []
+        if self.credit > 0:
+            sums = self.decoder.decode(now, round(self.credit))
+            self.credit -= self.decoder.bytes_decoded
         counts, self.decoder.counts = dict(self.decoder.counts), type(self.decoder.counts)()
         return WorkerFrame(counts, sums)
 
 
-async def serve(given: dict[str, Any]) -> None:
-    files = given.get("tls")
-    keys = None
-    if files:
-        certificate, key, authorities, revoked = (Path(each) if each else None for each in files)
-        assert certificate and key and authorities
-        keys = Keys(Tls(certificate, key, authorities, revoked, 1.0))
-    taking = IngestWorker(given["seed"], given["budget"], keys, Clock(time.time, time.monotonic))
-    server = Server(taking.handle_request, MOST_BODY)
-    host, port = given["listen"]
+async def serve(settings: dict[str, Any]) -> None:
+    """Run a worker process until its standard input ends. Raises OSError, Unusable."""
+    keys = _keys(settings.get("tls"))
+    worker = IngestWorker(settings["seed"], settings["budget"], keys, Clock(time.time, time.monotonic))
+    server = Server(worker.handle_request, MAX_BODY_BYTES)
+    host, port = settings["listen"]
     await server.start(host, port, keys.server if keys else None)
+    reader, writer = await _standard_streams()
+    # The controller holds its end of standard input for as long as it lives; this process ends with it.
+    controller_ended = asyncio.create_task(reader.read())
+    frames = 0
+    while not controller_ended.done():
+        await asyncio.sleep(settings["every"])
+        body = FRAME_ENCODER.encode(worker.decode_slice())
+        writer.write(FRAME_LENGTH.pack(len(body)) + body)
+        await writer.drain()
+        frames += 1
+        if keys is not None and frames % KEY_CHECK_FRAMES == 0 and keys.refresh() == "":
+            await server.start(host, port, keys.server)
+
+
+def _keys(files: list[str | None] | None) -> Keys | None:
+    if not files:
+        return None
+    certificate, key, authorities, revoked = (Path(file) if file else None for file in files)
+    assert certificate and key and authorities
+    return Keys(Tls(certificate, key, authorities, revoked, 1.0))
+
+
+async def _standard_streams() -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    transport, protocol = await loop.connect_write_pipe(asyncio.streams.FlowControlMixin, os.fdopen(1, "wb", 0))
-    writer = asyncio.StreamWriter(transport, protocol, None, loop)
-    # The controller's end of standard input is held for as long as it lives; its end is the end of this process.
-    over = asyncio.create_task(reader.read())
-    looked = 0
-    while not over.done():
-        await asyncio.sleep(given["every"])
-        body = ENCODE.encode(taking.decode_slice())
-        writer.write(HEAD.pack(len(body)) + body)
-        await writer.drain()
-        looked += 1
-        if keys is not None and looked % 50 == 0 and keys.refresh() == "":
-            await server.start(host, port, keys.server)
+    stdout = os.fdopen(1, "wb", 0)
+    transport, protocol = await loop.connect_write_pipe(asyncio.streams.FlowControlMixin, stdout)
+    return reader, asyncio.StreamWriter(transport, protocol, None, loop)
 
 
 def main() -> int:
+    """Run a worker process with the settings of the command line. Returns its exit code."""
     try:
         asyncio.run(serve(json.loads(sys.argv[1])))
     except (OSError, Unusable) as error:
--- /dev/null
+++ b/onyxhead/controller/join_handler.py
@@ -0,0 +1,101 @@
+"""Proxies' requests to join: checked, sent to the controller that should serve them, or accepted."""
+
+from __future__ import annotations
+
+import math
+import secrets
+from http import HTTPStatus
+from typing import Any, NamedTuple, Protocol
+
+from onyxhead.controller.core_host import CoreHost
+from onyxhead.controller.proxies import JoinRequest
+from onyxhead.controller.proxy_streams import ProxyStreams, StreamParameters
+from onyxhead.fleet.fencing import StaleTokenError, next_token
+from onyxhead.http.messages import Request, Response, answer, problem
+from onyxhead.settings.load import Controller
+from onyxhead.tables.addresses import parse_address
+from onyxhead.tables.errors import MalformedViewError
+from onyxhead.tables.view import View
+from onyxhead.time_units import TICKS_PER_SECOND
+
+MAX_HEARTBEAT_S, MIN_HEARTBEAT_S = 1.0, 0.05
+HEARTBEATS_PER_SILENCE = 3
+"""The agent gives a stream up after a silence; so many heartbeats fit into it."""
+MAX_BASELINE_RATE = 1e9
+STREAM_TOKEN_BYTES = 8
+
+
+class Owners(Protocol):
+    """Tells which controller of a fleet should serve a proxy."""
+
+    def better_owner(self, proxy: str, zone: str) -> str | None:
+        """The name of the controller that should serve the proxy in place of this one."""
+
+
+class ParsedJoin(NamedTuple):
+    """A join request as it came in."""
+
+    request: JoinRequest
+    address: tuple[str, int]
+    fencing_token: Any
+    heartbeat_s: float
+    insists: bool
+    """Whether the proxy wants to join here even if another controller should serve it."""
+
+
+class JoinHandler:
+    """`owners` is None for a controller that is alone."""
+
+    def __init__(self, settings: Controller, host: CoreHost, streams: ProxyStreams, owners: Owners | None) -> None:
+        self.settings, self.host, self.streams, self.owners = settings, host, streams, owners
+
+    def handle(self, name: str, request: Request) -> Response:
+        """The response to a proxy's join; if it is accepted, a stream to its agent is opened."""
+        try:
+            join = _parse(name, request)
+        except (ValueError, KeyError, TypeError, MalformedViewError) as error:
+            return problem(HTTPStatus.BAD_REQUEST, f"not a join: {error}")
+        if (refusal := self._check(join)) is not None:
+            return refusal
+        try:
+            self.host.core.proxy_number(name)
+            fencing_token = next_token(join.fencing_token)
+        except (OverflowError, StaleTokenError) as error:
+            return problem(HTTPStatus.INSUFFICIENT_STORAGE, str(error))
+        token = f"{self.settings.name}.{secrets.token_hex(STREAM_TOKEN_BYTES)}"
+        self.streams.open(join.request, StreamParameters(join.address, token, fencing_token, join.heartbeat_s))
+        accepted = {
+            "stream": token,
+            "token": fencing_token,
+            "controller": self.settings.name,
+            "report_every": self.settings.start.report_interval / TICKS_PER_SECOND,
+        }
+        return answer(HTTPStatus.OK, accepted)
+
+    def _check(self, join: ParsedJoin) -> Response | None:
+        """The response to a join that is not accepted."""
+        request, token = join.request, join.fencing_token
+        if request.zone not in self.settings.zones:
+            return problem(HTTPStatus.UNPROCESSABLE_ENTITY, f"zone {request.zone!r} is not served here")
+        if not 0 <= request.baseline_rate < MAX_BASELINE_RATE or type(token) is not int or token < 0:
+            return problem(HTTPStatus.UNPROCESSABLE_ENTITY, "usual flows or token out of range")
+        if self.owners is not None and not join.insists:
+            better = self.owners.better_owner(request.name, request.zone)
+            if better is not None:
+                redirect = {"controller": self.settings.name, "better": better}
+                return answer(HTTPStatus.TEMPORARY_REDIRECT, redirect)
+        if (wait := self.host.core.join_backoff.remaining(self.host.now(), request.name)) > 0:
+            retry_after = str(math.ceil(wait / TICKS_PER_SECOND))
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE, {"retry-after": retry_after}, b"")
+        return None
+
+
+def _parse(name: str, request: Request) -> ParsedJoin:
+    """Raises ValueError, KeyError, TypeError, MalformedViewError."""
+    given = request.json()
+    view = View.from_document(given["held"])
+    proxy = JoinRequest(name, given["zone"], float(given["usual"]), bool(given["standing"]), view)
+    address, token = parse_address(given["push"]), given.get("token", 0)
+    silence_s = float(given.get("silence", HEARTBEATS_PER_SILENCE * MAX_HEARTBEAT_S))
+    heartbeat_s = max(MIN_HEARTBEAT_S, min(MAX_HEARTBEAT_S, silence_s / HEARTBEATS_PER_SILENCE))
+    return ParsedJoin(proxy, address, token, heartbeat_s, bool(given.get("insist")))
--- a/onyxhead/controller/load_report_ingest.py
+++ b/onyxhead/controller/load_report_ingest.py
@@ -1,76 +1,109 @@
-"""Where load reports reach the controller: decoded here in small bites between steps, or by receivers of their own.
+"""Takes load reports in: they are decoded here in small slices between rounds, or by worker processes.
 
-Orders never wait behind reports: here a bite is bounded by bytes, and what does not fit is shed fairly; with
-receivers only sums arrive, a few hundred bytes a backend and beat."""
+Messages to proxies never wait behind reports: a slice is bounded in bytes, and what does not fit is shed fairly. With
+workers only sums arrive here, a few hundred bytes per backend and interval.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import json
-import sys
 import time
 from collections import Counter
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import structlog
 
-from onyxhead.controller.ingest_worker import DECODE, HEAD, IngestWorker, WorkerFrame
+from onyxhead.controller import log_events
+from onyxhead.controller.core_host import CoreHost
+from onyxhead.controller.ingest_worker import IngestWorker, WorkerFrame
+from onyxhead.controller.ingest_worker_process import WorkerSettings, supervise_worker
+from onyxhead.controller.task_supervisor import TaskSupervisor
 from onyxhead.http.messages import Response
 from onyxhead.intake.load_sums import LoadSums, merge_load_sums
 from onyxhead.intake.report_decoder import SHED_BY_SENDER_PREFIX
 from onyxhead.series.time_series_store import TimeSeriesStore
-from onyxhead.settings.load import Intake
+from onyxhead.settings.load import Intake, Tls
+from onyxhead.time_units import TICKS_PER_SECOND
 
-if TYPE_CHECKING:
-    from onyxhead.controller.server import ControllerServer
+ASSESSMENT_INTERVAL = TICKS_PER_SECOND
+SERIES_INTERVAL = 10 * TICKS_PER_SECOND
+MAX_ESTIMATE_AGE = 2 * SERIES_INTERVAL
+"""Older estimates are not written to the time series."""
+MAX_SHED_SENDERS = 1_000
+SHOWN_SHED_SENDERS = 10
 
-TENTHS = 10_000
-WEIGH = 1.0
-COURSE = 10.0
-AGAIN = 0.5
-MOST_SHED = 1_000
 log = structlog.get_logger()
 
 
 class LoadReportIngest:
-    def __init__(self, daemon: ControllerServer, settings: Intake) -> None:
-        self.daemon, self.settings = daemon, settings
-        self.worker = IngestWorker(daemon.settings.seed, settings.budget, None, daemon.clock)
+    """`pending` are sums of workers that the estimator has not got yet."""
+
+    def __init__(
+        self, settings: Intake, seed: int, tls: Tls | None, host: CoreHost, supervisor: TaskSupervisor
+    ) -> None:
+        self.settings, self.tls, self.host, self.supervisor = settings, tls, host, supervisor
+        self.worker = IngestWorker(seed, settings.budget, None, host.clock)
         self.counts: Counter[str] = Counter()
         self.shed_senders: Counter[str] = Counter()
         self.pending: list[LoadSums] = []
         self.series = TimeSeriesStore(settings.series) if settings.series is not None else None
-        self.workers_started = self.workers_ended = 0
+        self.workers_started = self.workers_exited = 0
 
     def accept(self, sender: str, body: bytes) -> Response:
+        """Queue a body of reports for decoding."""
         return self.worker.accept(sender, body)
 
     async def run(self) -> None:
+        """Decode and assess reports for ever."""
         for number in range(self.settings.processes):
-            self.daemon.start(self._supervise_worker(number))
-        weighed = written = self.daemon.clock.now()
+            self.supervisor.start(supervise_worker(self._worker_settings(number), number, self))
+        assessed_at = written_at = self.host.now()
         while True:
             await asyncio.sleep(self.settings.every)
             frame = self.worker.decode_slice()
             self._count(frame)
-            # All that came since the last beat, from whomever, is judged together: none is judged on half of it.
+            # What came in since the last time, whoever decoded it, is judged together: no backend on half of it.
             sums, self.pending = merge_load_sums([*frame.sums, *self.pending]), []
-            now = self.daemon.clock.now()
-            self.daemon.core.load_estimator.on_reports(now, sums)
-            if now - weighed >= WEIGH * TENTHS:
-                weighed = now
-                self.daemon.core.load_estimator.assess_credibility(now)
-                for change in self.daemon.core.load_estimator.drain_changes():
-                    log.info(
-                        "load shift detected",
-                        subject=change.subject,
-                        signal=change.signal.value,
-                        shift=change.shift.name.lower(),
-                    )
-            if self.series is not None and now - written >= COURSE * TENTHS:
-                written = now
-                await asyncio.to_thread(self.series.write, time.time(), self._figures(now))
+            now = self.host.now()
+            self.host.core.load_estimator.on_reports(now, sums)
+            if now - assessed_at >= ASSESSMENT_INTERVAL:
+                assessed_at = now
+                self._assess(now)
+            if self.series is not None and now - written_at >= SERIES_INTERVAL:
+                written_at = now
+                await asyncio.to_thread(self.series.write, time.time(), self._samples(now))
+
+    def _assess(self, now: int) -> None:
+        estimator = self.host.core.load_estimator
+        estimator.assess_credibility(now)
+        for change in estimator.drain_changes():
+            log.info(
+                log_events.LOAD_SHIFT_DETECTED,
+                subject=change.subject,
+                signal=change.signal.value,
+                shift=change.shift.name.lower(),
+            )
+
+    # What workers report
+
+    def on_worker_started(self, number: int, pid: int) -> None:
+        """A worker process was started."""
+        self.workers_started += 1
+        log.info(log_events.INGEST_WORKER_STARTED, number=number, pid=pid)
+
+    def on_worker_frame(self, frame: WorkerFrame) -> None:
+        """A worker sent what it has decoded since the last time."""
+        self._count(frame)
+        self.pending += frame.sums
+
+    def on_worker_exited(self, number: int, pid: int) -> None:
+        """A worker process ended; what it had not sent is lost, as reports may be."""
+        self.workers_exited += 1
+        log.warning(log_events.INGEST_WORKER_EXITED, number=number, pid=pid)
+
+    def _worker_settings(self, number: int) -> WorkerSettings:
+        assert self.settings.listen is not None
+        return WorkerSettings(self.settings.listen, self.settings.every, number, self.settings.budget, self.tls)
 
     def _count(self, frame: WorkerFrame) -> None:
         for name, count in frame.counts.items():
@@ -78,87 +111,47 @@
                 self.shed_senders[name.removeprefix(SHED_BY_SENDER_PREFIX)] += count
             else:
                 self.counts[name] += count
-        if len(self.shed_senders) > 2 * MOST_SHED:
-            # Whoever sends under ever new names must not fill the memory with them.
-            self.shed_senders = Counter(dict(self.shed_senders.most_common(MOST_SHED)))
-
-    def _figures(self, now: int) -> dict[str, float]:
-        house, found = self.daemon.core, {}
-        for backend in house.load_estimator.backends:
-            estimate = house.load_estimator.estimate(now, backend)
-            if estimate is None or estimate.age > 2 * COURSE * TENTHS:
+        if len(self.shed_senders) > 2 * MAX_SHED_SENDERS:
+            # One who sends under ever new names must not fill the memory with them.
+            self.shed_senders = Counter(dict(self.shed_senders.most_common(MAX_SHED_SENDERS)))
+
+    # What is shown
+
+    def _samples(self, now: int) -> dict[str, float]:
+        """The samples of all time series, by their names on disk."""
+        core, samples = self.host.core, {}
+        for backend in core.load_estimator.backends:
+            estimate = core.load_estimator.estimate(now, backend)
+            if estimate is None or estimate.age > MAX_ESTIMATE_AGE:
                 continue
             for name, value in estimate.time_series().items():
-                found[f"{name}.{backend}"] = value
-        for (proxy, group), trend in house.load_estimator.demand.items():
-            if (rate := trend.rate.estimate()) is not None and now - trend.measured_at < 2 * COURSE * TENTHS:
-                found[f"flows.{proxy}/{group}"] = rate.value
-        found["channel.waiting"] = house.delivery_queue.queued_lines
-        return found
-
-    # Receivers
-
-    async def _supervise_worker(self, number: int) -> None:
-        """Keeps one receiver going; one that ends is started again, and what it had not told is lost, as reports may
-        be."""
-        settings, tls = self.settings, self.daemon.settings.tls
-        assert settings.listen is not None
-        given = {
-            "listen": settings.listen,
-            "every": settings.every,
-            "seed": number,
-            "budget": settings.budget,
-            "tls": [str(each) if each else None for each in (tls.certificate, tls.key, tls.authorities, tls.revoked)]
-            if tls
-            else None,
-        }
-        while True:
-            process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "onyxhead.controller.ingest_worker",
-                json.dumps(given),
-                stdin=asyncio.subprocess.PIPE,
-                stdout=asyncio.subprocess.PIPE,
-            )
-            self.workers_started += 1
-            log.info("receiver", number=number, pid=process.pid)
-            try:
-                assert process.stdout is not None
-                while True:
-                    (length,) = HEAD.unpack(await process.stdout.readexactly(HEAD.size))
-                    frame = DECODE.decode(await process.stdout.readexactly(length))
-                    self._count(frame)
-                    self.pending += frame.sums
-            except asyncio.IncompleteReadError:
-                self.workers_ended += 1
-                log.warning("a receiver ended", number=number, pid=process.pid)
-                await asyncio.sleep(AGAIN)
-            finally:
-                if process.returncode is None:
-                    with contextlib.suppress(ProcessLookupError):
-                        process.kill()
-                    await asyncio.shield(process.wait())
-
-    # What operators ask
+                samples[f"{name}.{backend}"] = value
+        for (proxy, group), trend in core.load_estimator.demand.items():
+            if (rate := trend.rate.estimate()) is not None and now - trend.measured_at < MAX_ESTIMATE_AGE:
+                samples[f"flows.{proxy}/{group}"] = rate.value
+        samples["channel.waiting"] = core.delivery_queue.queued_lines
+        return samples
 
     def utilization(self) -> dict[str, Any]:
-        """Busy shares only, for who asks often."""
-        estimator = self.daemon.core.load_estimator
-        figures = {name: estimator.assumed_utilization(name) for name in estimator.backends}
-        found = {name: {"value": own.value, "error": own.error} for name, own in figures.items() if own is not None}
+        """The utilization of each backend alone, for those who ask often."""
+        estimator = self.host.core.load_estimator
+        estimates = {name: estimator.assumed_utilization(name) for name in estimator.backends}
+        found = {
+            name: {"value": each.value, "error": each.error} for name, each in estimates.items() if each is not None
+        }
         return {"counts": dict(self.counts), "busy": found}
 
     def state(self) -> dict[str, Any]:
-        now, view = self.daemon.clock.now(), self.daemon.core.load_estimator
+        """All that is known of the load, by the field names of `/v1/load`."""
+        now, estimator = self.host.now(), self.host.core.load_estimator
         backends = {}
-        for name in sorted(view.backends):
-            if (estimate := view.estimate(now, name)) is not None:
+        for name in sorted(estimator.backends):
+            if (estimate := estimator.estimate(now, name)) is not None:
                 backends[name] = estimate.to_json()
         return {
-            "counts": dict(self.counts) | dict(view.counts),
-            "shed_most": dict(self.shed_senders.most_common(10)),
-            "receivers": self.workers_started - self.workers_ended,
+            "counts": dict(self.counts) | dict(estimator.counts),
+            "shed_most": dict(self.shed_senders.most_common(SHOWN_SHED_SENDERS)),
+            "receivers": self.workers_started - self.workers_exited,
             "series": self.series.last_error if self.series is not None else None,
             "backends": backends,
         }
--- /dev/null
+++ b/onyxhead/controller/recovery.py
@@ -0,0 +1,62 @@
+"""Restores what an earlier incarnation stored: the versions of the tables, the endpoint list and the withdrawals."""
+
+from __future__ import annotations
+
+import time
+
+import structlog
+
+from onyxhead.controller import log_events
+from onyxhead.controller.core_host import CoreHost
+from onyxhead.controller.discovery_watch import DiscoveryWatch
+from onyxhead.controller.errors import InvalidEndpointListError
+from onyxhead.settings.load import Controller
+from onyxhead.store.store import Store
+from onyxhead.store.value_names import TABLE_LABELS
+from onyxhead.tables.history import History
+from onyxhead.time_units import TICKS_PER_SECOND
+
+MIN_WITHDRAWAL_AGE_S = 60.0
+DRAIN_GRACES = 10
+"""Withdrawals of so many drain graces ago are no longer restored: no proxy holds the backend any more."""
+
+log = structlog.get_logger()
+
+
+def recover_history(store: Store) -> History:
+    """The versions of the tables with their labels."""
+    history = History()
+    history.restore(store.load_versions())
+    labels = store.get(TABLE_LABELS) or {}
+    history.labels = {label: number for label, number in labels.items() if number in history.versions}
+    return history
+
+
+def restore_endpoints(settings: Controller, store: Store, host: CoreHost, watch: DiscoveryWatch) -> None:
+    """Start with the stored endpoint list, if there is a recent one, and with the backends withdrawn of late."""
+    recovered = store.recovered
+    for warning in store.warnings:
+        log.warning(log_events.STORE_WARNING, warning=warning)
+    if recovered.endpoint_list is None:
+        log.info(log_events.NO_STORED_ENDPOINT_LIST, epoch=recovered.epoch)
+        return
+    age_s = time.time() - recovered.list_received_at
+    if not 0 <= age_s <= settings.list_good_for:
+        # A wall clock set back makes an old list look recent or from the future; neither can be trusted.
+        log.warning(log_events.STORED_ENDPOINT_LIST_IGNORED, age_s=round(age_s), good_for_s=settings.list_good_for)
+        return
+    try:
+        update = watch.restore(recovered.endpoint_list, recovered.list_received_at)
+    except InvalidEndpointListError as error:
+        log.warning(log_events.STORED_ENDPOINT_LIST_IGNORED, error=str(error))
+        return
+    max_age_s = max(MIN_WITHDRAWAL_AGE_S, DRAIN_GRACES * settings.start.safety.drain_grace / TICKS_PER_SECOND)
+    withdrawn = sorted(name for name, at in recovered.withdrawn_at.items() if time.time() - at < max_age_s)
+    host.core.restore_withdrawals(host.now(), withdrawn)
+    log.info(
+        log_events.ENDPOINT_LIST_RESTORED,
+        epoch=recovered.epoch,
+        endpoints=len(update.endpoints),
+        age_s=round(age_s, 1),
+        withdrawn=len(withdrawn),
+    )
--- a/tests/test_controller_server.py
+++ b/tests/test_controller_server.py
@@ -136,7 +136,7 @@
         port = port_of(first)
         agent = await running.agent("p1", port)
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        first.stopping.set()
+        first.supervisor.stopping.set()
         await until(lambda: agent.lost.is_set())
         assert len(shown(tmp_path, "p1")) == 3
         list_of(tmp_path, 2, BACKENDS[1:])
@@ -178,7 +178,7 @@
         await until(lambda: agent.keeper.stream not in ("", old) and not agent.lost.is_set())
         request = Request("HEAD", "/v1/view", {"onyxhead-stream": old})
         assert (await ask_once(("127.0.0.1", agent.push[1]), request, 1.0)).status == 409
-        await until(lambda: len(controller.core.joined) == 1 and len(controller.streams) == 1)
+        await until(lambda: len(controller.core.joined) == 1 and len(controller.streams.by_proxy) == 1)
 
     play(tmp_path, work)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -448,7 +448,7 @@
         assert isinstance(settings, Controller)
         daemons.append(ControllerServer(settings))
         running.tasks.append(asyncio.create_task(daemons[-1].run()))
-    await until(lambda: all(d.fleet and len(d.fleet.coalition.serving()) == 3 for d in daemons))
+    await until(lambda: all(d.fleet and len(d.fleet.coordinator.serving()) == 3 for d in daemons))
     return daemons
 
 
@@ -476,7 +476,7 @@
         tokens = {agent.settings.name: agent.keeper.fence.current for agent in agents}
         # One dies; the others take its proxies, under higher tokens.
         lost = served(daemons)[0]
-        daemons[0].stopping.set()
+        daemons[0].supervisor.stopping.set()
         await until(lambda: set().union(*served(daemons[1:])) == names, 10.0)
         assert all(a.keeper.fence.current > tokens[a.settings.name] for a in agents if a.settings.name in lost)
         # A member is put in and taken out while all run, and it is on disk.
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -331,7 +331,7 @@
         code, told = await command("tables", "release")
         assert code == 0 and told.endswith("released\n")
         await until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
-        controller.stopping.set()
+        controller.supervisor.stopping.set()
         await until(lambda: running.tasks[0].done())
         second = await running.controller()
         assert second.core.versions.history.find("good").number == good
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -132,7 +132,7 @@
         script.extend([(time.time(), "ann: drain b2: applied"), (time.time(), "b2 withdrawn")])
         await until(lambda: len(shown(tmp_path, "p1")) == 1)
         down.append(time.time())
-        controller.stopping.set()
+        controller.supervisor.stopping.set()
         await until(lambda: running.tasks[0].done())
         await asyncio.sleep(2.2)
         script.append((time.time(), "began (life 2)"))
@@ -140,7 +140,7 @@
         down.append(time.time())
         list_of(tmp_path, 3, BACKENDS[1:])
         script.append((time.time(), "followed list 3"))
-        await until(lambda: second.follower.last is not None and second.follower.last.version == 3)
+        await until(lambda: second.watch.follower.last is not None and second.watch.follower.last.version == 3)
         await asyncio.sleep(1.2)
 
     play(tmp_path, work)
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -169,7 +169,7 @@
             await running.agent(name, port_of(controller))
         sockets.AGENT = AGENT
         await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in ("p1", "p2")))
-        before = {line.token for line in controller.streams.values()}
+        before = {line.token for line in controller.streams.by_proxy.values()}
         for name in ("c1", "p1", "p2"):
             authority.renew(name)
         backends = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north"} for n in (1, 2)]
@@ -177,11 +177,12 @@
         await until(lambda: all(shown(tmp_path, name) == {9001, 9002} for name in ("p1", "p2")))
         assert controller.keys is not None
         await until(
-            lambda: not before & {line.token for line in controller.streams.values()} and len(controller.streams) == 2
+            lambda: not before & {line.token for line in controller.streams.by_proxy.values()}
+            and len(controller.streams.by_proxy) == 2
         )
         assert controller.core.counts["faults"] == 0
         authority.revoke("p2")
-        await until(lambda: len(controller.streams) == 1, 10.0)
+        await until(lambda: len(controller.streams.by_proxy) == 1, 10.0)
         await asyncio.sleep(0.5)
         assert {known.name for known in controller.core.joined.values()} == {"p1"}
         assert shown(tmp_path, "p2") == {9001, 9002}
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -626,7 +626,7 @@
             await asyncio.to_thread(m.edit_config, drain_xml("b1"), target="candidate")
         assert caught.value.tag == "access-denied"
         await asyncio.to_thread(m.close_session)
-        controller.stopping.set()
+        controller.supervisor.stopping.set()
         await until(lambda: running.tasks[0].done())
         second = await running.controller()
         assert second.configuration is not None and second.configuration.datastores.running["backend"] == [
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -150,7 +150,7 @@
     controller = Program(folder, *COMMAND, "serve", "controller.rec")
     agent: Program | None = None
     try:
-        port = controller.logged("serving")["port"]
+        port = controller.logged("controller started")["port"]
         until(lambda: ask(port, "GET", "/v1/state").json()["version"] >= 5)
         until(lambda: ask(port, "GET", "/v1/fleet").json()["budget"])
         for target in ("state", "fleet", "orders", "tables/log", "config", "series", "series/busy.b1"):
@@ -350,7 +350,7 @@
 def test_a_proxy_keeps_its_stored_number(run: Run) -> None:
     (row,) = run.rows["proxies"]
     assert row[:3] == ("p1", 5, "north")
-    assert ["assign", 5, 0, []] in next(line["orders"] for line in run.log if line["event"] == "orders")
+    assert ["assign", 5, 0, []] in next(line["decisions"] for line in run.log if line["event"] == "decision round sent")
 
 
 # The store, as it is written
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -45,7 +45,7 @@
 
 def series_names(controller: Any) -> set[str]:
     """Names of the time series that a running controller would write now."""
-    return set(controller.load_reports._figures(controller.clock.now()))
+    return set(controller.load_reports._samples(controller.clock.now()))
 
 
 STREAM, EMPTY = "c1.abc", f'"{0:064x}"'
@@ -147,7 +147,7 @@
 
 
 def play_controller(talk: Talk, controller: Program, discovery: Discovery, member: Peer, key: Any) -> None:
-    port, agent = int(controller.logged("serving")["port"]), Agent()
+    port, agent = int(controller.logged("controller started")["port"]), Agent()
     try:
         talk.asked["first list"] = discovery.peer.asked("GET", "/")
         talk.asked["next list"] = discovery.peer.asked("GET", "/", 2)
@@ -223,7 +223,7 @@
         faults = 0
         while (reply := ask(port, "PUT", "/v1/proxies/p9", join)).status == 200:
             faults += 1
-            controller.repeated("refused by its agent", faults)
+            controller.repeated("stream rejected by agent", faults)
         talk.told["PUT too soon"] = reply
         talk.told["handover"] = ask(port, "POST", "/v1/fleet/handover", {})
     finally:
