--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -153,7 +153,7 @@
                 not node.host.state.joined
                 and not node.streams.connections
                 and not node.streams.proxies
-                and not node.host.policy.proxies
+                and not node.host.policy.proxies.by_id
             )
 
     asyncio.run(play())
@@ -436,6 +436,9 @@
             check.write(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n")
             while not node.context.counts["probe outlived"]:
                 await asyncio.sleep(0)
-            assert not node.host.policy.backends["s-0"].unseen and node.context.counts["probe served"] >= before
+            assert (
+                not node.host.policy.endpoints.by_id["s-0"].health_check_failed
+                and node.context.counts["probe served"] >= before
+            )
 
     asyncio.run(play())
--- a/tests/test_policy_host.py
+++ b/tests/test_policy_host.py
@@ -61,7 +61,7 @@
         for proxy, stream, update in effects.updates:
             assert self.streams[proxy] == stream
             # Lines that the policy did not count are those that end a withdrawal of an earlier stream.
-            counted = self.host.policy.round_recipients[proxy] - self.host.policy.head + 1
+            counted = self.host.policy.round_recipients[proxy] - self.host.policy.channel.message_cost + 1
             assert update.line_count <= counted + len(update.restored)
             self.proxies[proxy].apply(update)
             sent.append((proxy, update))
@@ -189,7 +189,7 @@
     def broken(*_: object) -> object:
         raise ZeroDivisionError("division by zero")
 
-    monkeypatch.setattr(scenario.host.policy, "_take_turn", broken)
+    monkeypatch.setattr(scenario.host.policy, "_decide_changes", broken)
     scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [rig.gone("s1")])
     scenario.now += 20_000
     effects = scenario.host.decide(scenario.now)
@@ -250,7 +250,7 @@
 
 
 def test_memory_of_departed_backends_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("onyxhead.policy.balancer.MOST_GONE", 20)
+    monkeypatch.setattr("onyxhead.policy.endpoints.MAX_DEPARTED_BACKENDS", 20)
     monkeypatch.setattr("onyxhead.node.proxy_state.MAX_LISTED_ENDPOINTS", 60)
     scenario = HostScenario()
     scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, fleet("s0", "s1"))
@@ -275,4 +275,4 @@
     # A late word of a forgotten one brings nothing back, and its name alone makes it no trusted backend.
     scenario.host.on_attempt_statistics(scenario.now, "s5", 0, 50, 0, 500, 10_000, LoadReport())
     scenario.host.on_health_check(scenario.now, "s5", HealthCheckResult.HEALTHY, LoadReport())
-    assert "s5" not in scenario.host.policy.backends and "s5" in scenario.proxies[1].withdrawn
+    assert "s5" not in scenario.host.policy.endpoints.by_id and "s5" in scenario.proxies[1].withdrawn
