--- a/onyxhead/controller/reception.py
+++ b/onyxhead/controller/load_report_ingest.py
@@ -15,7 +15,7 @@
 
 import structlog
 
-from onyxhead.controller.receiver import DECODE, HEAD, Frame, Taking
+from onyxhead.controller.ingest_worker import DECODE, HEAD, IngestWorker, WorkerFrame
 from onyxhead.http.messages import Response
 from onyxhead.intake.load_sums import LoadSums, merge_load_sums
 from onyxhead.intake.report_decoder import SHED_BY_SENDER_PREFIX
@@ -23,7 +23,7 @@
 from onyxhead.settings.load import Intake
 
 if TYPE_CHECKING:
-    from onyxhead.controller.daemon import Daemon
+    from onyxhead.controller.server import ControllerServer
 
 TENTHS = 10_000
 WEIGH = 1.0
@@ -33,57 +33,57 @@
 log = structlog.get_logger()
 
 
-class Reception:
-    def __init__(self, daemon: Daemon, settings: Intake) -> None:
+class LoadReportIngest:
+    def __init__(self, daemon: ControllerServer, settings: Intake) -> None:
         self.daemon, self.settings = daemon, settings
-        self.taking = Taking(daemon.settings.seed, settings.budget, None, daemon.clock)
+        self.worker = IngestWorker(daemon.settings.seed, settings.budget, None, daemon.clock)
         self.counts: Counter[str] = Counter()
-        self.shed: Counter[str] = Counter()
-        self.waiting: list[LoadSums] = []
-        self.courses = TimeSeriesStore(settings.series) if settings.series is not None else None
-        self.begun = self.ended = 0
+        self.shed_senders: Counter[str] = Counter()
+        self.pending: list[LoadSums] = []
+        self.series = TimeSeriesStore(settings.series) if settings.series is not None else None
+        self.workers_started = self.workers_ended = 0
 
-    def take(self, sender: str, body: bytes) -> Response:
-        return self.taking.take(sender, body)
+    def accept(self, sender: str, body: bytes) -> Response:
+        return self.worker.accept(sender, body)
 
     async def run(self) -> None:
         for number in range(self.settings.processes):
-            self.daemon.start(self._receiver(number))
+            self.daemon.start(self._supervise_worker(number))
         weighed = written = self.daemon.clock.now()
         while True:
             await asyncio.sleep(self.settings.every)
-            frame = self.taking.beat()
+            frame = self.worker.decode_slice()
             self._count(frame)
             # All that came since the last beat, from whomever, is judged together: none is judged on half of it.
-            sums, self.waiting = merge_load_sums([*frame.sums, *self.waiting]), []
+            sums, self.pending = merge_load_sums([*frame.sums, *self.pending]), []
             now = self.daemon.clock.now()
-            self.daemon.house.load_estimator.on_reports(now, sums)
+            self.daemon.core.load_estimator.on_reports(now, sums)
             if now - weighed >= WEIGH * TENTHS:
                 weighed = now
-                self.daemon.house.load_estimator.assess_credibility(now)
-                for change in self.daemon.house.load_estimator.drain_changes():
+                self.daemon.core.load_estimator.assess_credibility(now)
+                for change in self.daemon.core.load_estimator.drain_changes():
                     log.info(
                         "load shift detected",
                         subject=change.subject,
                         signal=change.signal.value,
                         shift=change.shift.name.lower(),
                     )
-            if self.courses is not None and now - written >= COURSE * TENTHS:
+            if self.series is not None and now - written >= COURSE * TENTHS:
                 written = now
-                await asyncio.to_thread(self.courses.write, time.time(), self._figures(now))
+                await asyncio.to_thread(self.series.write, time.time(), self._figures(now))
 
-    def _count(self, frame: Frame) -> None:
+    def _count(self, frame: WorkerFrame) -> None:
         for name, count in frame.counts.items():
             if name.startswith(SHED_BY_SENDER_PREFIX):
-                self.shed[name.removeprefix(SHED_BY_SENDER_PREFIX)] += count
+                self.shed_senders[name.removeprefix(SHED_BY_SENDER_PREFIX)] += count
             else:
                 self.counts[name] += count
-        if len(self.shed) > 2 * MOST_SHED:
+        if len(self.shed_senders) > 2 * MOST_SHED:
             # Whoever sends under ever new names must not fill the memory with them.
-            self.shed = Counter(dict(self.shed.most_common(MOST_SHED)))
+            self.shed_senders = Counter(dict(self.shed_senders.most_common(MOST_SHED)))
 
     def _figures(self, now: int) -> dict[str, float]:
-        house, found = self.daemon.house, {}
+        house, found = self.daemon.core, {}
         for backend in house.load_estimator.backends:
             estimate = house.load_estimator.estimate(now, backend)
             if estimate is None or estimate.age > 2 * COURSE * TENTHS:
@@ -93,12 +93,12 @@
         for (proxy, group), trend in house.load_estimator.demand.items():
             if (rate := trend.rate.estimate()) is not None and now - trend.measured_at < 2 * COURSE * TENTHS:
                 found[f"flows.{proxy}/{group}"] = rate.value
-        found["channel.waiting"] = house.channel.waiting
+        found["channel.waiting"] = house.delivery_queue.queued_lines
         return found
 
     # Receivers
 
-    async def _receiver(self, number: int) -> None:
+    async def _supervise_worker(self, number: int) -> None:
         """Keeps one receiver going; one that ends is started again, and what it had not told is lost, as reports may
         be."""
         settings, tls = self.settings, self.daemon.settings.tls
@@ -116,12 +116,12 @@
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "onyxhead.controller.receiver",
+                "onyxhead.controller.ingest_worker",
                 json.dumps(given),
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
             )
-            self.begun += 1
+            self.workers_started += 1
             log.info("receiver", number=number, pid=process.pid)
             try:
                 assert process.stdout is not None
@@ -129,9 +129,9 @@
                     (length,) = HEAD.unpack(await process.stdout.readexactly(HEAD.size))
                     frame = DECODE.decode(await process.stdout.readexactly(length))
                     self._count(frame)
-                    self.waiting += frame.sums
+                    self.pending += frame.sums
             except asyncio.IncompleteReadError:
-                self.ended += 1
+                self.workers_ended += 1
                 log.warning("a receiver ended", number=number, pid=process.pid)
                 await asyncio.sleep(AGAIN)
             finally:
@@ -142,23 +142,23 @@
 
     # What operators ask
 
-    def brief(self) -> dict[str, Any]:
+    def utilization(self) -> dict[str, Any]:
         """Busy shares only, for who asks often."""
-        estimator = self.daemon.house.load_estimator
+        estimator = self.daemon.core.load_estimator
         figures = {name: estimator.assumed_utilization(name) for name in estimator.backends}
         found = {name: {"value": own.value, "error": own.error} for name, own in figures.items() if own is not None}
         return {"counts": dict(self.counts), "busy": found}
 
     def state(self) -> dict[str, Any]:
-        now, view = self.daemon.clock.now(), self.daemon.house.load_estimator
+        now, view = self.daemon.clock.now(), self.daemon.core.load_estimator
         backends = {}
         for name in sorted(view.backends):
             if (estimate := view.estimate(now, name)) is not None:
                 backends[name] = estimate.to_json()
         return {
             "counts": dict(self.counts) | dict(view.counts),
-            "shed_most": dict(self.shed.most_common(10)),
-            "receivers": self.begun - self.ended,
-            "series": self.courses.last_error if self.courses is not None else None,
+            "shed_most": dict(self.shed_senders.most_common(10)),
+            "receivers": self.workers_started - self.workers_ended,
+            "series": self.series.last_error if self.series is not None else None,
             "backends": backends,
         }
