--- a/onyxhead/agent/keeper.py
+++ b/onyxhead/agent/keeper.py
@@ -20,7 +20,8 @@
     read_order,
 )
 from onyxhead.tables.errors import MalformedViewError
-from onyxhead.tables.view import View, parse_merge_patch
+from onyxhead.tables.view import View
+from onyxhead.tables.view_format import parse_merge_patch
 
 
 class Taken(NamedTuple):
--- a/onyxhead/controller/house.py
+++ b/onyxhead/controller/house.py
@@ -31,7 +31,8 @@
 from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
 from onyxhead.tables.history import History, LineKey, Version
 from onyxhead.tables.rollback import CurrentEndpoints, PinnedVersion, RollbackPlan, plan_rollback
-from onyxhead.tables.table_state import Freeze, TableState
+from onyxhead.tables.table_set import Freeze
+from onyxhead.tables.table_state import TableState
 from onyxhead.tables.updates import ProxyUpdate
 from onyxhead.tables.view import View
 
@@ -419,8 +420,8 @@
         room = SETTLE_SHARE * self.channel.limits.max_queued_lines - self.channel.waiting
         for message in self.books.reconcile(room):
             self._send(now, message)
-        left = self.books.pending_changes()
-        if self.canary is None and not any(own is self.books.canary for own, _, _ in left):
+        left = self.books.pending_lines()
+        if self.canary is None and not any(line.tables is self.books.canary for line in left):
             # Those that were on trial hold what all others hold, and are like all others again.
             self.books.canary_proxies = frozenset()
         self.unsettled = self.pin is not None or bool(left) or bool(self.books.canary_proxies)
--- a/onyxhead/fronts/files/envoy.py
+++ b/onyxhead/fronts/files/envoy.py
@@ -11,7 +11,8 @@
 
 from onyxhead.settings.load import Route
 from onyxhead.tables.addresses import parse_address
-from onyxhead.tables.view import Document, View, ViewValue
+from onyxhead.tables.view import View
+from onyxhead.tables.view_format import Document, ViewValue
 
 TYPES = "type.googleapis.com/"
 ENDPOINTS = f"{TYPES}envoy.config.endpoint.v3.ClusterLoadAssignment"
--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -14,7 +14,7 @@
 from onyxhead.routing import files as routing
 from onyxhead.tables.addresses import parse_address
 from onyxhead.tables.errors import MalformedViewError
-from onyxhead.tables.view import ViewValue
+from onyxhead.tables.view_format import ViewValue
 
 Address = tuple[str, int]
 KINDS = {"controller": "#Controller", "agent": "#Agent"}
--- a/onyxhead/tables/__init__.py
+++ b/onyxhead/tables/__init__.py
@@ -1,3 +1,4 @@
-"""The controller's books: what a proxy holds as a value, its digest, and the changes between two such values.
+"""The state of all tables of a controller: what each proxy holds, the updates that change it, and older versions.
 
-Nothing here does I/O or reads a clock."""
+Nothing here does I/O or reads a clock.
+"""
--- a/onyxhead/tables/rollback.py
+++ b/onyxhead/tables/rollback.py
@@ -8,22 +8,29 @@
 from immutables import Map
 
 from onyxhead.tables.errors import RollbackRejectedError
-from onyxhead.tables.history import LineKey, Lines, Version, diff
+from onyxhead.tables.history import LineKey, Version, diff
+
+NOT_READY = "gone or draining"
+STARTED_SINCE = "started since; it keeps its ramp"
 
 
 class CurrentEndpoints(NamedTuple):
-    """What is known now: `warm_since` by backend that is ready, in the module's time; None while it is still cold."""
+    """The endpoints that are ready now, with the tick since when each is warm, None while it is warming up."""
 
     warm_since: Mapping[str, int | None]
 
-    def is_steady(self, backend: str, at: int) -> bool:
-        """Whether it is warm and has not started since that time."""
-        since = self.warm_since.get(backend)
-        return since is not None and since <= at
+    def is_ready(self, backend: str) -> bool:
+        """Whether it may get traffic at all."""
+        return backend in self.warm_since
+
+    def is_steady(self, backend: str, since: int) -> bool:
+        """Whether it is warm and has not started since that tick."""
+        warm_since = self.warm_since.get(backend)
+        return warm_since is not None and warm_since <= since
 
 
 class RollbackPlan(NamedTuple):
-    """What a rollback does: the lines to hold, and for backends that it will not bring back, why not."""
+    """What a rollback does: the lines to hold, and why it leaves out the other backends of the version."""
 
     version: int
     lines: dict[LineKey, int]
@@ -31,53 +38,76 @@
     changed_lines: int
 
 
-def overlay(
-    old: Lines, wanted: Mapping[LineKey, int], truth: CurrentEndpoints, at: int, tables: Iterable[int]
+class PinnedVersion(NamedTuple):
+    """A version in which tables are held until a tick; what the policy desires is followed again after it."""
+
+    version: Version
+    until: int
+
+    def target(self, desired: Mapping[LineKey, int], endpoints: CurrentEndpoints) -> dict[LineKey, int]:
+        """The lines to hold while the policy desires these."""
+        return restrict_lines(self.version, desired, endpoints, {table for table, _ in desired})
+
+
+def restrict_lines(
+    version: Version, desired: Mapping[LineKey, int], endpoints: CurrentEndpoints, tables: Iterable[int]
 ) -> dict[LineKey, int]:
-    """Old lines filtered through what is true now. Those that started since keep what the module wants for them:
-    their ramp is what a rule demands. What drains or is gone has no line, whatever the old version says."""
-    made: dict[LineKey, int] = {}
-    known = set(tables)
-    for key in {*old, *wanted}:
+    """The lines of a version in these tables, restricted to what is safe now.
+
+    Endpoints that started since the version keep the lines that the policy desires, since their slow start is a safety
+    rule. Endpoints that are draining or gone get no line.
+    """
+    lines: dict[LineKey, int] = {}
+    known_tables = set(tables)
+    for key in {*version.lines, *desired}:
         table, backend = key
-        if table not in known or backend not in truth.warm_since:
+        if table not in known_tables or not endpoints.is_ready(backend):
             continue
-        parts = old.get(key, 0) if truth.is_steady(backend, at) else wanted.get(key, 0)
-        if parts:
-            made[key] = parts
-    return made
+        source = version.lines if endpoints.is_steady(backend, version.created_at) else desired
+        if weight := source.get(key, 0):
+            lines[key] = weight
+    return lines
 
 
 def plan_rollback(
-    version: Version, wanted: Mapping[LineKey, int], sent: Mapping[LineKey, int], truth: CurrentEndpoints
+    version: Version, desired: Mapping[LineKey, int], sent: Mapping[LineKey, int], endpoints: CurrentEndpoints
 ) -> RollbackPlan:
-    """What going back to a version would do now. Raises RollbackRejectedError, with nothing changed."""
-    named = {backend for _, backend in version.lines}
-    left = {backend: "gone or draining" for backend in named if backend not in truth.warm_since}
-    left |= {
-        b: "started since; it keeps its ramp"
-        for b in named
-        if b in truth.warm_since and not truth.is_steady(b, version.created_at)
-    }
-    if named and not any(truth.is_steady(backend, version.created_at) for backend in named):
-        raise RollbackRejectedError(f"no backend of version {version.number} still serves as it did then")
-    tables = {table for table, _ in {**wanted, **sent}}
-    made = overlay(version.lines, wanted, truth, version.created_at, tables)
-    for table in sorted(tables):
-        before = any(key[0] == table for key in sent)
-        if before and not any(key[0] == table and truth.is_steady(key[1], version.created_at) for key in made):
-            raise RollbackRejectedError(f"table {table} would be left with no warm backend")
-    changed = diff(Map(sent), Map(made))
-    if not changed:
+    """What a rollback to a version would do now. Raises RollbackRejectedError."""
+    tables = {table for table, _ in {**desired, **sent}}
+    _require_steady_backend(version, endpoints)
+    lines = restrict_lines(version, desired, endpoints, tables)
+    _require_warm_tables(version, lines, sent, endpoints, tables)
+    changes = diff(Map(sent), Map(lines))
+    if not changes:
         raise RollbackRejectedError(f"the tables are as in version {version.number} already")
-    return RollbackPlan(version.number, made, dict(sorted(left.items())), len(changed))
+    return RollbackPlan(version.number, lines, _excluded(version, endpoints), len(changes))
 
 
-class PinnedVersion(NamedTuple):
-    """Tables held as in a version until a time; the module's own wishes are kept, and followed again after."""
+def _require_steady_backend(version: Version, endpoints: CurrentEndpoints) -> None:
+    backends = {backend for _, backend in version.lines}
+    if backends and not any(endpoints.is_steady(backend, version.created_at) for backend in backends):
+        raise RollbackRejectedError(f"no backend of version {version.number} still serves as it did then")
+
+
+def _require_warm_tables(
+    version: Version,
+    lines: Mapping[LineKey, int],
+    sent: Mapping[LineKey, int],
+    endpoints: CurrentEndpoints,
+    tables: set[int],
+) -> None:
+    tables_in_use = {table for table, _ in sent}
+    warm_tables = {table for table, backend in lines if endpoints.is_steady(backend, version.created_at)}
+    for table in sorted(tables):
+        if table in tables_in_use and table not in warm_tables:
+            raise RollbackRejectedError(f"table {table} would be left with no warm backend")
 
-    version: Version
-    until: int
 
-    def target(self, wanted: Mapping[LineKey, int], truth: CurrentEndpoints) -> dict[LineKey, int]:
-        return overlay(self.version.lines, wanted, truth, self.version.created_at, {table for table, _ in wanted})
+def _excluded(version: Version, endpoints: CurrentEndpoints) -> dict[str, str]:
+    excluded = {}
+    for backend in sorted({backend for _, backend in version.lines}):
+        if not endpoints.is_ready(backend):
+            excluded[backend] = NOT_READY
+        elif not endpoints.is_steady(backend, version.created_at):
+            excluded[backend] = STARTED_SINCE
+    return excluded
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -16,8 +16,8 @@
 from onyxhead.policy.decisions import TableChange
 from onyxhead.store.store import Store
 from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
-from onyxhead.tables.history import History, VersionRecord, diff
-from onyxhead.tables.rollback import CurrentEndpoints, overlay, plan_rollback
+from onyxhead.tables.history import History, Version, VersionRecord, diff
+from onyxhead.tables.rollback import CurrentEndpoints, plan_rollback, restrict_lines
 from onyxhead.tables.view import MODULUS, entry_hash
 from tests.fleetrig import SECOND, Rig, request_of
 from tests.test_sockets import Running, list_of, play, port_of, shown, until
@@ -94,7 +94,7 @@
     two = now | {(1, "c"): FULL}
     with pytest.raises(RollbackRejectedError, match="table 1 would be left with no warm backend"):
         plan_rollback(version, two, two, CurrentEndpoints({"a": 0, "b": 0, "c": 0}))
-    assert overlay(Map(), now, CurrentEndpoints({}), 0, [0]) == {}
+    assert restrict_lines(Version(0, 0, 0, "", Map(), 0), now, CurrentEndpoints({}), [0]) == {}
 
 
 # In the house
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -15,7 +15,8 @@
 from onyxhead.tables.errors import MalformedViewError
 from onyxhead.tables.table_state import TableState
 from onyxhead.tables.updates import ProxyUpdate, coalesce
-from onyxhead.tables.view import View, nested, parse_merge_patch
+from onyxhead.tables.view import View
+from onyxhead.tables.view_format import merge_patch, parse_merge_patch
 from tests.fleetrig import line
 
 NAMES = st.sampled_from([f"b{n}" for n in range(6)])
@@ -35,7 +36,7 @@
 def test_a_view_made_by_changes_is_the_view_made_at_once(steps: list[dict[tuple[str, ...], int | None]]) -> None:
     view, plain = View.EMPTY, dict[tuple[str, ...], Any]()
     for step in map(leaves, steps):
-        view = view.apply(parse_merge_patch(json.loads(json.dumps(nested(step)))))
+        view = view.apply(parse_merge_patch(json.loads(json.dumps(merge_patch(step)))))
         plain = {p: v for p, v in (plain | step).items() if v is not None}
     assert view == View.from_entries(plain) and view.etag == View.from_entries(plain).etag
     assert View.from_document(json.loads(json.dumps(view.to_document()))).etag == view.etag
