--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -94,11 +94,11 @@
 @click.argument("settings", type=EXISTING)
 def serve(settings: Path) -> None:
     """Run a controller."""
-    from onyxhead.controller.daemon import Daemon
+    from onyxhead.controller.server import ControllerServer
     from onyxhead.keys.rotate import Unusable as BadKeys
     from onyxhead.store.errors import StoreUnavailableError
 
-    run_daemon(settings, load.Controller, "an agent's", Daemon, (StoreUnavailableError, BadKeys))
+    run_daemon(settings, load.Controller, "an agent's", ControllerServer, (StoreUnavailableError, BadKeys))
 
 
 @main.command()
