--- a/tests/fleetrig.py
+++ b/tests/fleetrig.py
@@ -42,9 +42,13 @@
     """What goes over the wire for a message, and nothing else of it."""
     body, digest = Encoder().body(message)
     headers = {
-        STREAM_HEADER: stream, ORDER_HEADER: format_order_header(message.turn, message.lines, at), "content-digest": digest,
-        "if-match": message.base, "onyxhead-result": message.result.tag, "content-type": JSON_MEDIA_TYPE if message.whole else MERGE_PATCH_MEDIA_TYPE,
-    }  # fmt: skip
+        STREAM_HEADER: stream,
+        ORDER_HEADER: format_order_header(message.turn, message.lines, at),
+        "content-digest": digest,
+        "if-match": message.base,
+        "onyxhead-result": message.result.tag,
+        "content-type": JSON_MEDIA_TYPE if message.whole else MERGE_PATCH_MEDIA_TYPE,
+    }
     return Request("PUT" if message.whole else "PATCH", "/v1/view", headers, body)
 
 
