--- a/onyxhead/controller/daemon.py
+++ b/onyxhead/controller/daemon.py
@@ -35,8 +35,7 @@
 from onyxhead.operate.overrides import BackendOverrides, keeps_out
 from onyxhead.policy.decisions import AdmissionLevel, Decision, TableAssignment, TableChange, Withdrawal
 from onyxhead.policy.inputs import Deployment
-from onyxhead.series.courses import Courses
-from onyxhead.series.courses import Unknown as Missing
+from onyxhead.series.time_series_store import TimeSeriesStore, UnknownSeriesError
 from onyxhead.settings.model import ControllerSettings
 from onyxhead.store.store import Store, Unusable
 from onyxhead.tables.history import History, Unknown
@@ -551,15 +550,16 @@
                 return self._sums(name, request)
         return problem_response(404, "nothing here")
 
-    async def _course(self, courses: Courses, name: str, target: str) -> Response:
+    async def _course(self, courses: TimeSeriesStore, name: str, target: str) -> Response:
         if not name:
             return json_response(200, await asyncio.to_thread(courses.names))
         asked = parse_qs(target.partition("?")[2])
         try:
             until = float(asked.get("until", [str(time.time())])[0])
             since = float(asked.get("since", [str(until - 3600)])[0])
-            return json_response(200, await asyncio.to_thread(courses.read, name, since, until))
-        except Missing as error:
+            samples = await asyncio.to_thread(courses.read, name, since, until)
+            return json_response(200, samples.to_json())
+        except UnknownSeriesError as error:
             return problem_response(404, str(error.args[0]))
         except ValueError as error:
             return problem_response(400, str(error))
