--- a/onyxhead/settings/agent.py
+++ b/onyxhead/settings/agent.py
@@ -4,7 +4,7 @@
 
 from onyxhead.settings.fields import RecordReader, ticks_to_seconds
 from onyxhead.settings.model import AgentSettings, GroupRoute, ReloadSettings
-from onyxhead.tables.view import Leaf
+from onyxhead.tables.view import ViewValue
 
 STATIC_ENDPOINT_WEIGHT = 1_000_000
 """Full weight, in millionths."""
@@ -55,7 +55,7 @@
     return tuple(routes)
 
 
-def _static_endpoints(reader: RecordReader) -> dict[str, Leaf]:
+def _static_endpoints(reader: RecordReader) -> dict[str, ViewValue]:
     endpoints = {}
     for name, line in reader.record["standing"].items():
         reader.address(line["address"], "standing", name, "address")
--- a/onyxhead/settings/fields.py
+++ b/onyxhead/settings/fields.py
@@ -7,7 +7,8 @@
 from onyxhead.records.meaning import Found
 from onyxhead.records.syntax import Fault, Faulty
 from onyxhead.settings.model import Address, LogSettings, TlsSettings
-from onyxhead.tables.view import Malformed, address_parts
+from onyxhead.tables.addresses import parse_address
+from onyxhead.tables.errors import MalformedViewError
 from onyxhead.time_units import TICKS_PER_SECOND
 
 
@@ -30,10 +31,10 @@
     def address(self, text: str, *path: str, any_port: bool = False) -> Address:
         """Return host and port of "host:port", or add a fault at `path`; port 0 is allowed with `any_port` only."""
         if any_port and text.endswith(":0"):
-            return address_parts(text[:-1] + "1")[0], 0
+            return parse_address(text[:-1] + "1")[0], 0
         try:
-            return address_parts(text)
-        except Malformed as error:
+            return parse_address(text)
+        except MalformedViewError as error:
             self.add_fault(str(error), *path)
             return "", 0
 
--- a/onyxhead/settings/model.py
+++ b/onyxhead/settings/model.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from onyxhead.policy.inputs import Deployment
-from onyxhead.tables.view import Leaf
+from onyxhead.tables.view import ViewValue
 
 Address = tuple[str, int]
 """Host and port."""
@@ -170,7 +170,7 @@
     baseline_rate: float
     routes: tuple[GroupRoute, ...]
     attempt_timeout_factor: float
-    static_endpoints: dict[str, Leaf]
+    static_endpoints: dict[str, ViewValue]
     stats: Address | None
     silence_timeout: float
     reconnect_delay: float
