--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.batch import house
+from benchmarks.batch import loaded_core
 from onyxhead.store.store import Store
 from onyxhead.tables.history import History, VersionRecord
 from onyxhead.tables.view import View
@@ -74,8 +74,8 @@
     again = Store(folder / "again")
     history = History()
     history.restore(again.load_versions())
-    made, _, _ = house(143, 82)
-    made.act(10**9 + 10_000)
+    made, _, _ = loaded_core(143, 82)
+    made.decide(10**9 + 10_000)
     took = time.perf_counter() - began
     again.close()
     began = time.perf_counter()
--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -94,11 +94,13 @@
 @click.argument("settings", type=EXISTING)
 def serve(settings: Path) -> None:
     """Run a controller."""
-    from onyxhead.controller.daemon import Daemon
+    from onyxhead.controller.server import ControllerServer
     from onyxhead.keys.errors import KeyFileError
     from onyxhead.store.errors import StoreUnavailableError
 
-    run_daemon(settings, model.ControllerSettings, "an agent's", Daemon, (StoreUnavailableError, KeyFileError))
+    run_daemon(
+        settings, model.ControllerSettings, "an agent's", ControllerServer, (StoreUnavailableError, KeyFileError)
+    )
 
 
 @main.command()
--- a/onyxhead/controller/ways.py
+++ b/onyxhead/controller/version_requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from onyxhead.controller.house import House
+from onyxhead.controller.core import ControllerCore
 from onyxhead.tables.history import Version, diff
 from onyxhead.tables.rollback import RollbackPlan
 
@@ -14,7 +14,9 @@
 MOST_ROWS = 200
 
 
-def run(house: House, now: int, what: str, given: dict[str, Any], keep: Callable[[dict[str, int]], None]) -> Any:  # noqa: ANN401
+def run(
+    house: ControllerCore, now: int, what: str, given: dict[str, Any], keep: Callable[[dict[str, int]], None]
+) -> Any:  # noqa: ANN401
     """The answer to one question or command. Raises UnknownVersionError, RollbackRejectedError,
     ValueError, KeyError, TypeError."""
     history = house.history
@@ -45,7 +47,7 @@
             keep(history.labels)
             return {"label": given["label"], "version": int(given["version"])}
         case "preview":
-            back, seconds = house.preview(now, str(given["version"]))
+            back, seconds = house.preview_rollback(now, str(given["version"]))
             return _back(back) | {"channel_s": round(seconds, 3)}
         case "rollback":
             hold = float(given.get("seconds", USUAL))
@@ -62,11 +64,11 @@
             hold, share = float(given.get("seconds", USUAL)), float(given.get("share", 0.1))
             if not 0 < hold <= LONGEST or not 0 < share <= 0.5:
                 raise ValueError(f"a trial takes 0 to {LONGEST:.0f} seconds and up to half of the proxies")
-            back, canary = house.try_version(now, str(given["version"]), share, hold)
+            back, canary = house.start_canary(now, str(given["version"]), share, hold)
             return _back(back) | {"proxies": sorted(canary.proxies), "seconds": hold}
         case "release":
             tried, house.canary = house.canary is not None, None
-            house.books.end_canary()
+            house.proxy_tables.end_canary()
             return {"released": house.release(now, "asked for") or tried}
     raise ValueError(f"there is no {what!r}")
 
--- a/onyxhead/node/serve.py
+++ b/onyxhead/node/serve.py
@@ -54,7 +54,7 @@
         self.endpoints = EndpointSubscription(
             self.host,
             self.context,
-            SettingsIndex(_numbers(configuration.zones), _numbers(configuration.kinds), clock.of_wall),
+            SettingsIndex(_numbers(configuration.zones), _numbers(configuration.kinds), clock.from_wall_time),
             configuration.discovery,
             configuration.seed,
             report_failures=configuration.deployment.subscription_required,
--- a/onyxhead/operate/overrides.py
+++ b/onyxhead/operate/overrides.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from onyxhead.controller.configuration.effects import Facts, drained, judge
-from onyxhead.controller.configuration.tree import Problem, Tree
+from onyxhead.controller.configuration.commit_plan import FleetFacts, drained, plan_commit
+from onyxhead.controller.configuration.tree import RpcError, Tree
 from onyxhead.operate.commands import Backend, Command, CommandError, select_backends
 
 MAX_COMPLETED = 500
@@ -40,7 +40,7 @@
         """Return an independent copy."""
         return BackendOverrides(self.to_record())
 
-    def execute(self, command: Command, tree: Tree, backends: Iterable[Backend], facts: Facts) -> dict[str, Any]:
+    def execute(self, command: Command, tree: Tree, backends: Iterable[Backend], facts: FleetFacts) -> dict[str, Any]:
         """Apply a command and return its answer.
 
         Raises CommandError for an id that was already used for another command.
@@ -74,7 +74,7 @@
         overridden = [Backend(name, "", "") for name in self.drained | self.cordoned]
         return sorted({*selected, *select_backends(command.selectors, overridden)})
 
-    def _apply(self, command: Command, tree: Tree, selected: list[str], facts: Facts) -> dict[str, Any]:
+    def _apply(self, command: Command, tree: Tree, selected: list[str], facts: FleetFacts) -> dict[str, Any]:
         drains, cordons = set(self.drained), set(self.cordoned)
         match command.verb:
             case "drain":
@@ -88,9 +88,9 @@
                 cordons -= set(selected)
         changed = sorted((drains ^ self.drained) | (cordons ^ self.cordoned))
         try:
-            plan = judge(with_drains(tree, self.drained), with_drains(tree, drains), facts)
-        except Problem as problem:
-            return {"status": "refused", "why": problem.text, "changed": []}
+            plan = plan_commit(with_drains(tree, self.drained), with_drains(tree, drains), facts)
+        except RpcError as error:
+            return {"status": "refused", "why": error.text, "changed": []}
         if command.verb == "restore" and (configured := sorted(set(selected) & drained(tree))):
             reason = f"{', '.join(configured)}: drained by the configuration, and only that can restore them"
             return {"status": "refused", "why": reason, "changed": []}
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -16,7 +16,7 @@
 from onyxhead.tables.table_state import TableState
 from onyxhead.tables.updates import ProxyUpdate, coalesce
 from onyxhead.tables.view import View, nested, parse_merge_patch
-from tests.fleetrig import line
+from tests.controller_rig import line
 
 NAMES = st.sampled_from([f"b{n}" for n in range(6)])
 PATHS = st.one_of(
