--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,7 @@
 from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import Request
-from onyxhead.settings.load import read_settings as read_settings
+from onyxhead.settings.load import read_settings
 from onyxhead.settings.model import ControllerSettings
 from onyxhead.trial.run import free_ports
 from tests.test_controller_server import AGENT, CONTROLLER, Running, play, shown, until
