--- a/onyxhead/policy/admission.py
+++ b/onyxhead/policy/admission.py
@@ -163,7 +163,7 @@
             for group in table.groups:
                 wanted = round(min(self.levels[group], most), 2)
                 sent = table.admission_levels.get(group, 1.0)
-                if not _is_worth_sending(wanted, sent):
+                if not _must_send(wanted, sent):
                     continue
                 if self._channel.available(CHANGE_QUEUE_FRACTION, users) < 1:
                     return
@@ -194,7 +194,7 @@
         return UNLIMITED_RATE
 
 
-def _is_worth_sending(wanted: float, sent: float) -> bool:
+def _must_send(wanted: float, sent: float) -> bool:
     """A small change is not worth a message to every proxy, unless it begins or ends a limit."""
     if wanted == sent:
         return False
--- a/onyxhead/policy/attempt_statistics.py
+++ b/onyxhead/policy/attempt_statistics.py
@@ -20,6 +20,7 @@
     total_latency: float = 0.0
 
     def add(self, attempts: int, failures: int, mean_latency: int) -> None:
+        """Adds attempts; the mean latency is that of the successful ones, in ticks."""
         self.attempts += attempts
         self.failures += failures
         self.total_latency += (attempts - failures) * mean_latency
@@ -61,9 +62,11 @@
 
     @property
     def success_rate(self) -> float:
+        """Successful attempts a second."""
         return self.attempt_rate * (1 - self.failure_fraction)
 
     def add(self, attempts: int, failures: int, mean_latency: int) -> None:
+        """Counts attempts in the current period."""
         self._current.add(attempts, failures, mean_latency)
 
     def close_period(self, now: int) -> bool:
--- a/onyxhead/policy/balancer.py
+++ b/onyxhead/policy/balancer.py
@@ -82,7 +82,7 @@
         self.slow_start = SlowStart(safety)
         self.weights = LineWeights(self.slow_start)
         self.subsets = Subsetting(deployment, feedback_delay, self.slow_start, now)
-        self.endpoints = EndpointRegistry(safety.drain_grace, self._choose_subset)
+        self.endpoints = EndpointRegistry(safety.drain_grace, self.subsets.least_loaded_subset)
         self.proxies = ProxyRegistry(len(deployment.groups))
         self.rates = RequestRates()
         self.fleet = FleetStatistics(utility, max(deployment.report_interval, TICKS_PER_SECOND), now)
@@ -94,24 +94,12 @@
             self.channel, self.endpoints, self.proxies, self.subsets, safety.drain_grace
         )
         self.table_assigner = TableAssigner(
-            self.channel,
-            self.endpoints,
-            self.proxies,
-            self.subsets,
-            self.slow_start,
-            self.withdrawals,
-            safety.drain_grace,
-            len(deployment.groups),
+            deployment, self.channel, self.endpoints, self.proxies, self.subsets, self.slow_start, self.withdrawals
         )
         self.table_updater = TableUpdater(
             self.channel, self.endpoints, self.proxies, self.subsets, self.slow_start, self.weights, now
         )
 
-    def _choose_subset(self, entry: Endpoint) -> int:
-        if self.subsets.count == 1:
-            return 0
-        return self.subsets.least_loaded_subset(entry, self.endpoints.ready())
-
     # Events
 
     def on_endpoint_update(self, now: int, event: WatchEvent, endpoints: list[Endpoint]) -> None:
@@ -164,7 +152,10 @@
         self.outliers.add_health_check(now, known, self.endpoints.ready())
 
     def on_proxy_joined(self, now: int, proxy: int, zone: int, baseline_rate: float, has_standing_table: bool) -> None:
-        """Takes that a proxy opened its stream, with the request rate that it usually has."""
+        """Takes that a proxy opened its stream, with the request rate that it usually has.
+
+        `has_standing_table` says that it has no table but the one it was started with.
+        """
         subset = self.subsets.least_busy_subset(self.proxies.by_id.values())
         self.proxies.join(now, proxy, zone, baseline_rate, has_standing_table, subset)
 
@@ -190,6 +181,7 @@
         return self.channel.reserved
 
     def statistics(self) -> PolicyStatistics:
+        """The figures as of the last round."""
         unacknowledged = self.channel.unacknowledged
         return PolicyStatistics(
             known_backends=len(self.endpoints.by_id),
--- a/onyxhead/policy/capacity.py
+++ b/onyxhead/policy/capacity.py
@@ -84,14 +84,14 @@
     """
     utilizations = (costs.get(backend.id, 0.0) * backend.request_rate(rate_per_weight) for backend in ready)
     average = sum(utilizations) / max(1, len(ready))
-    room = {backend.id: max(MAX_UTILIZATION, average) for backend in ready}
+    headroom = {backend.id: max(MAX_UTILIZATION, average) for backend in ready}
     members = {table: [backend for backend in ready if table.accepts(backend)] for table in tables}
     for table in sorted(tables, key=lambda each: len(members[each])):
         for backend in members[table]:
             cost = costs.get(backend.id, 0.0) * rate_per_weight[table.number]
-            fitting = room[backend.id] / cost / backend.weight if cost else 1.0
+            fitting = headroom[backend.id] / cost / backend.weight if cost else 1.0
             backend.capacity_weights[table.number] = min(1.0, max(MIN_HEALTH_WEIGHT, fitting))
-            room[backend.id] -= cost * backend.lines[table.number]
+            headroom[backend.id] -= cost * backend.lines[table.number]
         # Weights are relative: where all backends of a table are too busy, less for each is the same.
         weights = [backend.capacity_weights[table.number] for backend in members[table]]
         table.max_capacity_weight = max(weights, default=1.0)
--- a/onyxhead/policy/channel_budget.py
+++ b/onyxhead/policy/channel_budget.py
@@ -76,8 +76,8 @@
         max_messages = self._max_messages if urgent else self._max_messages * fraction
         if self._max_messages and any(len(proxy.message_times) + 1 > max_messages for proxy in fresh):
             return -1.0
-        room = fraction * self.max_queued_lines - self.queued() - self.message_cost * len(fresh)
-        return room / max(1, len(receivers))
+        lines_left = fraction * self.max_queued_lines - self.queued() - self.message_cost * len(fresh)
+        return lines_left / max(1, len(receivers))
 
     def reserve(self, lines: float, receivers: Sequence[Proxy]) -> None:
         """Reserves so many lines for each receiver, and a message if it gets none yet in this round."""
--- a/onyxhead/policy/endpoints.py
+++ b/onyxhead/policy/endpoints.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections import defaultdict
-from collections.abc import Callable, Sequence
+from collections.abc import Callable, Collection, Sequence
 from dataclasses import dataclass, field
 
 from onyxhead.policy.attempt_statistics import AttemptStatistics
@@ -109,6 +109,7 @@
         return sum(rate_per_weight.get(table, 0.0) * weight for table, weight in self.lines.items())
 
     def add_load_report(self, load: LoadReport, rate_per_weight: dict[int, float]) -> None:
+        """Takes a load report, with the rates that its lines attracted meanwhile."""
         rate = self.request_rate(rate_per_weight)
         if load.latency is not None:
             self.response_time = load.latency
@@ -120,20 +121,21 @@
 class EndpointRegistry:
     """All backends of the endpoint list, and the last of those that have left it."""
 
-    def __init__(self, drain_grace: int, choose_subset: Callable[[Endpoint], int]) -> None:
+    def __init__(self, drain_grace: int, choose_subset: Callable[[Endpoint, Collection[Backend]], int]) -> None:
         self.by_id: dict[str, Backend] = {}
         self._drain_grace = drain_grace
         self._choose_subset = choose_subset
 
     def ready(self) -> list[Backend]:
+        """The backends that may get requests, in the order in which they were first listed."""
         return [backend for backend in self.by_id.values() if backend.ready]
 
     def update(self, now: int, event: WatchEvent, endpoints: Sequence[Endpoint]) -> None:
         """Applies an update of the endpoint list; what a snapshot leaves out has departed."""
         ready_before = sum(backend.ready for backend in self.by_id.values())
-        unlisted = self._unlisted(endpoints) if event is WatchEvent.SNAPSHOT else []
+        omitted = self._omitted_from(endpoints) if event is WatchEvent.SNAPSHOT else []
         lost = []
-        for entry in [*endpoints, *unlisted]:
+        for entry in [*endpoints, *omitted]:
             backend = self._find_or_add(entry)
             if entry.ready:
                 self._set_ready(backend, entry, now)
@@ -142,7 +144,8 @@
         self._schedule_departures(lost, ready_before, now)
         self._forget_departed()
 
-    def _unlisted(self, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
+    def _omitted_from(self, endpoints: Sequence[Endpoint]) -> list[Endpoint]:
+        """Entries without a ready mark for all known backends that a snapshot leaves out."""
         listed = {entry.backend for entry in endpoints}
         return [
             Endpoint(known.id, known.zone, known.kind, False, False, known.weight, known.started_at)
@@ -153,7 +156,7 @@
     def _find_or_add(self, entry: Endpoint) -> Backend:
         backend = self.by_id.get(entry.backend)
         if backend is None:
-            backend = Backend(entry.backend, self._choose_subset(entry))
+            backend = Backend(entry.backend, self._choose_subset(entry, self.by_id.values()))
             self.by_id[entry.backend] = backend
         backend.zone = entry.zone
         backend.kind = entry.kind
--- a/onyxhead/policy/health_checks.py
+++ b/onyxhead/policy/health_checks.py
@@ -20,12 +20,12 @@
 
 
 def due_health_checks(now: int, ready: Sequence[Backend]) -> Iterator[HealthCheckRequest]:
+    """Yields a request for each backend whose interval is over, and starts the next."""
     for backend in ready:
         if backend.next_health_check <= now:
             # Only where backends report their response time does a second check an interval tell more than noise.
-            tells_time = bool(backend.response_time)
-            interval = HEALTH_CHECK_INTERVAL_TICKS // 2 if tells_time else HEALTH_CHECK_INTERVAL_TICKS
-            backend.next_health_check = now + interval
+            divisor = 2 if backend.response_time else 1
+            backend.next_health_check = now + HEALTH_CHECK_INTERVAL_TICKS // divisor
             yield HealthCheckRequest(backend.id)
 
 
--- a/onyxhead/policy/proxies.py
+++ b/onyxhead/policy/proxies.py
@@ -16,7 +16,7 @@
     zone: int
     #: The request rate that it usually has.
     baseline_rate: float
-    #: Whether it still holds a table from before it knew any controller.
+    #: Whether it had no table but the one it was started with when it joined.
     has_standing_table: bool
     joined_at: int
     subset: int
@@ -41,30 +41,38 @@
         return len(self.by_id)
 
     def all(self) -> list[Proxy]:
+        """All joined proxies."""
         return list(self.by_id.values())
 
     def bound(self) -> list[Proxy]:
+        """The proxies that have been given their tables."""
         return [proxy for proxy in self.by_id.values() if proxy.bound]
 
     def unbound(self) -> list[Proxy]:
+        """The proxies that wait for their tables."""
         return [proxy for proxy in self.by_id.values() if not proxy.bound]
 
     def baseline_rate(self) -> float:
+        """The requests a second that all proxies usually have."""
         return sum(proxy.baseline_rate for proxy in self.by_id.values())
 
     def request_rate(self) -> float:
+        """The requests a second that all proxies have now."""
         return sum(sum(proxy.rates) for proxy in self.by_id.values())
 
     def group_request_rate(self, group: int) -> float:
+        """The requests a second of one traffic group at all proxies."""
         return sum(proxy.rates[group] for proxy in self.by_id.values())
 
     def join(
         self, now: int, proxy: int, zone: int, baseline_rate: float, has_standing_table: bool, subset: int
     ) -> None:
+        """Adds a proxy, or replaces it; its baseline rate is taken as spread evenly over the groups."""
         rates = [baseline_rate / self._group_count] * self._group_count
         self.by_id[proxy] = Proxy(proxy, zone, baseline_rate, has_standing_table, now, subset, rates)
 
     def leave(self, proxy: int) -> None:
+        """Removes a proxy if it is known."""
         self.by_id.pop(proxy, None)
 
     def update_request_rate(self, proxy: int, group: int, requests: int, window: int) -> None:
--- a/onyxhead/policy/subsetting.py
+++ b/onyxhead/policy/subsetting.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection, Sequence
+from collections.abc import Collection, Iterable, Sequence
 
 from onyxhead.policy.attempt_statistics import FleetStatistics
 from onyxhead.policy.endpoints import Backend
@@ -41,9 +41,11 @@
         self._repartitioned_at = now
 
     def tables_of(self, backend: Backend) -> list[Table]:
+        """The tables that may hold a line of a backend."""
         return [table for table in self.tables if table.accepts(backend)]
 
     def tables_for(self, proxy: Proxy) -> list[Table]:
+        """The tables that are for a proxy."""
         return [table for table in self.tables if table.serves(proxy)]
 
     def least_busy_subset(self, proxies: Collection[Proxy]) -> int:
@@ -53,13 +55,17 @@
             rates[proxy.subset] += proxy.baseline_rate
         return rates.index(min(rates))
 
-    def least_loaded_subset(self, entry: Endpoint, ready: Sequence[Backend]) -> int:
+    def least_loaded_subset(self, entry: Endpoint, backends: Iterable[Backend]) -> int:
         """The subset for a new backend: that with the fewest of its zone, then of its kind, then of all.
 
         All subsets need some backends of each zone, as whole zones are lost, and some of each kind.
         """
+        if self.count == 1:
+            return 0
         counts = [(0, 0, 0)] * self.count
-        for backend in ready:
+        for backend in backends:
+            if not backend.ready:
+                continue
             # The backend's subset may date from when there were more of them.
             subset = backend.subset % self.count
             in_zone, of_kind, total = counts[subset]
--- a/onyxhead/policy/table_assignment.py
+++ b/onyxhead/policy/table_assignment.py
@@ -7,6 +7,7 @@
 from onyxhead.policy.channel_budget import TABLE_QUEUE_FRACTION, URGENT_TABLE_QUEUE_FRACTION, ChannelBudget
 from onyxhead.policy.decisions import TableAssignment
 from onyxhead.policy.endpoints import EndpointRegistry
+from onyxhead.policy.inputs import Deployment
 from onyxhead.policy.proxies import Proxy, ProxyRegistry
 from onyxhead.policy.slow_start import SlowStart
 from onyxhead.policy.subsetting import Subsetting
@@ -22,14 +23,13 @@
 
     def __init__(
         self,
+        deployment: Deployment,
         channel: ChannelBudget,
         endpoints: EndpointRegistry,
         proxies: ProxyRegistry,
         subsets: Subsetting,
         slow_start: SlowStart,
         withdrawals: WithdrawalScheduler,
-        drain_grace: int,
-        group_count: int,
     ) -> None:
         self._channel = channel
         self._endpoints = endpoints
@@ -37,8 +37,8 @@
         self._subsets = subsets
         self._slow_start = slow_start
         self._withdrawals = withdrawals
-        self._drain_grace = drain_grace
-        self._group_count = group_count
+        self._drain_grace = deployment.safety.drain_grace
+        self._group_count = len(deployment.groups)
 
     def assign(self, now: int) -> Iterator[TableAssignment]:
         """Reserves and yields the assignments that fit, for proxies without a usable line first."""
@@ -47,7 +47,7 @@
         if not waiting or self._withdrawals.due(now, self._withdrawals.gather_time):
             return
         repeats_pending = bool(self._withdrawals.due(now, -1))
-        rules_press = self._rules_press(now)
+        limits_bind = self._limits_bind_from_join(now)
         usable = self._usable_tables()
         for proxy in sorted(waiting, key=lambda each: _assignment_order(each, usable)):
             tables = self._subsets.tables_for(proxy)
@@ -59,7 +59,7 @@
             if repeats_pending and len(waiting) * cost > self._channel.lines_within(self._drain_grace) / 2:
                 return  # withdrawals are to be sent again first, and full tables would delay them
             waited_long = now - proxy.joined_at > self._withdrawals.gather_time
-            urgent = (rules_press and waited_long) or not proxy.assigned_tables <= usable
+            urgent = (limits_bind and waited_long) or not proxy.assigned_tables <= usable
             if not self._fits(now, proxy, cost, urgent):
                 return
             proxy.bound = True
@@ -69,8 +69,8 @@
                 every_group = len(table.groups) == self._group_count
                 yield TableAssignment(proxy.id, table.number, () if every_group else tuple(table.groups))
 
-    def _rules_press(self, now: int) -> bool:
-        """Whether a standing table may hold what drains or warms up: the rules for those bind from the join on."""
+    def _limits_bind_from_join(self, now: int) -> bool:
+        """Whether a table from before the join may hold a backend that drains or warms up."""
         return any(
             backend.withdrawn_at or (backend.ready and self._slow_start.warmup_fraction(backend, now) < 1)
             for backend in self._endpoints.by_id.values()
@@ -105,5 +105,5 @@
 
 
 def _assignment_order(proxy: Proxy, usable: set[int]) -> tuple[bool, bool, float, int]:
-    """Sorts proxies left without a usable table first, then those with a standing table, then the busiest."""
+    """Sorts proxies left without a usable table first, then those with their standing table only, then the busiest."""
     return proxy.assigned_tables <= usable, not proxy.has_standing_table, -proxy.baseline_rate, proxy.id
--- a/onyxhead/policy/table_changes.py
+++ b/onyxhead/policy/table_changes.py
@@ -56,15 +56,15 @@
             return
         bound = self._proxies.bound()
         users = {table.number: table.users(self._proxies.by_id.values()) for table in self._subsets.tables}
-        room = self._channel.available(CHANGE_QUEUE_FRACTION, bound) * len(bound)
+        lines_left = self._channel.available(CHANGE_QUEUE_FRACTION, bound) * len(bound)
         # Where all that is ready has returned, waiting until all proxies are bound would leave them bare for good.
         hold_returning = self._all_tables_usable() and len(bound) < len(self._proxies)
         chosen: dict[int, list[tuple[str, float]]] = {}
         for _, backend, lines in self._due_changes(now, rates, hold_returning):
             returning = backend.returning
             lines_per_user = 2 if returning else 1  # the line, and the end of the withdrawal
-            room -= sum(len(users[number]) for number in lines) * lines_per_user
-            if room < 0:
+            lines_left -= sum(len(users[number]) for number in lines) * lines_per_user
+            if lines_left < 0:
                 break
             for number, weight in lines.items():
                 self._channel.reserve(lines_per_user, users[number])
@@ -100,7 +100,7 @@
         found: list[LineChange] = []
         for backend in self._endpoints.by_id.values():
             if backend.returning:
-                # Its line comes with the end of the withdrawal, so no standing table may hold it at full weight.
+                # Its line comes with the end of the withdrawal, so no table from before may hold it at full weight.
                 lines = self._returning_lines(backend, now)
                 if any(lines.values()) and not hold_returning:
                     found.append(LineChange(HIGHEST_RATE, backend, lines))
--- a/onyxhead/policy/tables.py
+++ b/onyxhead/policy/tables.py
@@ -32,6 +32,7 @@
     capacity: float = 0.0
 
     def allows_zone(self, zone: int) -> bool:
+        """Whether backends of a zone may serve its groups, whatever their subset."""
         return self.zones is None or zone in self.zones
 
     def accepts(self, backend: Backend) -> bool:
--- a/onyxhead/policy/warmup_limits.py
+++ b/onyxhead/policy/warmup_limits.py
@@ -53,15 +53,15 @@
         fractions = [self._slow_start.warmup_fraction(backend, now) for backend in ready]
         warming = [each for each in zip(ready, fractions, strict=True) if each[1] < 1]
         weight = sum(backend.weight * fraction for backend, fraction in zip(ready, fractions, strict=True))
-        more_than_usual = expected > rates.baseline_per_weight * weight
-        hold = 2 * len(warming) < len(ready) and self._must_hold(more_than_usual, fleet)
+        above_baseline = expected > rates.baseline_per_weight * weight
+        hold = 2 * len(warming) < len(ready) and self._must_hold(above_baseline, fleet)
         for backend, fraction in zip(ready, fractions, strict=True):
             backend.warmup_limit = 0.0 if hold and fraction < 1 else 1.0
         return self._find_limits(now, ready, warming, tables, rates, strain, fleet.recent_failure_fraction)
 
-    def _must_hold(self, more_than_usual: bool, fleet: FleetStatistics) -> bool:
+    def _must_hold(self, above_baseline: bool, fleet: FleetStatistics) -> bool:
         """Whether warming backends get nothing yet: where proxies eject, those that have not failed would get all."""
-        tolerated = EXCESS_LOSS / 2 if more_than_usual else EXCESS_LOSS
+        tolerated = EXCESS_LOSS / 2 if above_baseline else EXCESS_LOSS
         return self._ejects and fleet.recent_failure_fraction > tolerated
 
     def _find_limits(
--- a/onyxhead/policy/withdrawals.py
+++ b/onyxhead/policy/withdrawals.py
@@ -77,13 +77,13 @@
         everyone, due = self._proxies.all(), self.due(now, self.gather_time)
         if not due:
             return
-        room = self._channel.available(WITHDRAWAL_QUEUE_FRACTION, everyone) * len(everyone)
+        lines_left = self._channel.available(WITHDRAWAL_QUEUE_FRACTION, everyone) * len(everyone)
         holders = self._find_holders(due, everyone)
-        if self._should_gather(now, due, room, sum(map(len, holders.values())), len(everyone)):
+        if self._should_gather(now, due, lines_left, sum(map(len, holders.values())), len(everyone)):
             return
         for backend in sorted(due, key=lambda each: _urgency(each, now)):
-            room -= len(holders[backend.id])
-            if room < 0:
+            lines_left -= len(holders[backend.id])
+            if lines_left < 0:
                 return
             backend.withdrawn_at = max(1, now)
             # An unbound proxy may hold no such line, and a message that is never sent is never acknowledged. Where
@@ -93,7 +93,7 @@
             self._channel.reserve(1, holders[backend.id])
             yield Withdrawal(backend.id, True)
 
-    def _should_gather(self, now: int, due: Sequence[Backend], room: float, cost: int, proxy_count: int) -> bool:
+    def _should_gather(self, now: int, due: Sequence[Backend], lines_left: float, cost: int, proxy_count: int) -> bool:
         """Whether to wait for more: message overhead outweighs a withdrawal's own line, and would fill the channel."""
         channel = self._channel
         overhead = channel.message_cost * proxy_count
@@ -102,8 +102,8 @@
         early = now - min(backend.departed_at or now for backend in due) < self.gather_time
         # A slow channel is not free when it should be: sent singly, withdrawals would be nearly all overhead.
         acknowledged_lately = now < channel.last_acknowledged + 2 * channel.max_delay
-        slow = acknowledged_lately and room < overhead
-        full = room < cost and (slow or channel.drained_at(now) > now)
+        slow = acknowledged_lately and lines_left < overhead
+        full = lines_left < cost and (slow or channel.drained_at(now) > now)
         return full or early
 
     def _find_holders(self, due: Sequence[Backend], proxies: Sequence[Proxy]) -> dict[str, list[Proxy]]:
--- a/tests/test_policy_host.py
+++ b/tests/test_policy_host.py
@@ -10,7 +10,7 @@
 from onyxhead.node.policy_host import SILENCE_TIMEOUT, StreamPolicyHost
 from onyxhead.policy.inputs import Endpoint, HealthCheckResult, LoadReport, WatchEvent
 from onyxhead.settings.instance import read_deployment
-from tests import rig
+from tests import policy_harness
 from tests.node_testbed import SETTINGS
 
 BEGIN = 1_000_000
@@ -88,7 +88,7 @@
 
 
 def fleet(*names: str, started: int = 0) -> list[Endpoint]:
-    return [rig.ready(name, started=started) for name in names]
+    return [policy_harness.ready_endpoint(name, started) for name in names]
 
 
 def test_a_joining_proxy_gets_the_whole_table_once_and_only_changed_lines_after_it() -> None:
@@ -110,7 +110,7 @@
     for proxy in (1, 2, 3):
         scenario.join(proxy)
     scenario.run(2)
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [rig.draining("s2")])
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [policy_harness.draining_endpoint("s2")])
     scenario.decide()
     assert all("s2" in proxy_double.withdrawn for proxy_double in scenario.proxies.values())
     scenario.run(3)
@@ -169,7 +169,7 @@
         and not scenario.host.detect_silent_streams(scenario.now)
     )
     scenario.host.on_stream_closed(scenario.now, 2, scenario.streams.pop(2))
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [rig.draining("s2")])
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [policy_harness.draining_endpoint("s2")])
     assert scenario.decide() == []
     scenario.host.on_message(scenario.now, 1, scenario.streams[1])
     scenario.run(3)
@@ -190,7 +190,7 @@
         raise ZeroDivisionError("division by zero")
 
     monkeypatch.setattr(scenario.host.policy, "_decide_changes", broken)
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [rig.gone("s1")])
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [policy_harness.departed_endpoint("s1")])
     scenario.now += 20_000
     effects = scenario.host.decide(scenario.now)
     assert [update.withdrawn for _, _, update in effects.updates] == [("s1",)]
@@ -211,7 +211,9 @@
             elif chance < 0.35 and proxy in scenario.streams:
                 assert scenario.host.on_stream_closed(scenario.now, proxy, scenario.streams.pop(proxy))
             elif chance < 0.5:
-                entry = vary.choice([rig.draining, rig.gone, rig.ready])(name)
+                entry = vary.choice(
+                    [policy_harness.draining_endpoint, policy_harness.departed_endpoint, policy_harness.ready_endpoint]
+                )(name)
                 started = (
                     scenario.now
                     if entry.ready and not scenario.host.state.endpoints.listed[name].ready
@@ -259,10 +261,14 @@
     scenario.run(2)
     for n in range(2, 200):
         scenario.host.on_endpoint_update(
-            scenario.now, WatchEvent.DELTA, [*fleet(f"s{n}", started=scenario.now), rig.draining(f"s{n - 2}")]
+            scenario.now,
+            WatchEvent.DELTA,
+            [*fleet(f"s{n}", started=scenario.now), policy_harness.draining_endpoint(f"s{n - 2}")],
         )
         scenario.run(1.2)
-        scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [rig.gone(f"s{n - 2}")])
+        scenario.host.on_endpoint_update(
+            scenario.now, WatchEvent.DELTA, [policy_harness.departed_endpoint(f"s{n - 2}")]
+        )
     assert (
         scenario.host.policy.statistics().known_backends < 30
         and len(scenario.host.state.endpoints.listed) <= 61
--- /dev/null
+++ b/tests/test_policy_subsetting.py
@@ -0,0 +1,130 @@
+"""Subsetting: narrow tables for a slow channel, and for backends that accept few connections."""
+
+from __future__ import annotations
+
+from onyxhead.policy.decisions import Withdrawal
+from onyxhead.policy.inputs import HealthCheckResult
+from onyxhead.time_units import TICKS_PER_SECOND
+from tests.policy_harness import (
+    DRAIN_GRACE,
+    UNSERVED_LIMIT,
+    WARMUP_TIME,
+    PolicyHarness,
+    departed_endpoint,
+    deployment,
+    draining_endpoint,
+    fleet,
+    ready_endpoint,
+    report_traffic,
+    traffic_group,
+)
+
+
+def test_attempts_that_fail_everywhere_though_responses_are_fast_lead_to_narrow_tables() -> None:
+    harness = fleet(12, *range(12))
+    report_traffic(harness, 4)
+    report_traffic(harness, 12, all=(14, 1000))
+    assert all(len(proxy.lines()) <= 3 for proxy in harness.proxies.values())
+    harness.update_endpoints(draining_endpoint("b1"))
+    harness.run(3)
+    assert all(len(proxy.lines()) >= 11 for proxy in harness.proxies.values())
+
+
+def test_attempts_at_an_unreachable_zone_make_no_subsets() -> None:
+    # A controller that started during a network partition took its two unreachable zones for a lack of connections.
+    backends = [ready_endpoint(f"b{n}", zone=n % 3) for n in range(12)]
+    harness = PolicyHarness(deployment(health_checks_allowed=True), backends)
+    for proxy in range(1, 9):
+        harness.join(proxy, "b0", "b1")
+    harness.run(1)
+    for _ in range(20):
+        for n in range(12):
+            unreachable = n % 3 > 0
+            harness.report_health(f"b{n}", HealthCheckResult.TIMED_OUT if unreachable else HealthCheckResult.HEALTHY)
+            harness.report_attempts(f"b{n}", 20, 20 if unreachable else 0, 100)
+        harness.run(1)
+    assert harness.policy.subsets.count == 1 and harness.policy.fleet.failure_fraction < 0.1
+
+
+def test_no_subset_lacks_a_backend_for_a_group_that_few_may_serve() -> None:
+    groups = traffic_group(), traffic_group(allowed_zones=frozenset((0,)))
+    harness = PolicyHarness(deployment(*groups), [ready_endpoint(f"b{n}", zone=n % 3) for n in range(12)])
+    for proxy in range(12):
+        harness.join(proxy, "b0", "b3")
+    harness.run(1)
+    report_traffic(harness, 4)
+    report_traffic(harness, 12, all=(14, 1000))
+    assert 1 < harness.policy.subsets.count <= 4
+    for table in harness.policy.subsets.tables:
+        assert any(table.accepts(backend) for backend in harness.policy.endpoints.by_id.values()), table.number
+
+
+def test_subset_whose_only_backend_departs_is_not_left_empty() -> None:
+    harness = fleet(12, *range(12))
+    report_traffic(harness, 4)
+    report_traffic(harness, 12, all=(14, 1000))
+    assert harness.policy.subsets.count == 12
+    harness.update_endpoints(*(departed_endpoint(f"b{n}") for n in range(6)))
+    steps_without_lines = 0
+    for _ in range(60):
+        harness.run(0.1)
+        empty = any(not proxy.lines(table) for proxy in harness.proxies.values() for table in proxy.tables)
+        steps_without_lines = steps_without_lines + 1 if empty else 0
+        assert steps_without_lines < 10 * UNSERVED_LIMIT / TICKS_PER_SECOND
+    assert not steps_without_lines
+
+
+def test_tables_are_narrow_where_full_ones_for_all_take_longer_than_the_drain_grace() -> None:
+    # 40 proxies may have 25 lines each within the grace: the message overhead, and 17 backends of the 50.
+    harness = fleet(50, *range(8), proxy_count=40)
+    harness.run(4)
+    held = {number: set(proxy.lines()) for number, proxy in harness.proxies.items()}
+    assert all(12 <= len(lines) <= 20 for lines in held.values())
+    assert set().union(*held.values()) == set(harness.policy.endpoints.by_id)
+    assert all({int(name[1:]) % 3 for name in lines} == {0, 1, 2} for lines in held.values())
+    harness.update_endpoints(draining_endpoint("b7"))
+    harness.decide()
+    holders = {number for number, lines in held.items() if "b7" in lines}
+    assert set(harness.policy.round_recipients) == holders != set(held)
+    harness.update_endpoints(
+        departed_endpoint("b7"), ready_endpoint("b50", started_at=harness.now - WARMUP_TIME, zone=1, kind=1)
+    )
+    harness.run(4)
+    tables = {frozenset(proxy.lines()) for proxy in harness.proxies.values()}
+    # A new backend goes where fewest of its zone are, as whole zones are lost.
+    alike = {table: sum(int(name[1:]) % 3 == 1 for name in table - {"b50"}) for table in tables}
+    assert [alike[table] for table in tables if "b50" in table] == [min(alike.values())]
+
+
+def test_proxies_that_join_together_during_a_deploy_get_narrow_tables_instead_of_old_withdrawals() -> None:
+    harness = fleet(50, *range(4), proxy_count=40)
+    harness.run(4)
+    harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(10)))
+    harness.run(2)
+    for proxy in range(4, 30):
+        harness.join(proxy, *(f"b{n}" for n in range(5)))
+    decisions = harness.run(DRAIN_GRACE / TICKS_PER_SECOND)
+    assert not any(isinstance(decision, Withdrawal) for decision in decisions)
+    assert not any(set(proxy.lines()) & {f"b{n}" for n in range(10)} for proxy in harness.proxies.values())
+
+
+def test_fleet_is_repartitioned_when_a_narrow_table_is_left_empty() -> None:
+    harness = fleet(50, *range(8), proxy_count=40)
+    harness.run(4)
+    lost = set(harness.proxies[0].lines())
+    harness.update_endpoints(*(departed_endpoint(name) for name in lost))
+    harness.run(2 * DRAIN_GRACE / TICKS_PER_SECOND)
+    assert all(set(proxy.lines()) - lost and not set(proxy.lines()) & lost for proxy in harness.proxies.values())
+
+
+def test_backend_that_was_away_while_subsets_became_fewer_returns_and_new_ones_get_a_subset() -> None:
+    harness = fleet(50, *range(30), proxy_count=40)
+    harness.repartition(30, connection_limited=True)  # as where connections are few
+    last = max(harness.policy.endpoints.by_id.values(), key=lambda b: b.subset)
+    harness.update_endpoints(departed_endpoint(last.id))
+    harness.repartition(3, connection_limited=False)
+    harness.update_endpoints(
+        ready_endpoint(last.id, started_at=harness.now), ready_endpoint("b50", started_at=harness.now)
+    )
+    harness.run(WARMUP_TIME / TICKS_PER_SECOND)
+    assert {last.id, "b50"} <= {name for proxy in harness.proxies.values() for name in proxy.lines()}
--- /dev/null
+++ b/tests/test_policy_table_assignment.py
@@ -0,0 +1,77 @@
+"""Tables: how groups share them, and when proxies that join get theirs."""
+
+from __future__ import annotations
+
+from onyxhead.policy.decisions import TableChange, Withdrawal
+from onyxhead.policy.inputs import ChannelLimits
+from tests.policy_harness import (
+    DRAIN_GRACE,
+    PolicyHarness,
+    deployment,
+    draining_endpoint,
+    fleet,
+    report_traffic,
+    traffic_group,
+)
+
+
+def test_joining_proxy_gets_the_full_table_once() -> None:
+    harness = fleet(6, 1)
+    assert harness.proxies[1].lines() == {f"b{n}": 1.0 for n in range(6)}
+    assert not any(isinstance(decision, TableChange) for decision in harness.run(5))
+
+
+def test_groups_with_the_same_backends_share_a_table_and_others_have_their_own() -> None:
+    two_zones = traffic_group(allowed_zones=frozenset((0, 1)))
+    home_zone = traffic_group(home_zone_only=True)
+    harness = PolicyHarness(deployment(traffic_group(), traffic_group(), two_zones, home_zone), [])
+    tables = harness.policy.subsets.tables
+    assert [(table.zones, table.home_zone, table.groups) for table in tables] == [
+        (None, None, [0, 1]),
+        (frozenset((0, 1)), None, [2]),
+        (frozenset((0,)), 0, [3]),
+        (frozenset((1,)), 1, [3]),
+        (frozenset((2,)), 2, [3]),
+    ]
+
+
+def test_withdrawals_that_reach_nobody_delay_no_assignment() -> None:
+    # Withdrawals were repeated for joining proxies that held none of the backends; the messages were never sent, so
+    # never acknowledged, and counted as queued for minutes.
+    harness = fleet(12, *range(12))
+    harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(2, 10)))
+    harness.run(4)
+    for proxy in range(20, 80):
+        harness.join(proxy, "b0", "b11")
+    harness.run(12)
+    assert all(proxy.assigned_tables for proxy in harness.proxies.values())
+    assert not harness.policy.channel.unacknowledged
+
+
+def test_levels_and_full_tables_wait_for_withdrawals_that_many_joining_proxies_need() -> None:
+    harness = fleet(16, *range(16))
+    harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(8)))
+    harness.run(1)
+    harness.decisions.clear()
+    for proxy in range(20, 44):
+        harness.join(proxy, *(f"b{n}" for n in range(16)))
+    joined_at = harness.now
+    while not all(f"b{n}" in harness.proxies[proxy].withdrawn for n in range(8) for proxy in range(20, 44)):
+        report_traffic(harness, 0)
+        harness.run(0.1)
+    assert harness.now - joined_at < DRAIN_GRACE, harness.now - joined_at
+
+
+def test_few_proxies_that_join_during_a_deploy_get_their_tables_without_repeated_withdrawals() -> None:
+    # Each join repeated all withdrawals to all proxies that still held a line, and the channel was never free.
+    harness = fleet(30, *range(60), channel=ChannelLimits(900.0, 6.0, 3600, 2000, 5000, 0, 0))
+    harness.run(8)
+    harness.lines_per_second /= 2
+    harness.decisions.clear()
+    for place in range(6):
+        harness.join(60 + place, "b0", "b1", "b9")
+        harness.update_endpoints(draining_endpoint(f"b{place}"))
+        harness.run(0.5)
+    harness.run(2)
+    assert sum(isinstance(decision, Withdrawal) for decision in harness.decisions) == 6
+    assert all(proxy.bound for proxy in harness.policy.proxies.by_id.values())
--- /dev/null
+++ b/tests/test_policy_withdrawals.py
@@ -0,0 +1,76 @@
+"""Withdrawals of departed backends, and the end of a withdrawal."""
+
+from __future__ import annotations
+
+from onyxhead.policy.decisions import AcknowledgementRequest, TableChange, Withdrawal
+from tests.policy_harness import departed_endpoint, draining_endpoint, fleet, ready_endpoint
+
+
+def test_draining_backend_is_withdrawn_at_once_and_its_line_removed_in_the_next_round() -> None:
+    harness = fleet(6, 1)
+    harness.update_endpoints(draining_endpoint("b2"))
+    assert Withdrawal("b2", True) in harness.decide()
+    assert TableChange(0, (("b2", 0),)) in harness.run(2)
+
+
+def test_withdrawals_behind_a_busy_channel_gather_into_few_messages() -> None:
+    harness = fleet(20, *range(30))
+    harness.run(30)
+    harness.lines_per_second /= 2
+    for n in range(12):
+        harness.update_endpoints(draining_endpoint(f"b{n}"))
+        harness.run(0.2)
+    harness.run(5)
+    assert not any(f"b{n}" in proxy.lines() for proxy in harness.proxies.values() for n in range(12))
+
+
+def test_proxies_that_wait_for_their_tables_get_recent_withdrawals_first() -> None:
+    harness = fleet(80, 0)
+    harness.update_endpoints(draining_endpoint("b1"))
+    harness.run(1)
+    for proxy in range(1, 40):
+        harness.join(proxy, "b1", "b2")
+    harness.run(2)
+    assert not any("b1" in proxy.lines() for proxy in harness.proxies.values())
+
+
+def test_repeated_withdrawals_start_with_the_latest() -> None:
+    # When two of three controllers died during a deploy, backends that had departed long before filled the third one's
+    # channel, while proxies went on using those that had departed as their own controllers died.
+    harness = fleet(40, *range(30))
+    for n in range(20):
+        harness.update_endpoints(draining_endpoint(f"b{n}"))
+        harness.run(0.3)
+    harness.run(2)
+    harness.decisions.clear()
+    for proxy in range(30, 90):
+        harness.join(proxy, *(f"b{n}" for n in range(40)))
+    harness.run(6)
+    repeated = [decision.backend for decision in harness.decisions if isinstance(decision, Withdrawal)]
+    assert repeated[:2] == ["b19", "b18"], repeated
+
+
+def test_withdrawals_in_a_channel_far_slower_than_stated_gather_by_acknowledgements() -> None:
+    # Each was sent alone as soon as it had room, with a message to every proxy, and reached the last proxy 15 s late.
+    harness = fleet(40, *range(50))
+    harness.run(30)
+    harness.lines_per_second /= 6
+    harness.decisions.clear()
+    for wave in range(5):
+        harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(6 * wave, 6 * wave + 6)))
+        harness.run(2)
+    harness.run(38)
+    left = [n for proxy in harness.proxies.values() for n in range(30) if f"b{n}" in proxy.lines()]
+    assert not left, (len(left), sum(isinstance(decision, AcknowledgementRequest) for decision in harness.decisions))
+
+
+def test_backends_that_all_returned_are_restored_though_a_proxy_waits_for_its_table() -> None:
+    # A proxy gets no table without a line, and each waited for the other: no backend for good beside warm ones.
+    harness = fleet(2, 1)
+    harness.update_endpoints(departed_endpoint("b0"), departed_endpoint("b1"))
+    harness.run(8)
+    harness.join(2, "b0", "b1")
+    harness.update_endpoints(ready_endpoint("b0", started_at=harness.now), ready_endpoint("b1", started_at=harness.now))
+    harness.run(6)
+    assert all(set(proxy.lines()) == {"b0", "b1"} for proxy in harness.proxies.values())
+    assert harness.policy.proxies.by_id[2].bound
