--- a/onyxhead/controller/load_report_ingest.py
+++ b/onyxhead/controller/load_report_ingest.py
@@ -20,7 +20,7 @@
 from onyxhead.intake.load_sums import LoadSums, merge_load_sums
 from onyxhead.intake.report_decoder import SHED_BY_SENDER_PREFIX
 from onyxhead.series.time_series_store import TimeSeriesStore
-from onyxhead.settings.load import Intake
+from onyxhead.settings.model import LoadReportSettings
 
 if TYPE_CHECKING:
     from onyxhead.controller.server import ControllerServer
@@ -34,9 +34,9 @@
 
 
 class LoadReportIngest:
-    def __init__(self, daemon: ControllerServer, settings: Intake) -> None:
+    def __init__(self, daemon: ControllerServer, settings: LoadReportSettings) -> None:
         self.daemon, self.settings = daemon, settings
-        self.worker = IngestWorker(daemon.settings.seed, settings.budget, None, daemon.clock)
+        self.worker = IngestWorker(daemon.settings.seed, settings.byte_rate_limit, None, daemon.clock)
         self.counts: Counter[str] = Counter()
         self.shed_senders: Counter[str] = Counter()
         self.pending: list[LoadSums] = []
@@ -51,7 +51,7 @@
             self.daemon.start(self._supervise_worker(number))
         weighed = written = self.daemon.clock.now()
         while True:
-            await asyncio.sleep(self.settings.every)
+            await asyncio.sleep(self.settings.interval)
             frame = self.worker.decode_slice()
             self._count(frame)
             # All that came since the last beat, from whomever, is judged together: none is judged on half of it.
@@ -105,9 +105,9 @@
         assert settings.listen is not None
         given = {
             "listen": settings.listen,
-            "every": settings.every,
+            "every": settings.interval,
             "seed": number,
-            "budget": settings.budget,
+            "budget": settings.byte_rate_limit,
             "tls": [str(each) if each else None for each in (tls.certificate, tls.key, tls.authorities, tls.revoked)]
             if tls
             else None,
--- a/onyxhead/health_check.py
+++ b/onyxhead/health_check.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from onyxhead.http.client import Connection
-from onyxhead.http.messages import Fault, Request, Response
+from onyxhead.http.messages import HttpError, Request, Response
 from onyxhead.policy.inputs import HealthCheckResult
 
 
@@ -22,8 +22,8 @@
     try:
         async with asyncio.timeout(timeout_s):
             async with await Connection.open(*address) as connection:
-                return await connection.ask(Request("GET", path), max_body_bytes)
+                return await connection.fetch(Request("GET", path), max_body_bytes)
     except TimeoutError as error:
         raise HealthCheckFailedError(HealthCheckResult.TIMED_OUT) from error
-    except (OSError, Fault) as error:
+    except (OSError, HttpError) as error:
         raise HealthCheckFailedError(HealthCheckResult.UNREACHABLE) from error
