--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -18,9 +18,9 @@
 from rich.console import Console
 from rich.table import Table
 
+from onyxhead.configuration_language.terms import InvalidConfigurationError
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Fault, Request
-from onyxhead.records.syntax import Faulty
 from onyxhead.settings import load
 from onyxhead.tables.view import Malformed, address_parts
 
@@ -41,8 +41,8 @@
 def read_settings(path: Path) -> load.Controller | load.Agent:
     try:
         return load.read(path)
-    except Faulty as error:
-        stop(FAULTY, *error.faults)
+    except InvalidConfigurationError as error:
+        stop(FAULTY, *error.diagnostics)
 
 
 def set_up_logs(given: load.Log) -> None:
@@ -134,8 +134,8 @@
     for path in files:
         try:
             load.read(path)
-        except Faulty as error:
-            faults += error.faults
+        except InvalidConfigurationError as error:
+            faults += error.diagnostics
     if faults:
         stop(FAULTY, *faults)
     click.echo(f"{len(files)} sound")
@@ -146,8 +146,8 @@
 @click.option("--check", "only_check", is_flag=True, help="Change nothing; exit with 1 if a file is not laid out so.")
 def fmt(files: tuple[Path, ...], only_check: bool) -> None:
     """Lay settings files out evenly. Comments stay, the meaning can't change, and a file with faults is left alone."""
-    from onyxhead.records.layout import laid_out
-    from onyxhead.records.syntax import parse
+    from onyxhead.configuration_language.formatter import format_text
+    from onyxhead.configuration_language.parser import parse
 
     faults: list[object] = []
     other = []
@@ -158,10 +158,10 @@
         except (OSError, UnicodeDecodeError) as error:
             faults.append(f"{path}:1:1: cannot read it: {error}")
             continue
-        except Faulty as error:
-            faults += error.faults
+        except InvalidConfigurationError as error:
+            faults += error.diagnostics
             continue
-        made = laid_out(text)
+        made = format_text(text)
         if made != text:
             other.append(path)
             if not only_check:
@@ -179,25 +179,25 @@
 @AS_JSON
 def diff(one: Path, two: Path, as_json: bool) -> None:
     """Tell what differs in meaning between settings ONE and TWO, and which rules each change presses on."""
-    from onyxhead.records.changes import changes, kinds
-    from onyxhead.records.files import check as checked
-    from onyxhead.records.files import gather
+    from onyxhead.configuration_language.differences import field_kinds, find_differences
+    from onyxhead.configuration_language.loader import evaluate_files as checked
+    from onyxhead.configuration_language.loader import load_files
 
     found, definitions = [], []
     faults: list[object] = []
     for path in (one, two):
         try:
-            files = gather(path)
+            files = load_files(path)
             text, name = load.definition_of(files)
             definitions.append((text, name))
             found.append(checked(files, text, name))
-        except Faulty as error:
-            faults += error.faults
+        except InvalidConfigurationError as error:
+            faults += error.diagnostics
     if faults:
         stop(FAULTY, *faults)
     if definitions[0][1] != definitions[1][1]:
         stop(FAULTY, f"{one} holds a {definitions[0][1]}, {two} a {definitions[1][1]}")
-    told = changes(found[0], found[1], kinds(definitions[0][0]))
+    told = find_differences(found[0], found[1], field_kinds(definitions[0][0]))
     if as_json:
         click.echo(json.dumps([each._asdict() for each in told], indent=2))
     else:
@@ -210,11 +210,11 @@
 @click.argument("kind", type=click.Choice(["controller", "agent", "operators", "routing"]))
 def json_schema(kind: str) -> None:
     """Write the JSON Schema of a kind of settings, for editors."""
-    from onyxhead.records.json_schema import schema
+    from onyxhead.configuration_language.json_schema import json_schema
     from onyxhead.routing.files import schema as routing
 
     text = routing() if kind == "routing" else load.schema()
-    click.echo(json.dumps(schema(text, f"#{kind.capitalize()}"), indent=2))
+    click.echo(json.dumps(json_schema(text, f"#{kind.capitalize()}"), indent=2))
 
 
 @main.command()
@@ -544,8 +544,8 @@
         if fleet_file is not None:
             controllers, agents = load.operators(fleet_file)
         controllers |= {address: address_parts(address) for address in addresses}
-    except Faulty as error:
-        stop(FAULTY, *error.faults)
+    except InvalidConfigurationError as error:
+        stop(FAULTY, *error.diagnostics)
     except Malformed as error:
         stop(FAULTY, error)
     if not controllers:
@@ -833,8 +833,8 @@
 
     try:
         return read(file)
-    except Faulty as error:
-        stop(FAULTY, *error.faults)
+    except InvalidConfigurationError as error:
+        stop(FAULTY, *error.diagnostics)
 
 
 @export_.command("nginx")
@@ -874,7 +874,7 @@
 
 @trial.command("list")
 def list_days() -> None:
-    """Name the days, and the kinds of trouble that can be joined by '+'."""
+    """Name the days, and the field_kinds of trouble that can be joined by '+'."""
     from onyxhead.trial.days import DAYS, TROUBLES
 
     for name, troubles in DAYS.items():
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -6,10 +6,10 @@
 from decimal import Decimal
 from typing import Any
 
+from onyxhead.configuration_language.writer import Quantity
 from onyxhead.controller.configuration.tree import Tree
 from onyxhead.controller.roster import Entry, Roster
 from onyxhead.policy.inputs import Deployment, RetrySafety, TrafficGroup
-from onyxhead.records.write import Raw
 from onyxhead.settings.load import Controller
 
 
@@ -111,7 +111,7 @@
     groups = {}
     for given in tree["group"]:
         groups[given["name"]] = {
-            "utility": Raw(given.get("utility", "1.0")),
+            "utility": Quantity(given.get("utility", "1.0")),
             "latency_budget": _span(given["latency-budget"]),
             "expiry": _span(given["expiry"]),
             "repeats": given["repeats"],
@@ -121,33 +121,33 @@
             "prefix": prefixes.get(given["name"], "/"),
         } | ({"zones": given["zone"]} if "zone" in given else {})
     backends = {
-        each["id"]: ({"weight": Raw(each["weight"])} if "weight" in each else {})
+        each["id"]: ({"weight": Quantity(each["weight"])} if "weight" in each else {})
         | ({"drained": True} if each.get("drained") else {})
         for each in tree.get("backend", ())
     }
     parts = {
         "groups": groups,
         "channel": {
-            "pace": Raw(f"{channel.get('pace', '1000.0')}/s"),
+            "pace": Quantity(f"{channel.get('pace', '1000.0')}/s"),
             "most_waiting": channel.get("most-waiting", 2000),
         },
         "guards": {
             "drain_grace": _span(guards.get("drain-grace", 20_000)),
             "unserved_limit": _span(guards.get("unserved-limit", 30_000)),
             "cold_time": _span(guards.get("cold-time", 150_000)),
-            "overload_factor": Raw(guards.get("overload-factor", "3.0")),
+            "overload_factor": Quantity(guards.get("overload-factor", "3.0")),
         },
         "backends": backends,
     }
     return "".join(f"{name}: {_written(value, 0)}\n" for name, value in parts.items())
 
 
-def _span(tenths: int) -> Raw:
-    return Raw(f"{tenths * 100}us")
+def _span(tenths: int) -> Quantity:
+    return Quantity(f"{tenths * 100}us")
 
 
 def _written(value: Any, depth: int) -> str:  # noqa: ANN401
-    if isinstance(value, Raw):
+    if isinstance(value, Quantity):
         return value
     if not isinstance(value, dict):
         return json.dumps(value)
--- a/onyxhead/routing/files.py
+++ b/onyxhead/routing/files.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import Any
 
-from onyxhead.records.files import check, gather
-from onyxhead.records.meaning import Found
-from onyxhead.records.syntax import Fault, Faulty
-from onyxhead.records.write import Raw, top
+from onyxhead.configuration_language.evaluator import PlainRecord
+from onyxhead.configuration_language.loader import evaluate_files, load_files
+from onyxhead.configuration_language.terms import Diagnostic, InvalidConfigurationError
+from onyxhead.configuration_language.writer import Quantity, write_fields
 from onyxhead.routing.model import Choice, Host, Limit, Location, Pool, Routing, Server, Split, Target, Tries
 
 TENTHS = 10_000
@@ -21,13 +21,13 @@
 
 
 def read(path: Path) -> Routing:
-    """Raises Faulty."""
-    found = check(gather(path), schema(), "#Routing")
-    faults: list[Fault] = []
+    """Raises InvalidConfigurationError."""
+    found = evaluate_files(load_files(path), schema(), "#Routing")
+    faults: list[Diagnostic] = []
     pools = {name: _pool(name, own) for name, own in found["pools"].items()}
     hosts = tuple(_host(own, pools, faults) for own in found["hosts"])
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigurationError(faults)
     choices = {
         name: Choice(
             own["source"], tuple((each["if"], each["then"]) for each in own["cases"]), own["other"], own["hostnames"]
@@ -41,7 +41,7 @@
     return Routing(pools, hosts, choices, splits)
 
 
-def _pool(name: str, own: Found) -> Pool:
+def _pool(name: str, own: PlainRecord) -> Pool:
     servers = tuple(
         Server(
             each["address"],
@@ -58,24 +58,24 @@
     return Pool(name, servers, own["method"], own["hash_key"], own["consistent"], own["keepalive"])
 
 
-def _host(own: Found, pools: dict[str, Pool], faults: list[Fault]) -> Host:
+def _host(own: PlainRecord, pools: dict[str, Pool], faults: list[Diagnostic]) -> Host:
     locations = tuple(_location(each, pools, faults) for each in own["locations"])
     return Host(tuple(own["names"]), own["listen"], own["default"], locations)
 
 
-def _location(own: Found, pools: dict[str, Pool], faults: list[Fault]) -> Location:
+def _location(own: PlainRecord, pools: dict[str, Pool], faults: list[Diagnostic]) -> Location:
     target = None
     if (given := own.get("target")) is not None:
         target = Target(given["pool"], given["variable"], given.get("path"), given["scheme"])
         if bool(target.pool) == bool(target.variable):
-            faults.append(Fault(own.place("target"), "a target is either a pool or a variable"))
+            faults.append(Diagnostic(own.position_of("target"), "a target is either a pool or a variable"))
         elif target.pool and target.pool not in pools:
-            faults.append(Fault(given.place("pool"), f"there is no pool {target.pool!r}"))
+            faults.append(Diagnostic(given.position_of("pool"), f"there is no pool {target.pool!r}"))
     if own["kind"].startswith("regex"):
         try:
             re.compile(own["pattern"])
         except re.error as error:
-            faults.append(Fault(own.place("pattern"), f"no expression: {error}"))
+            faults.append(Diagnostic(own.position_of("pattern"), f"no expression: {error}"))
     tries = Tries(tuple(own["tries"]["when"]), own["tries"]["most"], own["tries"]["within"] / TENTHS)
     limits = tuple(Limit(each["key"], each["pace"], each["burst"], each["at_once"]) for each in own["limits"])
     within = tuple(_location(each, pools, faults) for each in own["within"])
@@ -108,11 +108,11 @@
             for name, own in routing.splits.items()
         },
     }
-    return top({name: value for name, value in fields.items() if value})
+    return write_fields({name: value for name, value in fields.items() if value})
 
 
-def _time(value: float) -> Raw:
-    return Raw(f"{round(value)}s" if value == round(value) else f"{value * 1000:g}ms")
+def _time(value: float) -> Quantity:
+    return Quantity(f"{round(value)}s" if value == round(value) else f"{value * 1000:g}ms")
 
 
 def _kept(usual: dict[str, Any], own: dict[str, Any]) -> dict[str, Any]:
@@ -162,7 +162,7 @@
         row["tries"] = {"when": list(own.tries.when), "most": own.tries.most, "within": _time(own.tries.within)}
     if own.limits:
         row["limits"] = [
-            {"key": each.key, "pace": Raw(f"{each.rate!r}/s"), "burst": each.burst, "at_once": each.at_once}
+            {"key": each.key, "pace": Quantity(f"{each.rate!r}/s"), "burst": each.burst, "at_once": each.at_once}
             for each in own.limits
         ]
     if own.within:
--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import NamedTuple
 
+from onyxhead.configuration_language.evaluator import PlainRecord
+from onyxhead.configuration_language.loader import evaluate_files, load_files
+from onyxhead.configuration_language.terms import Diagnostic, InvalidConfigurationError, Literal, SourceFile
 from onyxhead.policy.inputs import AdmissionMode, ChannelLimits, Deployment, RetrySafety, SafetyLimits, TrafficGroup
-from onyxhead.records.files import check, gather
-from onyxhead.records.meaning import Found
-from onyxhead.records.syntax import Fault, Faulty, File, Literal
 from onyxhead.routing import files as routing
 from onyxhead.tables.view import Leaf, Malformed, address_parts
 
@@ -167,25 +167,25 @@
 
 
 def read(path: Path) -> Controller | Agent:
-    """The settings in a file, of whichever kind it says. Raises Faulty."""
-    files = gather(path)
+    """The settings in a file, of whichever kind it says. Raises InvalidConfigurationError."""
+    files = load_files(path)
     kind = kind_of(files)
-    found = check(files, schema(), KINDS[kind])
+    found = evaluate_files(files, schema(), KINDS[kind])
     return controller(found, path) if kind == "controller" else agent(found, path)
 
 
 def operators(path: Path) -> tuple[dict[str, Address], dict[str, Address]]:
-    """Controllers and agents by name. Raises Faulty."""
-    found, faults = check(gather(path), schema(), "#Operators"), list[Fault]()
+    """Controllers and agents by name. Raises InvalidConfigurationError."""
+    found, faults = evaluate_files(load_files(path), schema(), "#Operators"), list[Diagnostic]()
     addresses = _Addresses(found, faults)
     controllers = {name: addresses.read(text, "controllers", name) for name, text in found["controllers"].items()}
     agents = {name: addresses.read(text, "agents", name) for name, text in found["agents"].items()}
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigurationError(faults)
     return controllers, agents
 
 
-def definition_of(files: list[File]) -> tuple[str, str]:
+def definition_of(files: list[SourceFile]) -> tuple[str, str]:
     """The schema's text and the definition that files are held against."""
     names = {member.name for file in files for member in file.struct.members}
     if names & {"pools", "hosts", "choices", "splits"}:
@@ -195,7 +195,7 @@
     return schema(), KINDS[kind_of(files)]
 
 
-def kind_of(files: list[File]) -> str:
+def kind_of(files: list[SourceFile]) -> str:
     """What the files set up: told by `kind`, or else by the fields that only one kind has."""
     members = {member.name: member.value for file in files for member in file.struct.members}
     told = members.get("kind")
@@ -207,7 +207,7 @@
 class _Addresses:
     """Addresses of a record, and the faults of those that are none."""
 
-    def __init__(self, found: Found, faults: list[Fault]) -> None:
+    def __init__(self, found: PlainRecord, faults: list[Diagnostic]) -> None:
         self.found, self.faults = found, faults
 
     def read(self, text: str, *place: str, free: bool = False) -> Address:
@@ -217,7 +217,7 @@
         try:
             return address_parts(text)
         except Malformed as error:
-            self.faults.append(Fault(self.found.place(*place), str(error)))
+            self.faults.append(Diagnostic(self.found.position_of(*place), str(error)))
             return "", 0
 
 
@@ -225,13 +225,13 @@
     return tenths / 10_000
 
 
-def controller(found: Found, path: Path) -> Controller:
-    """Raises Faulty for figures that contradict each other."""
+def controller(found: PlainRecord, path: Path) -> Controller:
+    """Raises InvalidConfigurationError for figures that contradict each other."""
     zones = tuple(found["zones"])
-    faults: list[Fault] = []
+    faults: list[Diagnostic] = []
 
     def wrong(text: str, *place: str) -> None:
-        faults.append(Fault(found.place(*place), text))
+        faults.append(Diagnostic(found.position_of(*place), text))
 
     if found["zone"] not in zones:
         wrong(f"zone {found['zone']!r} is not one of zones", "zone")
@@ -269,7 +269,7 @@
             "most_waiting",
         )
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigurationError(faults)
     throttles = {"share": AdmissionMode.FRACTION, "rate": AdmissionMode.RATE, "off": AdmissionMode.DISABLED}
     start = Deployment(
         zone=zones.index(found["zone"]),
@@ -310,7 +310,7 @@
     server = addresses.read(given["server"], "discovery", "server") if "server" in given else None
     listen = addresses.read(found["listen"], "listen", free=True)
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigurationError(faults)
     probes = found["probes"]
     overrides = {name: (own.get("weight", 0.0), own["drained"]) for name, own in found["backends"].items()}
     prefixes = {name: group["prefix"] for name, group in found["groups"].items()}
@@ -328,7 +328,7 @@
     if front is not None and front.tls is not None and "tls" not in found:
         wrong("NETCONF over TLS needs keys: tls is missing", "netconf")
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigurationError(faults)
     return Controller(
         found["name"],
         listen,
@@ -351,7 +351,7 @@
     )
 
 
-def _fleet(given: Found, addresses: _Addresses) -> Fleet:
+def _fleet(given: PlainRecord, addresses: _Addresses) -> Fleet:
     members = {
         name: Fellow(addresses.read(each["address"], "fleet", "members", name), each["zone"], each["pace"])
         for name, each in given["members"].items()
@@ -359,7 +359,7 @@
     return Fleet(members, given["period"], given["timeout"], given["suspicion"], given["settle"])
 
 
-def _tls(found: Found, here: Path) -> Tls | None:
+def _tls(found: PlainRecord, here: Path) -> Tls | None:
     if (given := found.get("tls")) is None:
         return None
     revoked = here / given["revoked"] if "revoked" in given else None
@@ -367,7 +367,7 @@
     return Tls(here / given["certificate"], here / given["key"], here / given["authorities"], revoked, every)
 
 
-def _netconf(given: Found, here: Path, addresses: _Addresses) -> Netconf:
+def _netconf(given: PlainRecord, here: Path, addresses: _Addresses) -> Netconf:
     rules = tuple(
         Rule(
             each["name"],
@@ -384,20 +384,22 @@
     ssh = addresses.read(given["ssh"], "netconf", "ssh", free=True) if "ssh" in given else None
     tls = addresses.read(given["tls"], "netconf", "tls", free=True) if "tls" in given else None
     if ssh is not None and host_key is None:
-        addresses.faults.append(Fault(given.place("ssh"), "NETCONF over SSH needs a host_key"))
+        addresses.faults.append(Diagnostic(given.position_of("ssh"), "NETCONF over SSH needs a host_key"))
     return Netconf(ssh, host_key, tls, users, rules)
 
 
-def agent(found: Found, path: Path) -> Agent:
-    """Raises Faulty for routes that no flow could tell apart."""
-    faults: list[Fault] = []
+def agent(found: PlainRecord, path: Path) -> Agent:
+    """Raises InvalidConfigurationError for routes that no flow could tell apart."""
+    faults: list[Diagnostic] = []
     routes: list[Route] = []
     for name, group in found["groups"].items():
         if group["prefix"] in {route.prefix for route in routes}:
-            faults.append(Fault(found.place("groups", name, "prefix"), f"prefix of {name} is another group's too"))
+            faults.append(
+                Diagnostic(found.position_of("groups", name, "prefix"), f"prefix of {name} is another group's too")
+            )
         routes.append(Route(name, group["prefix"], _seconds(group["latency_budget"]), group["tries"]))
     if not routes:
-        faults.append(Fault(found.place("groups"), "no traffic group"))
+        faults.append(Diagnostic(found.position_of("groups"), "no traffic group"))
     addresses = _Addresses(found, faults)
     listen = addresses.read(found["listen"], "listen", free=True)
     advertise = addresses.read(found["advertise"], "advertise") if "advertise" in found else None
@@ -408,7 +410,7 @@
         addresses.read(line["address"], "standing", name, "address")
         standing[name] = {"address": line["address"], "weight": 1_000_000, "zone": line["zone"]}
     if faults:
-        raise Faulty(faults)
+        raise InvalidConfigurationError(faults)
     here, reload = path.parent, found.get("reload")
     return Agent(
         found["name"],
--- a/onyxhead/trial/run.py
+++ b/onyxhead/trial/run.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from onyxhead.configuration_language.writer import Quantity, write_fields
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Fault, Request
-from onyxhead.records.write import Raw, top
 from onyxhead.trial.audit import judge
 
 ZONES = ("north", "south", "east")
@@ -59,8 +59,8 @@
 PACE, MOST_WAITING = 2500, 4000
 
 
-def ms(seconds: object) -> Raw:
-    return Raw(f"{float(str(seconds)) * 1000:.0f}ms")
+def ms(seconds: object) -> Quantity:
+    return Quantity(f"{float(str(seconds)) * 1000:.0f}ms")
 
 
 class Size(NamedTuple):
@@ -149,12 +149,12 @@
             "stats": f"127.0.0.1:{flows}",
             "controllers": [f"127.0.0.1:{each}" for each in reached],
             "standing": {e["id"]: {"address": e["address"], "zone": e["zone"]} for e in standing},
-            "usual": Raw(f"{self.size.rate / self.size.proxies:.1f}/s"),
-            "silence": Raw("2s"),
-            "redial": Raw("150ms"),
+            "usual": Quantity(f"{self.size.rate / self.size.proxies:.1f}/s"),
+            "silence": Quantity("2s"),
+            "redial": Quantity("150ms"),
             "groups": {g["name"]: {"prefix": g["prefix"], "latency_budget": ms(g["budget"])} for g in GROUPS},
         }
-        self.folder.joinpath(f"{name}.rec").write_text(top(settings))
+        self.folder.joinpath(f"{name}.rec").write_text(write_fields(settings))
 
     def controller_settings(self, name: str, zone: str, port: int) -> str:
         groups = {
@@ -172,7 +172,7 @@
         fellows = {
             other: {
                 "zone": own,
-                "pace": Raw(f"{PACE}/s"),
+                "pace": Quantity(f"{PACE}/s"),
                 "address": f"127.0.0.1:{target if other == name else self.link(name, other, zone, own, target)}",
             }
             for other, (own, target) in self.controllers.items()
@@ -180,7 +180,7 @@
         beats = {"period": ms(0.2), "timeout": ms(0.15), "suspicion": ms(0.8), "settle": ms(2)}
         shared = {"fleet": {"members": fellows, **beats}} if self.size.shared else {}
         source = {"file": "list.json"} if self.watched else {"server": f"127.0.0.1:{self.discovery}"}
-        return top(
+        return write_fields(
             {
                 "kind": "controller",
                 "name": name,
@@ -194,7 +194,7 @@
                 "groups": groups,
                 "tries": {"usual": 1},
                 "channel": {
-                    "pace": Raw(f"{PACE}/s"),
+                    "pace": Quantity(f"{PACE}/s"),
                     "most_waiting": MOST_WAITING,
                     "transit": ms(0.01),
                     "slowest_transit": ms(0.1),
--- a/tests/test_language.py
+++ b/tests/test_configuration_language.py
@@ -14,11 +14,12 @@
 from hypothesis import strategies as st
 
 from onyxhead.cli.main import main
-from onyxhead.records.files import check, gather
-from onyxhead.records.json_schema import schema as json_schema
-from onyxhead.records.layout import laid_out, words
-from onyxhead.records.meaning import Found
-from onyxhead.records.syntax import Faulty, parse
+from onyxhead.configuration_language.evaluator import PlainRecord
+from onyxhead.configuration_language.formatter import format_text, tokens
+from onyxhead.configuration_language.json_schema import json_schema as json_schema
+from onyxhead.configuration_language.loader import evaluate_files, load_files
+from onyxhead.configuration_language.parser import parse
+from onyxhead.configuration_language.terms import InvalidConfigurationError
 from onyxhead.settings import load
 
 GOOD = """
@@ -115,23 +116,23 @@
     text = re.sub(r"(?<=[{\[,])(?![^\n]*\")", lambda _: chance.choice(["", " ", "\n"]), text)
     try:
         before = parse(text, "a")
-    except Faulty:
+    except InvalidConfigurationError:
         return
-    made = laid_out(text)
-    assert stripped(parse(made, "a")) == stripped(before) and laid_out(made) == made
-    assert [word for word in words(made) if word.startswith("//")] == [
-        word for word in words(text) if word.startswith("//")
+    made = format_text(text)
+    assert stripped(parse(made, "a")) == stripped(before) and format_text(made) == made
+    assert [word for word in tokens(made) if word.startswith("//")] == [
+        word for word in tokens(text) if word.startswith("//")
     ]
 
 
 def stripped(term: Any) -> Any:
     """A tree without its places."""
-    return re.sub(r"Place\(file='a', line=\d+, column=\d+\)", "", repr(term))
+    return re.sub(r"SourcePosition\(file='a', line=\d+, column=\d+\)", "", repr(term))
 
 
 def test_the_built_in_definitions_and_real_settings_keep_their_meaning() -> None:
     for text in (load.schema(), GOOD):
-        assert stripped(parse(laid_out(text), "a")) == stripped(parse(text, "a"))
+        assert stripped(parse(format_text(text), "a")) == stripped(parse(text, "a"))
 
 
 # Changes of meaning
@@ -224,15 +225,15 @@
         assert code == 0 and json.loads(told)["$ref"].endswith(kind.capitalize())
 
 
-# Faulty files
+# InvalidConfigurationError files
 
 
 def plain(value: Any) -> Any:
     return {name: plain(each) for name, each in value.items()} if isinstance(value, dict) else value
 
 
-def sound(folder: Path, text: str) -> Found:
-    return check(gather(written(folder, text, "m.rec")), load.schema(), "#Controller")
+def sound(folder: Path, text: str) -> PlainRecord:
+    return evaluate_files(load_files(written(folder, text, "m.rec")), load.schema(), "#Controller")
 
 
 BY_HAND = [
@@ -309,13 +310,13 @@
                 text = "\n".join(lines)
     try:
         found = sound(tmp_path, text)
-    except Faulty as error:
-        assert error.faults and all(
-            fault.at.line >= 1 and fault.text and "Traceback" not in fault.text for fault in error.faults
+    except InvalidConfigurationError as error:
+        assert error.diagnostics and all(
+            fault.position.line >= 1 and fault.text and "Traceback" not in fault.text for fault in error.diagnostics
         )
-        assert all(fault.at.file.endswith("m.rec") for fault in error.faults), error.faults
+        assert all(fault.position.file.endswith("m.rec") for fault in error.diagnostics), error.diagnostics
     else:
-        assert plain(sound(tmp_path, laid_out(text))) == plain(found)
+        assert plain(sound(tmp_path, format_text(text))) == plain(found)
 
 
 def test_a_definition_in_conflict_through_three_includes_names_both_places(tmp_path: Path) -> None:
@@ -330,7 +331,7 @@
 def test_a_file_that_changes_while_it_is_read_is_told(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    import onyxhead.records.files as module
+    import onyxhead.configuration_language.loader as module
 
     written(tmp_path, "guards: {cold_time: 16s}", "in.rec")
     top = written(tmp_path, 'include "in.rec"' + GOOD.replace(", cold_time: 15s", ""))
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -15,12 +15,12 @@
 from hypothesis import strategies as st
 
 from onyxhead.cli.main import main
+from onyxhead.configuration_language.terms import InvalidConfigurationError
 from onyxhead.fronts.nginx.carry import Carrying, Line, Odd, seconds, unescaped
 from onyxhead.fronts.nginx.write import Unsaid, blocks, quoted
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Request, Response
 from onyxhead.http.server import Server as Listening
-from onyxhead.records.syntax import Faulty
 from onyxhead.routing.choose import Compiled, Hosts, Plain, Router, choose, literal_head, murmur2, normal, split
 from onyxhead.routing.files import read, text
 from onyxhead.routing.model import Choice, Host, Limit, Location, Pool, Routing, Server, Split, Target, Tries
@@ -487,9 +487,11 @@
 def test_faults_in_routing_are_told_with_their_place(tmp_path: Path, body: str, told: str) -> None:
     path = tmp_path / "a.rec"
     path.write_text(body)
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidConfigurationError) as caught:
         read(path)
-    assert any(told in str(fault) and "a.rec:1:" in str(fault) for fault in caught.value.faults), caught.value.faults
+    assert any(
+        told in str(fault) and "a.rec:1:" in str(fault) for fault in caught.value.diagnostics
+    ), caught.value.diagnostics
 
 
 def test_the_commands(tmp_path: Path) -> None:
--- a/tests/test_records.py
+++ b/tests/test_settings.py
@@ -9,8 +9,9 @@
 from click.testing import CliRunner
 
 from onyxhead.cli.main import main
-from onyxhead.records.files import check, gather
-from onyxhead.records.syntax import Faulty, parse
+from onyxhead.configuration_language.loader import evaluate_files, load_files
+from onyxhead.configuration_language.parser import parse
+from onyxhead.configuration_language.terms import InvalidConfigurationError
 from onyxhead.settings import load
 
 SCHEMA = """
@@ -29,13 +30,13 @@
 
 
 def meaning(text: str) -> dict[str, Any]:
-    return check([parse(text, "f")], SCHEMA, "#T")
+    return evaluate_files([parse(text, "f")], SCHEMA, "#T")
 
 
 def faults(text: str) -> list[str]:
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidConfigurationError) as caught:
         meaning(text)
-    return [str(fault) for fault in caught.value.faults]
+    return [str(fault) for fault in caught.value.diagnostics]
 
 
 GOOD = 'name: "x", parts: {}, zones: ["a"], either: {file: "f"}\n'
@@ -60,7 +61,7 @@
     text = f"""{GOOD} // a comment
     #Big: {{big: 2MiB}}
     usual: 3s"""
-    with pytest.raises(Faulty, match="unknown field 'usual'"):
+    with pytest.raises(InvalidConfigurationError, match="unknown field 'usual'"):
         meaning(text)
     got = meaning(f'{GOOD} #Big: {{big: 2MiB, ...}}, parts: {{one: #Big}}, parts: {{one: {{count: 3}}, "t-2": {{}}}}')
     assert got["parts"] == {"one": {"big": 2097152, "count": 3}, "t-2": {"count": 1}}
@@ -114,16 +115,18 @@
     (tmp_path / "a.rec").write_text('include "b.rec"\ninclude "c.rec"\nname: "x"\n')
     (tmp_path / "b.rec").write_text('include "c.rec"\nparts: {}\n')
     (tmp_path / "c.rec").write_text('zones: ["a"], either: {file: "f"}\n')
-    assert check(gather(tmp_path / "a.rec"), SCHEMA, "#T")["zones"] == ["a"]
+    assert evaluate_files(load_files(tmp_path / "a.rec"), SCHEMA, "#T")["zones"] == ["a"]
     (tmp_path / "c.rec").write_text('include "a.rec"\n')
-    with pytest.raises(Faulty, match=r"c.rec:1:9: includes go round: a.rec -> b.rec -> c.rec -> a.rec"):
-        gather(tmp_path / "a.rec")
+    with pytest.raises(
+        InvalidConfigurationError, match=r"c.rec:1:9: includes go round: a.rec -> b.rec -> c.rec -> a.rec"
+    ):
+        load_files(tmp_path / "a.rec")
     (tmp_path / "c.rec").write_text('include "none.rec"\n')
-    with pytest.raises(Faulty, match=r"c.rec:1:9: cannot read"):
-        gather(tmp_path / "a.rec")
+    with pytest.raises(InvalidConfigurationError, match=r"c.rec:1:9: cannot read"):
+        load_files(tmp_path / "a.rec")
     (tmp_path / "c.rec").write_bytes(b"a: 1\n\xff")
-    with pytest.raises(Faulty, match=r"c.rec:2:1: not UTF-8"):
-        gather(tmp_path / "a.rec")
+    with pytest.raises(InvalidConfigurationError, match=r"c.rec:2:1: not UTF-8"):
+        load_files(tmp_path / "a.rec")
 
 
 CONTROLLER = """name: "c1", zone: "n", zones: ["n", "s"], listen: "127.0.0.1:70", state: "s"
@@ -150,7 +153,7 @@
     path.write_text(CONTROLLER)
     assert isinstance(load.read(path), load.Controller)
     path.write_text(CONTROLLER.replace(old, new))
-    with pytest.raises(Faulty, match=wanted.replace("(", r"\(")):
+    with pytest.raises(InvalidConfigurationError, match=wanted.replace("(", r"\(")):
         load.read(path)
 
 
