--- a/onyxhead/node/decision_round.py
+++ b/onyxhead/node/decision_round.py
@@ -131,11 +131,11 @@
         self.restored.append(backend)
 
     def _change_table(self, table: int, lines: tuple[tuple[str, float], ...]) -> None:
-        held = self.state.tables.setdefault(table, {})
+        table_lines = self.state.tables.setdefault(table, {})
         for backend, weight in lines:
-            held.pop(backend, None)
+            table_lines.pop(backend, None)
             if weight > 0:
-                held[backend] = weight
+                table_lines[backend] = weight
         for proxy in self.state.users_of(table):
             self._update_for(proxy).changed_lines.setdefault(table, {}).update(lines)
 
--- a/onyxhead/node/listener.py
+++ b/onyxhead/node/listener.py
@@ -74,13 +74,13 @@
         if self.socket is not None:
             self.loop.remove_reader(self.socket)
             self.socket.close()
-        deadline, shut_down = self.loop.time() + seconds, set[int]()
+        deadline, half_closed = self.loop.time() + seconds, set[int]()
         for connection in self.connections.values():
             self.loop.add_reader(connection.sock, self._discard_input, connection)
         while self.connections and self.loop.time() < deadline:
             for connection in self.connections.values():
-                if not connection.unsent and connection.number not in shut_down:
-                    shut_down.add(connection.number)
+                if not connection.unsent and connection.number not in half_closed:
+                    half_closed.add(connection.number)
                     with contextlib.suppress(OSError):
                         connection.sock.shutdown(socket.SHUT_WR)
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
--- a/onyxhead/node/policy_host.py
+++ b/onyxhead/node/policy_host.py
@@ -66,7 +66,7 @@
         """Any message came on this stream."""
         if (joined := self._joined_on(proxy, stream)) is None:
             return
-        joined.last_heard = now
+        joined.last_message_at = now
         if joined.silent:
             # The policy was told that it left, and what it holds is no longer known: it joins anew.
             joined.silent, joined.tables = False, {}
@@ -130,7 +130,7 @@
             return False
         oldest_sent_at = joined.awaited_rounds[0].sent_at
         passed_elsewhere = oldest_sent_at < self.last_acknowledged_sent_at
-        return passed_elsewhere and now - max(joined.last_heard, oldest_sent_at) > SILENCE_TIMEOUT
+        return passed_elsewhere and now - max(joined.last_message_at, oldest_sent_at) > SILENCE_TIMEOUT
 
     def _joined_on(self, proxy: int, stream: Hashable) -> JoinedProxy | None:
         """The proxy, if it joined on this stream and on no later one."""
--- a/onyxhead/node/proxy_state.py
+++ b/onyxhead/node/proxy_state.py
@@ -30,7 +30,7 @@
     stream: Hashable
     zone: int
     baseline_rate: float
-    last_heard: int
+    last_message_at: int
     silent: bool = False
     tables: dict[int, tuple[int, ...]] = field(default_factory=dict)  # traffic groups by table, as the stream was told
     awaited_rounds: deque[AwaitedRound] = field(default_factory=lambda: deque(maxlen=MAX_AWAITED_ROUNDS))
