--- a/benchmarks/swaps.py
+++ b/benchmarks/swaps.py
@@ -11,18 +11,18 @@
 from benchmarks.figures import ratio
 from onyxhead.agent.daemon import Tree
 from onyxhead.agent.keeper import Keeper, Taken, state_of
-from onyxhead.http.messages import JSON, MERGE_PATCH, STREAM, Request, content_digest
-from onyxhead.settings.load import Agent, Log, Route
+from onyxhead.http.messages import JSON_MEDIA_TYPE, MERGE_PATCH_MEDIA_TYPE, STREAM_HEADER, Request, content_digest
+from onyxhead.settings.model import AgentSettings, GroupRoute, LogSettings
 from onyxhead.tables.view import View, canonical_json
 
-ROUTES = (Route("read", "/r", 0.5, 1), Route("write", "/w", 1.0, 0))
+ROUTES = (GroupRoute("read", "/r", 0.5, 1), GroupRoute("write", "/w", 1.0, 0))
 
 
 def measure(args: list[str]) -> dict[str, Any]:
     rounds, backends = 5, int(args[0]) if args else 82
     with tempfile.TemporaryDirectory(dir=args[1] if len(args) > 1 else None) as name:
         folder = Path(name)
-        settings = Agent(
+        settings = AgentSettings(
             "p",
             "z",
             ("127.0.0.1", 1),
@@ -39,7 +39,7 @@
             0.1,
             1 << 24,
             None,
-            Log("error", "json"),
+            LogSettings("error", "json"),
         )
         tree = Tree(settings)
         keeper = Keeper(View.EMPTY)
@@ -71,10 +71,10 @@
 def apply(tree: Tree, keeper: Keeper, document: Any, whole: bool) -> None:
     body = canonical_json(document)
     headers = {
-        STREAM: "s",
+        STREAM_HEADER: "s",
         "if-match": keeper.view.etag,
         "content-digest": content_digest(body),
-        "content-type": JSON if whole else MERGE_PATCH,
+        "content-type": JSON_MEDIA_TYPE if whole else MERGE_PATCH_MEDIA_TYPE,
     }
     taken = keeper.take(Request("PUT" if whole else "PATCH", "/v1/view", headers, body))
     assert isinstance(taken, Taken), taken
