--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -18,10 +18,10 @@
 from rich.console import Console
 from rich.table import Table
 
-from onyxhead.http.client import ask_once
-from onyxhead.http.messages import Fault, Request
-from onyxhead.records.syntax import Faulty
-from onyxhead.settings import load
+from onyxhead.configuration_language.terms import InvalidConfigurationError
+from onyxhead.http.client import fetch_once
+from onyxhead.http.messages import HttpError, Request
+from onyxhead.settings import load, model
 from onyxhead.tables.addresses import parse_address
 from onyxhead.tables.errors import MalformedViewError
 
@@ -39,16 +39,16 @@
     sys.exit(code)
 
 
-def read_settings(path: Path) -> load.Controller | load.Agent:
+def read_settings(path: Path) -> model.ControllerSettings | model.AgentSettings:
     try:
-        return load.read(path)
-    except Faulty as error:
-        stop(FAULTY, *error.faults)
+        return load.read_settings(path)
+    except InvalidConfigurationError as error:
+        stop(FAULTY, *error.diagnostics)
 
 
-def set_up_logs(given: load.Log) -> None:
+def set_up_logs(given: model.LogSettings) -> None:
     level = logging.getLevelNamesMapping()[given.level.upper()]
-    last: Any = structlog.processors.JSONRenderer() if given.form == "json" else structlog.dev.ConsoleRenderer()
+    last: Any = structlog.processors.JSONRenderer() if given.format == "json" else structlog.dev.ConsoleRenderer()
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -70,7 +70,7 @@
 
 def run_daemon(settings: Path, wanted: type[Any], others: str, daemon: Callable[[Any], Any], plain: Any = ()) -> None:  # noqa: ANN401
     """Runs one until it is ended. `plain` are the errors that name their own file."""
-    from onyxhead.keys.rotate import Unusable as BadKeys
+    from onyxhead.keys.errors import KeyFileError
 
     known = read_settings(settings)
     if not isinstance(known, wanted):
@@ -84,7 +84,7 @@
         asyncio.run(run())
     except plain as error:
         stop(REFUSED, error)
-    except BadKeys as error:
+    except KeyFileError as error:
         stop(REFUSED, f"{settings}: {error}")
     except OSError as error:
         stop(REFUSED, f"{settings}: {error.strerror or error}")
@@ -95,10 +95,12 @@
 def serve(settings: Path) -> None:
     """Run a controller."""
     from onyxhead.controller.server import ControllerServer
-    from onyxhead.keys.rotate import Unusable as BadKeys
+    from onyxhead.keys.errors import KeyFileError
     from onyxhead.store.errors import StoreUnavailableError
 
-    run_daemon(settings, load.Controller, "an agent's", ControllerServer, (StoreUnavailableError, BadKeys))
+    run_daemon(
+        settings, model.ControllerSettings, "an agent's", ControllerServer, (StoreUnavailableError, KeyFileError)
+    )
 
 
 @main.command()
@@ -107,7 +109,7 @@
     """Run the agent beside a proxy."""
     from onyxhead.agent.daemon import Daemon
 
-    run_daemon(settings, load.Agent, "a controller's", Daemon)
+    run_daemon(settings, model.AgentSettings, "a controller's", Daemon)
 
 
 @main.command()
@@ -134,9 +136,9 @@
     faults = []
     for path in files:
         try:
-            load.read(path)
-        except Faulty as error:
-            faults += error.faults
+            load.read_settings(path)
+        except InvalidConfigurationError as error:
+            faults += error.diagnostics
     if faults:
         stop(FAULTY, *faults)
     click.echo(f"{len(files)} sound")
@@ -147,8 +149,8 @@
 @click.option("--check", "only_check", is_flag=True, help="Change nothing; exit with 1 if a file is not laid out so.")
 def fmt(files: tuple[Path, ...], only_check: bool) -> None:
     """Lay settings files out evenly. Comments stay, the meaning can't change, and a file with faults is left alone."""
-    from onyxhead.records.layout import laid_out
-    from onyxhead.records.syntax import parse
+    from onyxhead.configuration_language.formatter import format_text
+    from onyxhead.configuration_language.parser import parse
 
     faults: list[object] = []
     other = []
@@ -159,10 +161,10 @@
         except (OSError, UnicodeDecodeError) as error:
             faults.append(f"{path}:1:1: cannot read it: {error}")
             continue
-        except Faulty as error:
-            faults += error.faults
+        except InvalidConfigurationError as error:
+            faults += error.diagnostics
             continue
-        made = laid_out(text)
+        made = format_text(text)
         if made != text:
             other.append(path)
             if not only_check:
@@ -180,27 +182,27 @@
 @AS_JSON
 def diff(one: Path, two: Path, as_json: bool) -> None:
     """Tell what differs in meaning between settings ONE and TWO, and which rules each change presses on."""
-    from onyxhead.records.changes import changes, kinds
-    from onyxhead.records.files import check as checked
-    from onyxhead.records.files import gather
+    from onyxhead.configuration_language.differences import field_kinds, find_differences
+    from onyxhead.configuration_language.loader import evaluate_files as checked
+    from onyxhead.configuration_language.loader import load_files
 
     found, definitions = [], []
     faults: list[object] = []
     for path in (one, two):
         try:
-            files = gather(path)
+            files = load_files(path)
             text, name = load.definition_of(files)
             definitions.append((text, name))
             found.append(checked(files, text, name))
-        except Faulty as error:
-            faults += error.faults
+        except InvalidConfigurationError as error:
+            faults += error.diagnostics
     if faults:
         stop(FAULTY, *faults)
     if definitions[0][1] != definitions[1][1]:
         stop(FAULTY, f"{one} holds a {definitions[0][1]}, {two} a {definitions[1][1]}")
-    told = changes(found[0], found[1], kinds(definitions[0][0]))
+    told = find_differences(found[0], found[1], field_kinds(definitions[0][0]))
     if as_json:
-        click.echo(json.dumps([each._asdict() for each in told], indent=2))
+        click.echo(json.dumps([each.to_json() for each in told], indent=2))
     else:
         for each in told:
             click.echo(each.text + (f"  (rule {', '.join(each.rules.split())})" if each.rules else ""))
@@ -211,11 +213,11 @@
 @click.argument("kind", type=click.Choice(["controller", "agent", "operators", "routing"]))
 def json_schema(kind: str) -> None:
     """Write the JSON Schema of a kind of settings, for editors."""
-    from onyxhead.records.json_schema import schema
+    from onyxhead.configuration_language.json_schema import json_schema
     from onyxhead.routing.files import schema as routing
 
     text = routing() if kind == "routing" else load.schema()
-    click.echo(json.dumps(schema(text, f"#{kind.capitalize()}"), indent=2))
+    click.echo(json.dumps(json_schema(text, f"#{kind.capitalize()}"), indent=2))
 
 
 @main.command()
@@ -458,18 +460,18 @@
 
 
 def authority_in(folder: Path) -> Any:  # noqa: ANN401
-    from onyxhead.keys.authority import Authority
+    from onyxhead.keys.authority import CertificateAuthority
 
-    return Authority(folder)
+    return CertificateAuthority(folder)
 
 
 def carried(work: Any) -> Any:  # noqa: ANN401
     """What the authority's work returns; ends the command with one line if it can't be done."""
-    from onyxhead.keys.authority import Unissued
+    from onyxhead.keys.errors import IssuanceError
 
     try:
         return work()
-    except (Unissued, OSError) as error:
+    except (IssuanceError, OSError) as error:
         stop(REFUSED, error)
 
 
@@ -543,10 +545,10 @@
     agents: dict[str, Any] = {}
     try:
         if fleet_file is not None:
-            controllers, agents = load.operators(fleet_file)
+            controllers, agents = load.read_operators(fleet_file)
         controllers |= {address: parse_address(address) for address in addresses}
-    except Faulty as error:
-        stop(FAULTY, *error.faults)
+    except InvalidConfigurationError as error:
+        stop(FAULTY, *error.diagnostics)
     except MalformedViewError as error:
         stop(FAULTY, error)
     if not controllers:
@@ -557,13 +559,14 @@
 def identity_tls(identity: Path | None) -> Any:  # noqa: ANN401
     if identity is None:
         return None
-    from onyxhead.keys.rotate import Keys, Unusable
+    from onyxhead.keys.credentials import TlsCredentials
+    from onyxhead.keys.errors import KeyFileError
 
     folder, name = identity.parent, identity.name
-    files = load.Tls(folder / f"{name}.crt", folder / f"{name}.key", folder / "authorities.pem", None, 1.0)
+    files = model.TlsSettings(folder / f"{name}.crt", folder / f"{name}.key", folder / "authorities.pem", None, 1.0)
     try:
-        return Keys(files).client
-    except Unusable as error:
+        return TlsCredentials(files).client_context
+    except KeyFileError as error:
         stop(FAULTY, error)
 
 
@@ -590,22 +593,22 @@
         import getpass
         import secrets
 
-        from onyxhead.operate.fleet import command
+        from onyxhead.operate.fleet_client import send_command
 
         controllers, _ = members_of(fleet_file, addresses)
         number = number or secrets.token_hex(8)
         given = {"id": number, "verb": verb, "names": list(names), "by": getpass.getuser(), "dry_run": dry_run}
-        outcomes = asyncio.run(command(controllers, given, within, identity_tls(identity)))
+        outcomes = asyncio.run(send_command(controllers, given, within, identity_tls(identity)))
         if as_json:
-            click.echo(json.dumps({"id": number, "outcomes": [each._asdict() for each in outcomes]}, indent=2))
+            click.echo(json.dumps({"id": number, "outcomes": [each.to_json() for each in outcomes]}, indent=2))
         else:
             rows = [
                 {
                     "member": each.member,
                     "status": "not known" if each.status == "unknown" else each.status,
-                    "changed": each.told.get("changed", []),
-                    "channel_s": each.told.get("channel_s", "-"),
-                    "why": each.why,
+                    "changed": each.answer.get("changed", []),
+                    "channel_s": each.answer.get("channel_s", "-"),
+                    "why": each.reason,
                 }
                 for each in outcomes
             ]
@@ -635,13 +638,13 @@
     import time
     from urllib.parse import quote
 
-    from onyxhead.operate.fleet import states
+    from onyxhead.operate.fleet_client import query_members
 
     controllers, _ = members_of(fleet_file, addresses)
     target = "/v1/operate/" + "/".join(quote(name, safe="") for name in names)
     tls, until = identity_tls(identity), time.monotonic() + within
     while True:
-        told = asyncio.run(states(controllers, target, min(TIMEOUT, within), tls))
+        told = asyncio.run(query_members(controllers, target, min(TIMEOUT, within), tls))
         silent = sorted(name for name, state in told.items() if state is None)
         left = {
             name: state
@@ -676,28 +679,30 @@
     import time
 
     from onyxhead.operate import drift
-    from onyxhead.operate.fleet import states
+    from onyxhead.operate.fleet_client import query_members
 
     controllers, agents = members_of(fleet_file, addresses)
     tls = identity_tls(identity)
 
     async def look() -> list[drift.Difference]:
         told = await asyncio.gather(
-            states(controllers, "/v1/state", TIMEOUT, tls), states(agents, "/v1/state", TIMEOUT, tls)
+            query_members(controllers, "/v1/state", TIMEOUT, tls), query_members(agents, "/v1/state", TIMEOUT, tls)
         )
-        return drift.compare(*told)
+        return drift.find_differences(*told)
 
     first = asyncio.run(look())
-    if any(each.settles for each in first):
+    if any(each.transient for each in first):
         time.sleep(settle)
-        first = drift.lasting(first, asyncio.run(look()))
+        first = drift.lasting_differences(first, asyncio.run(look()))
     if as_json:
-        click.echo(json.dumps([each._asdict() for each in first], indent=2))
+        click.echo(json.dumps([each.to_json() for each in first], indent=2))
     elif not first:
         click.echo(f"{len(controllers)} controllers and {len(agents)} agents agree")
     else:
-        show_rows("differences", [{"what": each.what, "where": each.where, "told": each.told} for each in first])
-    silent = any(each.what == "silent" for each in first)
+        show_rows(
+            "differences", [{"what": each.kind, "where": each.subject, "told": each.description} for each in first]
+        )
+    silent = any(each.kind == "silent" for each in first)
     sys.exit(UNKNOWN if silent else REFUSED if first else 0)
 
 
@@ -715,8 +720,8 @@
 
     async def asked(member: str, target: str) -> Any:  # noqa: ANN401
         try:
-            response = await ask_once(controllers[member], Request("GET", target), TIMEOUT, tls)
-        except Fault as error:
+            response = await fetch_once(controllers[member], Request("GET", target), TIMEOUT, tls)
+        except HttpError as error:
             raise OSError(str(error)) from None
         if response.status != 200:
             raise OSError(f"{response.status}")
@@ -836,8 +841,8 @@
 
     try:
         return read(file)
-    except Faulty as error:
-        stop(FAULTY, *error.faults)
+    except InvalidConfigurationError as error:
+        stop(FAULTY, *error.diagnostics)
 
 
 @export_.command("nginx")
@@ -877,7 +882,7 @@
 
 @trial.command("list")
 def list_days() -> None:
-    """Name the days, and the kinds of trouble that can be joined by '+'."""
+    """Name the days, and the field_kinds of trouble that can be joined by '+'."""
     from onyxhead.trial.days import DAYS, TROUBLES
 
     for name, troubles in DAYS.items():
@@ -928,13 +933,13 @@
     tls = identity_tls(identity)
     try:
         request = Request("GET", target) if given is None else Request("POST", target, {}, json.dumps(given).encode())
-        response = asyncio.run(ask_once(parse_address(address), request, TIMEOUT, tls))
+        response = asyncio.run(fetch_once(parse_address(address), request, TIMEOUT, tls))
         if response.status != 200:
             stop(REFUSED, f"{address}: {response.status} {response.body.decode(errors='replace').strip()}")
         return response.json()
     except MalformedViewError as error:
         stop(FAULTY, error)
-    except (OSError, Fault, TimeoutError, ValueError) as error:
+    except (OSError, HttpError, TimeoutError, ValueError) as error:
         stop(UNKNOWN, f"{address}: no answer: {error or 'in time'}")
 
 
--- a/onyxhead/controller/discovery.py
+++ b/onyxhead/controller/discovery.py
@@ -10,7 +10,7 @@
 
 from onyxhead.controller.errors import DiscoveryUnavailableError
 from onyxhead.http.client import Connection
-from onyxhead.http.messages import Fault, Request
+from onyxhead.http.messages import HttpError, Request
 
 LIST_PATH = "/v1/list"
 LONG_POLL_S = 5.0
@@ -71,6 +71,6 @@
                         await asyncio.sleep(interval_s)
         except TimeoutError:
             yield DiscoveryUnavailableError("discovery does not answer in time")
-        except (OSError, Fault) as error:
+        except (OSError, HttpError) as error:
             yield DiscoveryUnavailableError(f"discovery can't be reached: {error}")
         await asyncio.sleep(interval_s)
--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -74,9 +74,9 @@
             tuple(settings.members),
             Random(boot),
             now,
-            settings.period,
-            settings.timeout,
-            settings.suspicion,
+            settings.probe_period,
+            settings.probe_timeout,
+            settings.suspicion_timeout,
         )
         members = {name: Member(name, each.zone, each.pace) for name, each in settings.members.items()}
         self.coordinator = OwnershipCoordinator(membership, members, now, settings.settle)
--- a/onyxhead/controller/ingest_worker.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import os
 import struct
@@ -19,7 +20,7 @@
 import msgspec
 
 from onyxhead.controller.clock import Clock
-from onyxhead.http.messages import Request, Response, answer, problem
+from onyxhead.http.messages import Request, Response, json_response, problem_response
 from onyxhead.http.server import Server
 from onyxhead.intake.load_sums import LoadSums
 from onyxhead.intake.report_decoder import ReportDecoder
@@ -50,7 +51,7 @@
 class IngestWorker:
     """Takes reports in and decodes them slice by slice. `budget` in bytes a second."""
 
-    def __init__(self, seed: int, budget: int, keys: Keys | None, clock: Clock) -> None:
+    def __init__(self, seed: int, budget: int, keys: TlsCredentials | None, clock: Clock) -> None:
         self.decoder, self.budget, self.keys, self.clock = ReportDecoder(seed), budget, keys, clock
         self.credit = 0.0
         self.credited_at = clock.now()
@@ -130,7 +131,7 @@
     """Run a worker process with the settings of the command line. Returns its exit code."""
     try:
         asyncio.run(serve(json.loads(sys.argv[1])))
-    except (OSError, Unusable) as error:
+    except (OSError, KeyFileError) as error:
         print(error, file=sys.stderr)
         return 1
     return 0
--- a/onyxhead/controller/load_report_ingest.py
+++ b/onyxhead/controller/load_report_ingest.py
@@ -59,7 +59,7 @@
             self.supervisor.start(supervise_worker(self._worker_settings(number), number, self))
         assessed_at = written_at = self.host.now()
         while True:
-            await asyncio.sleep(self.settings.every)
+            await asyncio.sleep(self.settings.interval)
             frame = self.worker.decode_slice()
             self._count(frame)
             # What came in since the last time, whoever decoded it, is judged together: no backend on half of it.
--- a/onyxhead/node/discovery.py
+++ b/onyxhead/node/discovery.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from onyxhead.http.client import Connection
-from onyxhead.http.messages import Fault, Request, Response
+from onyxhead.http.messages import HttpError, Request, Response
 from onyxhead.node.endpoint_list import EndpointUpdate, InvalidEndpointListError, SettingsIndex, parse_endpoint_list
 
 ENDPOINTS_PATH = "/v1/servers"
@@ -93,7 +93,7 @@
                 await self._follow(address)
             except TimeoutError:
                 self.on_failure("no answer in time")
-            except (OSError, Fault) as error:
+            except (OSError, HttpError) as error:
                 self.on_failure(str(error))
             except Exception as error:
                 # What was missed can't be told from such an answer, or was not taken in for an error of ours: the
@@ -112,7 +112,7 @@
         async with asyncio.timeout(RESPONSE_MARGIN_S):
             connection = await Connection.open(*address)
         async with connection:
-            while connection.usable and not self._is_superseded():
+            while connection.reusable and not self._is_superseded():
                 known_revision = self.revision
                 update = self._read_response(await _request_list(connection, known_revision), known_revision)
                 self.answered |= self._is_current()
@@ -120,7 +120,7 @@
 
     def _read_response(self, response: Response, known_revision: int | None) -> EndpointUpdate:
         if response.status != OK:
-            raise Fault(f"discovery answers {response.status}")
+            raise HttpError(f"discovery answers {response.status}")
         update = parse_endpoint_list(response.body, self.index)
         if known_revision is not None and update.revision < known_revision:
             raise InvalidEndpointListError(f"revision {update.revision} after {known_revision}")
@@ -142,4 +142,4 @@
     if known_revision is not None:
         target, wait_s = f"{ENDPOINTS_PATH}?index={known_revision}&wait={WATCH_WAIT_MS}", WATCH_WAIT_MS / 1000
     async with asyncio.timeout(RESPONSE_MARGIN_S + wait_s):
-        return await connection.ask(Request("GET", target), MAX_LIST_BYTES)
+        return await connection.fetch(Request("GET", target), MAX_LIST_BYTES)
