--- a/onyxhead/controller/configuration_service.py
+++ b/onyxhead/controller/configuration_service.py
@@ -17,7 +17,7 @@
 from onyxhead.controller.controller_status import controller_status
 from onyxhead.controller.core import ControllerCore
 from onyxhead.fronts.netconf import schema
-from onyxhead.settings.load import Controller
+from onyxhead.settings.model import ControllerSettings
 from onyxhead.store.records import CommitRecord
 from onyxhead.store.store import Store
 from onyxhead.store.value_names import SETTINGS_TREE, STARTUP_DATASTORE
@@ -28,7 +28,7 @@
 
 
 def open_configuration_service(
-    settings: Controller,
+    settings: ControllerSettings,
     store: Store,
     facts: Callable[[], FleetFacts],
     apply: Callable[[Tree, CommitPlan], None],
@@ -64,7 +64,7 @@
     return ConfigurationService(datastores, access, callbacks)
 
 
-def _commits(settings: Controller, store: Store) -> list[Commit]:
+def _commits(settings: ControllerSettings, store: Store) -> list[Commit]:
     """The stored commits, with one more if the settings file has changed."""
     commits = [Commit(*record) for record in store.load_commits()]
     tree = tree_of(settings)
--- a/onyxhead/controller/decision_loop.py
+++ b/onyxhead/controller/decision_loop.py
@@ -17,7 +17,7 @@
 from onyxhead.controller.proxy_streams import ProxyStreams
 from onyxhead.controller.task_supervisor import TaskSupervisor
 from onyxhead.policy.decisions import Withdrawal
-from onyxhead.settings.load import Probes
+from onyxhead.settings.model import HealthCheckSettings
 from onyxhead.store.store import Store
 from onyxhead.time_units import TICKS_PER_SECOND
 
@@ -39,13 +39,13 @@
         store: Store,
         streams: ProxyStreams,
         supervisor: TaskSupervisor,
-        health_checks: Probes,
+        health_checks: HealthCheckSettings,
         subscribed: asyncio.Event,
         notify: Notify | None,
     ) -> None:
         self.host, self.store, self.streams, self.supervisor = host, store, streams, supervisor
         self.health_checks, self.subscribed, self.notify = health_checks, subscribed, notify
-        self.health_check_slots = asyncio.Semaphore(health_checks.at_once)
+        self.health_check_slots = asyncio.Semaphore(health_checks.max_concurrent)
 
     async def run(self) -> None:
         """Decide for ever."""
--- a/onyxhead/controller/discovery.py
+++ b/onyxhead/controller/discovery.py
@@ -60,7 +60,7 @@
                     if etag:
                         headers["if-none-match"] = etag
                     async with asyncio.timeout(TIMEOUT_S + LONG_POLL_S):
-                        response = await connection.ask(Request("GET", LIST_PATH, headers))
+                        response = await connection.fetch(Request("GET", LIST_PATH, headers))
                     if response.status == HTTPStatus.OK:
                         etag = response.headers.get("etag", "")
                         yield response.body
--- a/onyxhead/controller/discovery_watch.py
+++ b/onyxhead/controller/discovery_watch.py
@@ -13,7 +13,7 @@
 from onyxhead.controller.endpoint_list import EndpointList, EndpointListFollower, EndpointUpdate, parse_endpoint_list
 from onyxhead.controller.endpoint_overlay import EndpointOverlay
 from onyxhead.controller.errors import DiscoveryUnavailableError, InvalidEndpointListError
-from onyxhead.settings.load import Controller
+from onyxhead.settings.model import ControllerSettings
 from onyxhead.store.store import Store
 
 log = structlog.get_logger()
@@ -22,7 +22,7 @@
 class DiscoveryWatch:
     """`endpoint_list` is the last good list as discovery gave it, `received_at` its wall time, 0.0 for never."""
 
-    def __init__(self, settings: Controller, host: CoreHost, store: Store, overlay: EndpointOverlay) -> None:
+    def __init__(self, settings: ControllerSettings, host: CoreHost, store: Store, overlay: EndpointOverlay) -> None:
         self.settings, self.host, self.store, self.overlay = settings, host, store, overlay
         self.subscribed = asyncio.Event()
         """Set while the policy wants to follow discovery."""
@@ -62,7 +62,7 @@
 
     async def run(self) -> None:
         """Follow discovery for ever."""
-        last_error, on_demand = "", self.settings.start.subscription_required
+        last_error, on_demand = "", self.settings.deployment.subscription_required
         if on_demand:
             await self.subscribed.wait()
         async for body in self._bodies():
@@ -86,9 +86,9 @@
     def _bodies(self) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
         source = self.settings.discovery
         if source.file is not None:
-            return discovery.watch_file(source.file, source.every)
+            return discovery.watch_file(source.file, source.interval)
         assert source.server is not None
-        return discovery.poll_server(source.server, source.every, self.settings.name)
+        return discovery.poll_server(source.server, source.interval, self.settings.name)
 
     async def _resubscribe(self) -> None:
         """Leave discovery alone until the policy asks for it again."""
--- a/onyxhead/controller/endpoint_overlay.py
+++ b/onyxhead/controller/endpoint_overlay.py
@@ -7,15 +7,15 @@
 from onyxhead.controller.configuration.tree import Tree
 from onyxhead.controller.configuration.views import overlaid
 from onyxhead.controller.endpoint_list import DRAINING, EndpointList
-from onyxhead.operate.standing import Standing, held_out
+from onyxhead.operate.overrides import BackendOverrides, keeps_out
 from onyxhead.policy.inputs import Endpoint
 
 
 class EndpointOverlay:
-    """`tree` is the configuration in effect, `operator_orders` are the drains and cordons by command."""
+    """`tree` is the configuration in effect, `overrides` are the drains and cordons by command."""
 
-    def __init__(self, tree: Tree, operator_orders: Standing) -> None:
-        self.tree, self.operator_orders = tree, operator_orders
+    def __init__(self, tree: Tree, overrides: BackendOverrides) -> None:
+        self.tree, self.overrides = tree, overrides
 
     def apply(
         self, endpoint_list: EndpointList, last: EndpointList | None, endpoints: Mapping[str, Endpoint]
@@ -26,9 +26,7 @@
         in_use = last.entries if last is not None else ()
         serving = {e.id: e.started for e in in_use if e.id in endpoints and endpoints[e.id].ready}
         entries = tuple(
-            entry._replace(state=DRAINING)
-            if held_out(self.operator_orders, entry.id, entry.started, serving)
-            else entry
+            entry._replace(state=DRAINING) if keeps_out(self.overrides, entry.id, entry.started, serving) else entry
             for entry in configured.entries
         )
         return configured._replace(entries=entries)
--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -19,10 +19,10 @@
 from onyxhead.fleet.membership import MalformedPacketError, Membership, Packet, read
 from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
 from onyxhead.fleet.slow_start_budget import SlowStartBudget, parse_report
-from onyxhead.http.client import ask_once
-from onyxhead.http.messages import Fault, Request, Response, answer, problem
-from onyxhead.keys.rotate import Keys
-from onyxhead.settings.load import Fellow, Fleet
+from onyxhead.http.client import fetch_once
+from onyxhead.http.messages import HttpError, Request, Response, json_response, problem_response
+from onyxhead.keys.credentials import TlsCredentials
+from onyxhead.settings.model import FleetMember, FleetSettings
 from onyxhead.store.errors import StoreUnavailableError
 from onyxhead.store.store import Store
 from onyxhead.store.value_names import BUDGET_GRANTS, FLEET_MEMBERS
@@ -55,11 +55,11 @@
     def __init__(
         self,
         name: str,
-        settings: Fleet,
+        settings: FleetSettings,
         host: CoreHost,
         store: Store,
         supervisor: TaskSupervisor,
-        keys: Keys | None,
+        keys: TlsCredentials | None,
         streams: StreamControl,
         list_version: Callable[[], int],
     ) -> None:
@@ -78,8 +78,8 @@
             settings.probe_timeout,
             settings.suspicion_timeout,
         )
-        members = {name: Member(name, each.zone, each.pace) for name, each in settings.members.items()}
-        self.coordinator = OwnershipCoordinator(membership, members, now, settings.settle)
+        members = {name: Member(name, each.zone, each.lines_per_second) for name, each in settings.members.items()}
+        self.coordinator = OwnershipCoordinator(membership, members, now, settings.settle_time)
         # A disk that knows of an earlier incarnation would know its grants; an empty one proves nothing.
         grants = store.get(BUDGET_GRANTS) or ([] if host.core.epoch > 1 else None)
         self.budget = SlowStartBudget(name, now, grants, lambda made: store.put(BUDGET_GRANTS, made))
@@ -115,7 +115,7 @@
                 self._on_membership_change(now, change)
             self._share_budget(now)
             self._hand_over_next(now)
-            await asyncio.sleep(self.settings.timeout / TICKS_PER_SECOND / 2)
+            await asyncio.sleep(self.settings.probe_timeout / TICKS_PER_SECOND / 2)
 
     def _on_membership_change(self, now: int, change: str) -> None:
         log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change=change, alive=self.coordinator.alive)
@@ -159,16 +159,16 @@
         member = self.settings.members.get(packet.to)
         if member is None:
             return
-        document = answer(HTTPStatus.OK, {"packet": packet.plain(), "news": self._report()})
-        timeout_s = 2 * self.settings.timeout / TICKS_PER_SECOND
+        document = json_response(HTTPStatus.OK, {"packet": packet.plain(), "news": self._report()})
+        timeout_s = 2 * self.settings.probe_timeout / TICKS_PER_SECOND
         request = Request("POST", FLEET_PATH, document.headers, document.body)
         try:
-            response = await ask_once(
-                member.address, request, timeout_s, self.keys.client if self.keys is not None else None
+            response = await fetch_once(
+                member.address, request, timeout_s, self.keys.client_context if self.keys is not None else None
             )
             given = response.json()
             self._receive(given["packets"], given.get("news"), packet.to)
-        except (OSError, Fault, TimeoutError, ValueError, KeyError, TypeError):
+        except (OSError, HttpError, TimeoutError, ValueError, KeyError, TypeError):
             # To the membership protocol, a packet without a proper answer is a packet that was lost.
             return
 
@@ -198,14 +198,14 @@
             if str(error) not in self.logged_errors and len(self.logged_errors) < MAX_LOGGED_ERRORS:
                 self.logged_errors.add(str(error))
                 log.warning(log_events.GOSSIP_PACKET_REJECTED, error=str(error))
-            return problem(HTTPStatus.UNPROCESSABLE_ENTITY, str(error))
+            return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, str(error))
         except (ValueError, KeyError, TypeError) as error:
-            return problem(HTTPStatus.BAD_REQUEST, f"not a packet: {error}")
+            return problem_response(HTTPStatus.BAD_REQUEST, f"not a packet: {error}")
         back = [packet for packet in replies if packet.to == sender]
         for packet in replies:
             if packet.to != sender:
                 self.supervisor.start_background(self._send(packet))
-        return answer(HTTPStatus.OK, {"packets": [packet.plain() for packet in back], "news": self._report()})
+        return json_response(HTTPStatus.OK, {"packets": [packet.plain() for packet in back], "news": self._report()})
 
     def _report(self) -> dict[str, Any]:
         """What this controller tells the others beside its packets."""
@@ -226,29 +226,29 @@
         """Leave the fleet and hand over all proxies."""
         self.coordinator.membership.leave()
         log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change="leaving: all proxies are handed over")
-        return answer(HTTPStatus.OK, {"proxies": len(self.own_proxies())})
+        return json_response(HTTPStatus.OK, {"proxies": len(self.own_proxies())})
 
     def _move(self, arguments: dict[str, Any]) -> Response:
         """Have one proxy served by a certain controller."""
         proxy, to = str(arguments.get("proxy")), str(arguments.get("to"))
         if to not in self.coordinator.serving():
-            return problem(HTTPStatus.CONFLICT, f"{to} is not known to serve now")
+            return problem_response(HTTPStatus.CONFLICT, f"{to} is not known to serve now")
         self.coordinator.sticky[proxy] = to
-        return answer(HTTPStatus.OK, {"proxy": proxy, "to": to, "here": proxy in self.own_proxies()})
+        return json_response(HTTPStatus.OK, {"proxy": proxy, "to": to, "here": proxy in self.own_proxies()})
 
     def _change_member(self, arguments: dict[str, Any]) -> Response:
         """Add, change or remove a member, over the settings and across restarts."""
         name, member = str(arguments.get("name")), arguments.get("member")
         if name == self.coordinator.own_name and member is None:
-            return problem(HTTPStatus.CONFLICT, "a controller leaves by handover, not by removing itself")
+            return problem_response(HTTPStatus.CONFLICT, "a controller leaves by handover, not by removing itself")
         try:
             self._set_member(name, member, self.host.now())
         except (ValueError, KeyError, TypeError) as error:
-            return problem(HTTPStatus.UNPROCESSABLE_ENTITY, f"not a member: {error}")
+            return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, f"not a member: {error}")
         self.store.put(FLEET_MEMBERS, (self.store.get(FLEET_MEMBERS) or {}) | {name: member})
         change = f"{name} {'removed' if member is None else 'put in'} by command"
         log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change=change)
-        return answer(HTTPStatus.OK, {"members": sorted(self.settings.members)})
+        return json_response(HTTPStatus.OK, {"members": sorted(self.settings.members)})
 
     def _set_member(self, name: str, given: dict[str, Any] | None, now: int) -> None:
         """Add, change or (with None) remove a member. Raises ValueError, KeyError for one that is malformed."""
@@ -259,11 +259,11 @@
             coordinator.peer_reports.pop(name, None)
             coordinator.membership.remove(name)
             return
-        member = Fellow(parse_address(given["address"]), str(given["zone"]), float(given["pace"]))
-        if not name or not 0 < member.pace < MAX_PACE:
+        member = FleetMember(parse_address(given["address"]), str(given["zone"]), float(given["pace"]))
+        if not name or not 0 < member.lines_per_second < MAX_PACE:
             raise ValueError("name or pace out of range")
         members[name] = member
-        coordinator.members[name] = Member(name, member.zone, member.pace)
+        coordinator.members[name] = Member(name, member.zone, member.lines_per_second)
         coordinator.membership.add(name, now)
 
     def _find_owner(self, arguments: dict[str, Any]) -> Response:
@@ -277,4 +277,4 @@
             reports = sorted(self.coordinator.peer_reports.items(), key=lambda item: -item[1].received_at)
             alive = self.coordinator.alive
             owner = next((name for name, report in reports if name in alive and proxy in report.proxies), None)
-        return answer(HTTPStatus.OK, {"proxy": proxy, "served_by": owner})
+        return json_response(HTTPStatus.OK, {"proxy": proxy, "served_by": owner})
--- a/onyxhead/controller/health_check.py
+++ b/onyxhead/controller/health_check.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from onyxhead.health_check import HealthCheckFailedError, request_health
-from onyxhead.http.messages import MOST_BODY
+from onyxhead.http.messages import MAX_BODY_BYTES
 from onyxhead.policy.inputs import HealthCheckResult, LoadReport
 from onyxhead.tables.addresses import parse_address
 from onyxhead.time_units import TICKS_PER_MILLISECOND
@@ -32,7 +32,7 @@
 async def check_health(address: str, path: str, timeout: float) -> HealthCheckOutcome:
     """Check a backend once; `timeout` in seconds."""
     try:
-        response = await request_health(parse_address(address), path, timeout, MOST_BODY)
+        response = await request_health(parse_address(address), path, timeout, MAX_BODY_BYTES)
     except HealthCheckFailedError as error:
         return HealthCheckOutcome(error.result, LoadReport())
     healthy = 200 <= response.status < 300
--- a/onyxhead/controller/http_routes.py
+++ b/onyxhead/controller/http_routes.py
@@ -24,10 +24,10 @@
 from onyxhead.controller.load_stats import parse_load_stats
 from onyxhead.controller.operator_commands import OperatorCommands
 from onyxhead.controller.version_requests import CHANGING_VERBS, handle_version_request
-from onyxhead.http.messages import Request, Response, answer, problem
-from onyxhead.keys.rotate import Keys, Peer, peer_of
+from onyxhead.http.messages import Request, Response, json_response, problem_response
+from onyxhead.keys.credentials import PeerIdentity, TlsCredentials, peer_identity
 from onyxhead.series.time_series_store import TimeSeriesStore, UnknownSeriesError
-from onyxhead.settings.load import Controller
+from onyxhead.settings.model import ControllerSettings
 from onyxhead.store.store import Store
 from onyxhead.store.value_names import TABLE_LABELS
 from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
@@ -44,10 +44,10 @@
     is None if none are taken.
     """
 
-    settings: Controller
+    settings: ControllerSettings
     host: CoreHost
     store: Store
-    keys: Keys | None
+    keys: TlsCredentials | None
     watch: DiscoveryWatch
     overlay: EndpointOverlay
     joins: JoinHandler
@@ -66,35 +66,35 @@
         """The response to a request."""
         path = request.target.split("?")[0].strip("/").split("/")
         if self.parts.keys is not None:
-            peer = peer_of(writer.get_extra_info("peercert"))
+            peer = peer_identity(writer.get_extra_info("peercert"))
             if not is_allowed(request, path, peer):
-                return problem(HTTPStatus.FORBIDDEN, "this certificate may not ask that")
+                return problem_response(HTTPStatus.FORBIDDEN, "this certificate may not ask that")
         response = await self._state_request(request, path)
         if response is None and self.parts.load_reports is not None:
             response = await self._load_request(self.parts.load_reports, request, path)
         if response is None and self.parts.fleet is not None:
             response = _fleet_request(self.parts.fleet, request, path)
-        return response or self._proxy_request(request, path) or problem(HTTPStatus.NOT_FOUND, "nothing here")
+        return response or self._proxy_request(request, path) or problem_response(HTTPStatus.NOT_FOUND, "nothing here")
 
     async def _state_request(self, request: Request, path: list[str]) -> Response | None:
         """Requests on the controller's state, of operators."""
         parts = self.parts
         match request.method, path:
             case "GET", ["v1", "health"]:
-                return answer(HTTPStatus.OK, {"name": parts.settings.name, "epoch": parts.host.core.epoch})
+                return json_response(HTTPStatus.OK, {"name": parts.settings.name, "epoch": parts.host.core.epoch})
             case "GET", ["v1", "state"]:
-                return answer(HTTPStatus.OK, self._state())
+                return json_response(HTTPStatus.OK, self._state())
             case "GET", ["v1", "config"]:
                 tree = parts.overlay.tree or tree_of(parts.settings)
-                return answer(HTTPStatus.OK, {"records": as_records(tree, parts.settings.prefixes)})
+                return json_response(HTTPStatus.OK, {"records": as_records(tree, parts.settings.prefixes)})
             case "GET", ["v1", "orders"]:
                 records = await asyncio.to_thread(parts.store.recent_decisions, SHOWN_DECISIONS)
-                return answer(HTTPStatus.OK, [record.to_json() for record in records])
+                return json_response(HTTPStatus.OK, [record.to_json() for record in records])
             case "POST", ["v1", "operate"]:
                 return parts.operators.handle(request)
             case "GET", ["v1", "operate", *selectors]:
                 progress = parts.operators.progress([unquote(each) for each in selectors] or ["*"])
-                return answer(HTTPStatus.OK, progress)
+                return json_response(HTTPStatus.OK, progress)
             case (("GET" | "POST"), ["v1", "tables", verb]):
                 return self._version_request(verb, request)
         return None
@@ -105,9 +105,9 @@
             case "POST", ["v1", "load", sender]:
                 return load_reports.accept(sender, request.body)
             case "GET", ["v1", "load", "busy"]:
-                return answer(HTTPStatus.OK, load_reports.utilization())
+                return json_response(HTTPStatus.OK, load_reports.utilization())
             case "GET", ["v1", "load"]:
-                return answer(HTTPStatus.OK, load_reports.state())
+                return json_response(HTTPStatus.OK, load_reports.state())
             case ("GET", ["v1", "series", *name]) if load_reports.series is not None:
                 return await _series_request(load_reports.series, unquote("/".join(name)), request.target)
         return None
@@ -123,7 +123,7 @@
 
     def _state(self) -> dict[str, Any]:
         parts = self.parts
-        orders, received_at = parts.overlay.operator_orders, parts.watch.received_at
+        orders, received_at = parts.overlay.overrides, parts.watch.received_at
         age_s = round(time.time() - received_at, 1) if received_at else None
         own = {
             "name": parts.settings.name,
@@ -142,18 +142,18 @@
                 raise ValueError("not an object")
             if verb in CHANGING_VERBS:
                 if request.method != "POST":
-                    return problem(HTTPStatus.METHOD_NOT_ALLOWED, f"{verb} is asked for by POST")
+                    return problem_response(HTTPStatus.METHOD_NOT_ALLOWED, f"{verb} is asked for by POST")
                 shown = {name: arguments.get(name) for name in ("version", "label", "seconds")}
                 log.info(log_events.VERSION_REQUESTED, verb=verb, **shown)
                 host.wake()
             answered = handle_version_request(host.core.versions, now, verb, arguments, self._save_labels)
-            return answer(HTTPStatus.OK, answered)
+            return json_response(HTTPStatus.OK, answered)
         except UnknownVersionError as error:
-            return problem(HTTPStatus.NOT_FOUND, str(error.args[0]))
+            return problem_response(HTTPStatus.NOT_FOUND, str(error.args[0]))
         except RollbackRejectedError as error:
-            return problem(HTTPStatus.CONFLICT, str(error))
+            return problem_response(HTTPStatus.CONFLICT, str(error))
         except (ValueError, KeyError, TypeError) as error:
-            return problem(HTTPStatus.BAD_REQUEST, f"not understood: {error}")
+            return problem_response(HTTPStatus.BAD_REQUEST, f"not understood: {error}")
 
     def _save_labels(self, labels: dict[str, int]) -> None:
         self.parts.store.put(TABLE_LABELS, labels)
@@ -167,17 +167,17 @@
                 raise InvalidStatisticsError("boot or number is missing")
             statistics = parse_load_stats(document)
         except (ValueError, KeyError, TypeError) as error:
-            return problem(HTTPStatus.BAD_REQUEST, f"not a report: {error}")
+            return problem_response(HTTPStatus.BAD_REQUEST, f"not a report: {error}")
         host = self.parts.host
         is_new = host.core.on_request_statistics(host.now(), name, boot, number, statistics)
-        return answer(HTTPStatus.OK, {"taken": is_new})
+        return json_response(HTTPStatus.OK, {"taken": is_new})
 
 
-def is_allowed(request: Request, path: list[str], peer: Peer | None) -> bool:
+def is_allowed(request: Request, path: list[str], peer: PeerIdentity | None) -> bool:
     """Whether a peer may make a request: an agent only reports and joins for itself, operators and controllers may do
     everything else, and everybody with a certificate may read."""
     if path[:2] in (["v1", "load"], ["v1", "proxies"]) and request.method != "GET":
-        return peer == Peer(AGENT_ROLE, path[2] if len(path) > 2 else "")
+        return peer == PeerIdentity(AGENT_ROLE, path[2] if len(path) > 2 else "")
     return peer is not None and (request.method == "GET" or peer.role in (OPERATOR_ROLE, CONTROLLER_ROLE))
 
 
@@ -187,7 +187,7 @@
         case "POST", ["v1", "fleet"]:
             return fleet.handle_packet(request)
         case "GET", ["v1", "fleet"]:
-            return answer(HTTPStatus.OK, fleet.status())
+            return json_response(HTTPStatus.OK, fleet.status())
         case "POST", ["v1", "fleet", verb] if (handler := fleet.handlers.get(verb)) is not None:
             return _fleet_command(handler, request)
     return None
@@ -198,19 +198,19 @@
         arguments = request.json()
         return handler(arguments if isinstance(arguments, dict) else {})
     except ValueError as error:
-        return problem(HTTPStatus.BAD_REQUEST, str(error))
+        return problem_response(HTTPStatus.BAD_REQUEST, str(error))
 
 
 async def _series_request(series: TimeSeriesStore, name: str, target: str) -> Response:
     if not name:
-        return answer(HTTPStatus.OK, await asyncio.to_thread(series.names))
+        return json_response(HTTPStatus.OK, await asyncio.to_thread(series.names))
     query = parse_qs(target.partition("?")[2])
     try:
         until = float(query.get("until", [str(time.time())])[0])
         since = float(query.get("since", [str(until - DEFAULT_SERIES_SPAN_S)])[0])
         samples = await asyncio.to_thread(series.read, name, since, until)
-        return answer(HTTPStatus.OK, samples.to_json())
+        return json_response(HTTPStatus.OK, samples.to_json())
     except UnknownSeriesError as error:
-        return problem(HTTPStatus.NOT_FOUND, str(error.args[0]))
+        return problem_response(HTTPStatus.NOT_FOUND, str(error.args[0]))
     except ValueError as error:
-        return problem(HTTPStatus.BAD_REQUEST, str(error))
+        return problem_response(HTTPStatus.BAD_REQUEST, str(error))
--- a/onyxhead/controller/ingest_worker.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -24,8 +24,9 @@
 from onyxhead.http.server import Server
 from onyxhead.intake.load_sums import LoadSums
 from onyxhead.intake.report_decoder import ReportDecoder
-from onyxhead.keys.rotate import Keys, Peer, Unusable, peer_of
-from onyxhead.settings.load import Tls
+from onyxhead.keys.credentials import PeerIdentity, TlsCredentials, peer_identity
+from onyxhead.keys.errors import KeyFileError
+from onyxhead.settings.model import TlsSettings
 from onyxhead.time_units import TICKS_PER_SECOND
 
 FRAME_LENGTH = struct.Struct(">I")
@@ -60,19 +61,21 @@
         """The response to a request that brings reports."""
         path = request.target.strip("/").split("/")
         if request.method != "POST" or path[:2] != ["v1", "load"] or len(path) != 3:
-            return problem(HTTPStatus.NOT_FOUND, "nothing here")
+            return problem_response(HTTPStatus.NOT_FOUND, "nothing here")
         sender = path[2]
-        if self.keys is not None and peer_of(writer.get_extra_info("peercert")) != Peer(AGENT_ROLE, sender):
-            return problem(HTTPStatus.FORBIDDEN, "this certificate may not report that")
+        if self.keys is not None and peer_identity(writer.get_extra_info("peercert")) != PeerIdentity(
+            AGENT_ROLE, sender
+        ):
+            return problem_response(HTTPStatus.FORBIDDEN, "this certificate may not report that")
         return self.accept(sender, request.body)
 
     def accept(self, sender: str, body: bytes) -> Response:
         """Queue a body of reports for decoding."""
         if len(body) > MAX_BODY_BYTES:
-            return problem(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"a body of over {MAX_BODY_BYTES} bytes")
+            return problem_response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"a body of over {MAX_BODY_BYTES} bytes")
         if not self.decoder.offer(sender, body, self.clock.now()):
-            return problem(HTTPStatus.SERVICE_UNAVAILABLE, "too many senders")
-        return answer(HTTPStatus.ACCEPTED, {})
+            return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, "too many senders")
+        return json_response(HTTPStatus.ACCEPTED, {})
 
     def decode_slice(self) -> WorkerFrame:
         """Decode as much as the budget allows now."""
@@ -90,12 +93,12 @@
 
 
 async def serve(settings: dict[str, Any]) -> None:
-    """Run a worker process until its standard input ends. Raises OSError, Unusable."""
+    """Run a worker process until its standard input ends. Raises OSError, KeyFileError."""
     keys = _keys(settings.get("tls"))
     worker = IngestWorker(settings["seed"], settings["budget"], keys, Clock(time.time, time.monotonic))
     server = Server(worker.handle_request, MAX_BODY_BYTES)
     host, port = settings["listen"]
-    await server.start(host, port, keys.server if keys else None)
+    await server.start(host, port, keys.server_context if keys else None)
     reader, writer = await _standard_streams()
     # The controller holds its end of standard input for as long as it lives; this process ends with it.
     controller_ended = asyncio.create_task(reader.read())
@@ -106,16 +109,19 @@
         writer.write(FRAME_LENGTH.pack(len(body)) + body)
         await writer.drain()
         frames += 1
-        if keys is not None and frames % KEY_CHECK_FRAMES == 0 and keys.refresh() == "":
-            await server.start(host, port, keys.server)
+        if keys is not None and frames % KEY_CHECK_FRAMES == 0:
+            # Files that can't be used are logged by the controller, which follows the same ones.
+            with contextlib.suppress(KeyFileError):
+                if keys.refresh():
+                    await server.start(host, port, keys.server_context)
 
 
-def _keys(files: list[str | None] | None) -> Keys | None:
+def _keys(files: list[str | None] | None) -> TlsCredentials | None:
     if not files:
         return None
     certificate, key, authorities, revoked = (Path(file) if file else None for file in files)
     assert certificate and key and authorities
-    return Keys(Tls(certificate, key, authorities, revoked, 1.0))
+    return TlsCredentials(TlsSettings(certificate, key, authorities, revoked, 1.0))
 
 
 async def _standard_streams() -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
--- a/onyxhead/controller/ingest_worker_process.py
+++ b/onyxhead/controller/ingest_worker_process.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, Protocol
 
 from onyxhead.controller.ingest_worker import FRAME_DECODER, FRAME_LENGTH, WorkerFrame
-from onyxhead.settings.load import Address, Tls
+from onyxhead.settings.model import Address, TlsSettings
 
 RESTART_DELAY_S = 0.5
 WORKER_MODULE = "onyxhead.controller.ingest_worker"
@@ -22,7 +22,7 @@
     interval_s: float
     seed: int
     budget: int
-    tls: Tls | None
+    tls: TlsSettings | None
 
     def to_json(self) -> str:
         """The argument of the worker's process."""
--- a/onyxhead/controller/join_handler.py
+++ b/onyxhead/controller/join_handler.py
@@ -11,8 +11,8 @@
 from onyxhead.controller.proxies import JoinRequest
 from onyxhead.controller.proxy_streams import ProxyStreams, StreamParameters
 from onyxhead.fleet.fencing import StaleTokenError, next_token
-from onyxhead.http.messages import Request, Response, answer, problem
-from onyxhead.settings.load import Controller
+from onyxhead.http.messages import Request, Response, json_response, problem_response
+from onyxhead.settings.model import ControllerSettings
 from onyxhead.tables.addresses import parse_address
 from onyxhead.tables.errors import MalformedViewError
 from onyxhead.tables.view import View
@@ -46,7 +46,9 @@
 class JoinHandler:
     """`owners` is None for a controller that is alone."""
 
-    def __init__(self, settings: Controller, host: CoreHost, streams: ProxyStreams, owners: Owners | None) -> None:
+    def __init__(
+        self, settings: ControllerSettings, host: CoreHost, streams: ProxyStreams, owners: Owners | None
+    ) -> None:
         self.settings, self.host, self.streams, self.owners = settings, host, streams, owners
 
     def handle(self, name: str, request: Request) -> Response:
@@ -54,36 +56,36 @@
         try:
             join = _parse(name, request)
         except (ValueError, KeyError, TypeError, MalformedViewError) as error:
-            return problem(HTTPStatus.BAD_REQUEST, f"not a join: {error}")
+            return problem_response(HTTPStatus.BAD_REQUEST, f"not a join: {error}")
         if (refusal := self._check(join)) is not None:
             return refusal
         try:
             self.host.core.proxy_number(name)
             fencing_token = next_token(join.fencing_token)
         except (OverflowError, StaleTokenError) as error:
-            return problem(HTTPStatus.INSUFFICIENT_STORAGE, str(error))
+            return problem_response(HTTPStatus.INSUFFICIENT_STORAGE, str(error))
         token = f"{self.settings.name}.{secrets.token_hex(STREAM_TOKEN_BYTES)}"
         self.streams.open(join.request, StreamParameters(join.address, token, fencing_token, join.heartbeat_s))
         accepted = {
             "stream": token,
             "token": fencing_token,
             "controller": self.settings.name,
-            "report_every": self.settings.start.report_interval / TICKS_PER_SECOND,
+            "report_every": self.settings.deployment.report_interval / TICKS_PER_SECOND,
         }
-        return answer(HTTPStatus.OK, accepted)
+        return json_response(HTTPStatus.OK, accepted)
 
     def _check(self, join: ParsedJoin) -> Response | None:
         """The response to a join that is not accepted."""
         request, token = join.request, join.fencing_token
         if request.zone not in self.settings.zones:
-            return problem(HTTPStatus.UNPROCESSABLE_ENTITY, f"zone {request.zone!r} is not served here")
+            return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, f"zone {request.zone!r} is not served here")
         if not 0 <= request.baseline_rate < MAX_BASELINE_RATE or type(token) is not int or token < 0:
-            return problem(HTTPStatus.UNPROCESSABLE_ENTITY, "usual flows or token out of range")
+            return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, "usual flows or token out of range")
         if self.owners is not None and not join.insists:
             better = self.owners.better_owner(request.name, request.zone)
             if better is not None:
                 redirect = {"controller": self.settings.name, "better": better}
-                return answer(HTTPStatus.TEMPORARY_REDIRECT, redirect)
+                return json_response(HTTPStatus.TEMPORARY_REDIRECT, redirect)
         if (wait := self.host.core.join_backoff.remaining(self.host.now(), request.name)) > 0:
             retry_after = str(math.ceil(wait / TICKS_PER_SECOND))
             return Response(HTTPStatus.SERVICE_UNAVAILABLE, {"retry-after": retry_after}, b"")
--- a/onyxhead/controller/key_rotation.py
+++ b/onyxhead/controller/key_rotation.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import asyncio
 import ssl
 from collections.abc import Awaitable, Callable
 
@@ -10,26 +9,19 @@
 
 from onyxhead.controller import log_events
 from onyxhead.controller.proxy_streams import ProxyStreams
-from onyxhead.keys.rotate import Keys
+from onyxhead.keys.credentials import TlsCredentials, watch_key_files
 
 log = structlog.get_logger()
 
 
 async def rotate_keys(
-    keys: Keys,
+    keys: TlsCredentials,
     interval_s: float,
     restart_listeners: Callable[[ssl.SSLContext], Awaitable[None]],
     streams: ProxyStreams,
 ) -> None:
     """Check the key files for ever. `restart_listeners` makes all listeners use a context for new connections."""
-    while True:
-        await asyncio.sleep(interval_s)
-        error = keys.refresh()
-        if error is None:
-            continue
-        if error:
-            log.error(log_events.KEY_RELOAD_REJECTED, error=error)
-            continue
-        await restart_listeners(keys.server)
-        log.info(log_events.KEYS_RELOADED, generation=keys.generation, streams=len(streams.by_proxy))
+    async for _ in watch_key_files(keys, interval_s):
+        await restart_listeners(keys.server_context)
+        log.info(log_events.KEY_FILES_RELOADED, generation=keys.generation, streams=len(streams.by_proxy))
         await streams.renew_keys(keys.generation)
--- a/onyxhead/controller/load_report_ingest.py
+++ b/onyxhead/controller/load_report_ingest.py
@@ -22,7 +22,7 @@
 from onyxhead.intake.load_sums import LoadSums, merge_load_sums
 from onyxhead.intake.report_decoder import SHED_BY_SENDER_PREFIX
 from onyxhead.series.time_series_store import TimeSeriesStore
-from onyxhead.settings.load import Intake, Tls
+from onyxhead.settings.model import LoadReportSettings, TlsSettings
 from onyxhead.time_units import TICKS_PER_SECOND
 
 ASSESSMENT_INTERVAL = TICKS_PER_SECOND
@@ -39,10 +39,15 @@
     """`pending` are sums of workers that the estimator has not got yet."""
 
     def __init__(
-        self, settings: Intake, seed: int, tls: Tls | None, host: CoreHost, supervisor: TaskSupervisor
+        self,
+        settings: LoadReportSettings,
+        seed: int,
+        tls: TlsSettings | None,
+        host: CoreHost,
+        supervisor: TaskSupervisor,
     ) -> None:
         self.settings, self.tls, self.host, self.supervisor = settings, tls, host, supervisor
-        self.worker = IngestWorker(seed, settings.budget, None, host.clock)
+        self.worker = IngestWorker(seed, settings.byte_rate_limit, None, host.clock)
         self.counts: Counter[str] = Counter()
         self.shed_senders: Counter[str] = Counter()
         self.pending: list[LoadSums] = []
@@ -103,7 +108,9 @@
 
     def _worker_settings(self, number: int) -> WorkerSettings:
         assert self.settings.listen is not None
-        return WorkerSettings(self.settings.listen, self.settings.every, number, self.settings.budget, self.tls)
+        return WorkerSettings(
+            self.settings.listen, self.settings.interval, number, self.settings.byte_rate_limit, self.tls
+        )
 
     def _count(self, frame: WorkerFrame) -> None:
         for name, count in frame.counts.items():
--- a/onyxhead/controller/log_events.py
+++ b/onyxhead/controller/log_events.py
@@ -27,8 +27,7 @@
 STREAM_REJECTED = "stream rejected by agent"
 STREAM_FAILED = "stream failed"
 
-KEYS_RELOADED = "keys reloaded"
-KEY_RELOAD_REJECTED = "key reload rejected"
+KEY_FILES_RELOADED = "key files reloaded"
 CONFIGURATION_APPLIED = "configuration applied"
 CONFIGURATION_AUDIT = "configuration audit"
 
--- a/onyxhead/controller/operator_commands.py
+++ b/onyxhead/controller/operator_commands.py
@@ -15,9 +15,9 @@
 from onyxhead.controller.endpoint_list import READY, EndpointEntry
 from onyxhead.controller.endpoint_overlay import EndpointOverlay
 from onyxhead.controller.proxies import NEVER_ACKNOWLEDGED
-from onyxhead.http.messages import Request, Response, answer, problem
-from onyxhead.operate.standing import Backend, Command, Odd, selected
-from onyxhead.settings.load import Controller
+from onyxhead.http.messages import Request, Response, json_response, problem_response
+from onyxhead.operate.commands import Backend, Command, CommandError, select_backends
+from onyxhead.settings.model import ControllerSettings
 from onyxhead.store.errors import StoreUnavailableError
 from onyxhead.store.store import Store
 from onyxhead.store.value_names import OPERATOR_STATE
@@ -29,47 +29,54 @@
     """Runs commands against the backends that discovery lists now."""
 
     def __init__(
-        self, settings: Controller, host: CoreHost, store: Store, watch: DiscoveryWatch, overlay: EndpointOverlay
+        self,
+        settings: ControllerSettings,
+        host: CoreHost,
+        store: Store,
+        watch: DiscoveryWatch,
+        overlay: EndpointOverlay,
     ) -> None:
         self.settings, self.host, self.store, self.watch, self.overlay = settings, host, store, watch, overlay
 
     def handle(self, request: Request) -> Response:
         """The response to a command; a command that was done before is answered again and not repeated."""
         try:
-            command = Command.read(request.json())
+            command = Command.parse(request.json())
         except ValueError as error:
-            return problem(HTTPStatus.BAD_REQUEST, str(error))
+            return problem_response(HTTPStatus.BAD_REQUEST, str(error))
         if self.watch.endpoint_list is None:
-            return problem(HTTPStatus.SERVICE_UNAVAILABLE, "no list has been heard yet")
-        orders = self.overlay.operator_orders.copy()
+            return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, "no list has been heard yet")
+        orders = self.overlay.overrides.copy()
         backends = [Backend(each.id, each.zone, each.kind) for each in self.watch.endpoint_list.entries]
         tree = self.overlay.tree or tree_of(self.settings)
         try:
-            outcome = orders.run(command, tree, backends, self.fleet_facts())
+            outcome = orders.execute(command, tree, backends, self.fleet_facts())
             is_new = not command.dry_run and not outcome.get("again")
             if is_new:
                 # Stored before it acts and is answered: the next incarnation knows the command, or it never ran.
-                self.store.put(OPERATOR_STATE, orders.plain())
-        except Odd as error:
-            return problem(HTTPStatus.CONFLICT, str(error))
+                self.store.put(OPERATOR_STATE, orders.to_record())
+        except CommandError as error:
+            return problem_response(HTTPStatus.CONFLICT, str(error))
         except StoreUnavailableError as error:
-            return problem(HTTPStatus.SERVICE_UNAVAILABLE, f"not written: {error}")
+            return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, f"not written: {error}")
         if is_new:
-            self.overlay.operator_orders = orders
+            self.overlay.overrides = orders
             self._record(command, outcome)
             self.watch.refresh()
-        return answer(HTTPStatus.OK, outcome)
+        return json_response(HTTPStatus.OK, outcome)
 
     def _record(self, command: Command, outcome: dict[str, Any]) -> None:
         log.info(
             log_events.OPERATOR_COMMAND,
-            id=command.id,
-            by=command.by,
+            id=command.command_id,
+            by=command.operator,
             command=outcome["asked"],
             status=outcome["status"],
             reason=outcome["why"],
         )
-        self.store.append_audit_entry(command.by, 0, f"{command.verb} {' '.join(command.names)}", outcome["status"])
+        self.store.append_audit_entry(
+            command.operator, 0, f"{command.verb} {' '.join(command.selectors)}", outcome["status"]
+        )
 
     def progress(self, selectors: list[str]) -> dict[str, Any]:
         """Which of the backends proxies may still use, as far as their acknowledgements prove, and who lags behind."""
@@ -82,7 +89,9 @@
             and core.acknowledged.get(number, NEVER_ACKNOWLEDGED).etag != view.etag
         )
         backends = {}
-        for name in selected(selectors, [Backend(name, each.zone, "") for name, each in tables.addresses.items()]):
+        for name in select_backends(
+            selectors, [Backend(name, each.zone, "") for name, each in tables.addresses.items()]
+        ):
             endpoint = core.endpoints.get(name)
             out = name in tables.withdrawn or not any(name in lines for lines in tables.tables.values())
             backends[name] = {"ready": bool(endpoint and endpoint.ready), "out": out}
--- a/onyxhead/controller/proxy_streams.py
+++ b/onyxhead/controller/proxy_streams.py
@@ -13,7 +13,7 @@
 from onyxhead.controller.proxies import JoinRequest
 from onyxhead.controller.task_supervisor import TaskSupervisor
 from onyxhead.fronts.files.push import Encoder, Refused, Stream
-from onyxhead.keys.rotate import Keys, Peer
+from onyxhead.keys.credentials import PeerIdentity, TlsCredentials
 from onyxhead.store.store import Store
 from onyxhead.tables.updates import ProxyUpdate, coalesce
 from onyxhead.time_units import TICKS_PER_SECOND
@@ -62,7 +62,7 @@
         host: CoreHost,
         store: Store,
         supervisor: TaskSupervisor,
-        keys: Keys | None,
+        keys: TlsCredentials | None,
         zones: tuple[str, ...],
         stall_timeout: int,
     ) -> None:
@@ -154,8 +154,8 @@
 
     async def _handshake(self, stream: Stream, request: JoinRequest) -> str:
         """Connect, and check who answers with which view. Returns its etag. Raises OSError, Refused."""
-        etag = await stream.open(self.keys.client if self.keys is not None else None)
-        if self.keys is not None and stream.peer != Peer(AGENT_ROLE, request.name):
+        etag = await stream.open(self.keys.client_context if self.keys is not None else None)
+        if self.keys is not None and stream.peer != PeerIdentity(AGENT_ROLE, request.name):
             raise Refused(f"its certificate is of {stream.peer}")
         if etag != request.view.etag:
             raise Refused("it holds another view than it said")
--- a/onyxhead/controller/recovery.py
+++ b/onyxhead/controller/recovery.py
@@ -10,7 +10,7 @@
 from onyxhead.controller.core_host import CoreHost
 from onyxhead.controller.discovery_watch import DiscoveryWatch
 from onyxhead.controller.errors import InvalidEndpointListError
-from onyxhead.settings.load import Controller
+from onyxhead.settings.model import ControllerSettings
 from onyxhead.store.store import Store
 from onyxhead.store.value_names import TABLE_LABELS
 from onyxhead.tables.history import History
@@ -32,7 +32,7 @@
     return history
 
 
-def restore_endpoints(settings: Controller, store: Store, host: CoreHost, watch: DiscoveryWatch) -> None:
+def restore_endpoints(settings: ControllerSettings, store: Store, host: CoreHost, watch: DiscoveryWatch) -> None:
     """Start with the stored endpoint list, if there is a recent one, and with the backends withdrawn of late."""
     recovered = store.recovered
     for warning in store.warnings:
@@ -41,16 +41,18 @@
         log.info(log_events.NO_STORED_ENDPOINT_LIST, epoch=recovered.epoch)
         return
     age_s = time.time() - recovered.list_received_at
-    if not 0 <= age_s <= settings.list_good_for:
+    if not 0 <= age_s <= settings.endpoint_list_max_age:
         # A wall clock set back makes an old list look recent or from the future; neither can be trusted.
-        log.warning(log_events.STORED_ENDPOINT_LIST_IGNORED, age_s=round(age_s), good_for_s=settings.list_good_for)
+        log.warning(
+            log_events.STORED_ENDPOINT_LIST_IGNORED, age_s=round(age_s), good_for_s=settings.endpoint_list_max_age
+        )
         return
     try:
         update = watch.restore(recovered.endpoint_list, recovered.list_received_at)
     except InvalidEndpointListError as error:
         log.warning(log_events.STORED_ENDPOINT_LIST_IGNORED, error=str(error))
         return
-    max_age_s = max(MIN_WITHDRAWAL_AGE_S, DRAIN_GRACES * settings.start.safety.drain_grace / TICKS_PER_SECOND)
+    max_age_s = max(MIN_WITHDRAWAL_AGE_S, DRAIN_GRACES * settings.deployment.safety.drain_grace / TICKS_PER_SECOND)
     withdrawn = sorted(name for name, at in recovered.withdrawn_at.items() if time.time() - at < max_age_s)
     host.core.restore_withdrawals(host.now(), withdrawn)
     log.info(
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -33,10 +33,10 @@
 from onyxhead.controller.recovery import recover_history, restore_endpoints
 from onyxhead.controller.task_supervisor import TaskSupervisor
 from onyxhead.http.server import Server
-from onyxhead.keys.rotate import Keys
-from onyxhead.operate.standing import Standing
+from onyxhead.keys.credentials import TlsCredentials
+from onyxhead.operate.overrides import BackendOverrides
 from onyxhead.policy.inputs import Deployment
-from onyxhead.settings.load import Address, Controller
+from onyxhead.settings.model import Address, ControllerSettings
 from onyxhead.store.store import Store
 from onyxhead.store.value_names import OPERATOR_STATE
 from onyxhead.tables.history import History
@@ -54,22 +54,22 @@
 class ControllerServer:
     """Raises OSError for a state folder that can't be used, and what `Keys` raises for unusable keys."""
 
-    def __init__(self, settings: Controller) -> None:
+    def __init__(self, settings: ControllerSettings) -> None:
         self.settings = settings
         self.clock = Clock(time.time, time.monotonic)
-        self.store = Store(settings.state)
-        self.keys = Keys(settings.tls) if settings.tls is not None else None
+        self.store = Store(settings.state_directory)
+        self.keys = TlsCredentials(settings.tls) if settings.tls is not None else None
         self.netconf: Front | None = None
         self.configuration = self._open_configuration()
         tree = self.configuration.datastores.running if self.configuration is not None else {}
-        start = deployment(tree, settings) if self.configuration is not None else settings.start
-        self.overlay = EndpointOverlay(tree, Standing(self.store.get(OPERATOR_STATE)))
+        start = deployment(tree, settings) if self.configuration is not None else settings.deployment
+        self.overlay = EndpointOverlay(tree, BackendOverrides(self.store.get(OPERATOR_STATE)))
         recovered = self.store.recovered
         core = self._new_core(start, recovered.epoch, recovered.proxy_numbers, recover_history(self.store))
         self.host = CoreHost(self.clock, core)
         self.supervisor = TaskSupervisor()
         self.streams = ProxyStreams(
-            self.host, self.store, self.supervisor, self.keys, settings.zones, settings.patience
+            self.host, self.store, self.supervisor, self.keys, settings.zones, settings.acknowledgement_timeout
         )
         self.watch = DiscoveryWatch(settings, self.host, self.store, self.overlay)
         self.decision_loop = DecisionLoop(
@@ -77,7 +77,7 @@
             self.store,
             self.streams,
             self.supervisor,
-            settings.probes,
+            settings.health_checks,
             self.watch.subscribed,
             self.configuration.notify if self.configuration is not None else None,
         )
@@ -116,7 +116,7 @@
             settings.zones,
             settings.seed + epoch,
             epoch,
-            settings.patience,
+            settings.acknowledgement_timeout,
             self.clock.now(),
             numbers,
             history,
@@ -139,9 +139,9 @@
 
     def _open_ingest(self) -> LoadReportIngest | None:
         settings = self.settings
-        if settings.intake is None:
+        if settings.load_reports is None:
             return None
-        return LoadReportIngest(settings.intake, settings.seed, settings.tls, self.host, self.supervisor)
+        return LoadReportIngest(settings.load_reports, settings.seed, settings.tls, self.host, self.supervisor)
 
     def _routes(self) -> HttpRoutes:
         parts = Parts(
@@ -162,7 +162,7 @@
 
     async def run(self) -> None:
         """Serve until told to stop. Raises OSError if an address can't be had."""
-        tls = self.keys.server if self.keys is not None else None
+        tls = self.keys.server_context if self.keys is not None else None
         address = await self.http_server.start(*self.settings.listen, tls)
         loop = asyncio.get_running_loop()
         for name in (signal.SIGTERM, signal.SIGINT):
@@ -195,7 +195,7 @@
                 if self.netconf is not None:
                     await self.netconf.renew(context)
 
-            start(rotate_keys(self.keys, self.settings.tls.every, restart_listeners, self.streams))
+            start(rotate_keys(self.keys, self.settings.tls.interval, restart_listeners, self.streams))
         if self.fleet is not None:
             start(self.fleet.run())
         if self.load_reports is not None:
--- a/onyxhead/controller/table_versions.py
+++ b/onyxhead/controller/table_versions.py
@@ -14,7 +14,8 @@
 from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
 from onyxhead.tables.history import History, LineKey, Version, VersionRecord
 from onyxhead.tables.rollback import CurrentEndpoints, PinnedVersion, RollbackPlan, plan_rollback
-from onyxhead.tables.table_state import Freeze, TableState
+from onyxhead.tables.table_set import Freeze
+from onyxhead.tables.table_state import TableState
 from onyxhead.time_units import TICKS_PER_SECOND
 
 
@@ -189,8 +190,8 @@
 
     def on_reconciled(self, now: int) -> None:
         """Record what `TableState.reconcile` has sent, and note whether more is left."""
-        left = self.tables.pending_changes()
-        if self.canary is None and not any(tables is self.tables.canary for tables, _, _ in left):
+        left = self.tables.pending_lines()
+        if self.canary is None and not any(line.tables is self.tables.canary for line in left):
             # The proxies of a former canary hold what all others hold, and are like all others again.
             self.tables.canary_proxies = frozenset()
         self.pending = self.pin is not None or bool(left) or bool(self.tables.canary_proxies)
--- a/tests/test_controller_server.py
+++ b/tests/test_controller_server.py
@@ -178,7 +178,7 @@
         agent.lost.set()
         await until(lambda: agent.keeper.stream not in ("", old) and not agent.lost.is_set())
         request = Request("HEAD", "/v1/view", {"onyxhead-stream": old})
-        assert (await ask_once(("127.0.0.1", agent.push[1]), request, 1.0)).status == 409
+        assert (await fetch_once(("127.0.0.1", agent.push[1]), request, 1.0)).status == 409
         await until(lambda: len(controller.core.joined) == 1 and len(controller.streams.by_proxy) == 1)
 
     play(tmp_path, work)
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -193,7 +193,7 @@
             and all(each.reason for each in outcomes if each.status != "applied")
             and set(came) == {"x", "late"}
         )
-        assert controller.overlay.operator_orders.drained == {"b1"}
+        assert controller.overlay.overrides.drained == {"b1"}
 
     play(tmp_path, work)
 
@@ -204,7 +204,7 @@
         first = await running.controller()
         address = ("127.0.0.1", port_of(first))
         given = {"id": "x", "verb": "drain", "names": ["b1"], "by": "ann"}
-        assert (await send({"c": address}, given, 2.0))[0].status == "applied"
+        assert (await send_command({"c": address}, given, 2.0))[0].status == "applied"
         first.supervisor.stopping.set()
         await until(lambda: running.tasks[0].done())
         # It is down; the command goes on being sent, and the next life answers it under the same id.
@@ -221,8 +221,8 @@
             second = await running.controller()
         finally:
             sockets.CONTROLLER = before
-        assert (await sending)[0].status == "applied" and (await again)[0].told["again"]
-        assert second.overlay.operator_orders.drained == {"b1", "b2"} and not second.core.endpoints["b1"].ready
+        assert (await sending)[0].status == "applied" and (await again)[0].answer["again"]
+        assert second.overlay.overrides.drained == {"b1", "b2"} and not second.core.endpoints["b1"].ready
 
     play(tmp_path, work)
 
@@ -241,7 +241,7 @@
             return done.exit_code, done.output
 
         code, told = await command("drain", "b1", "--at", address, "--dry-run")
-        assert code == 0 and "only tried" in told and not controller.overlay.operator_orders.drained
+        assert code == 0 and "only tried" in told and not controller.overlay.overrides.drained
         assert (await command("drain", "*", "--at", address))[0] == 1
         assert (await command("drain", "b1", "--fleet", str(tmp_path / "fleet.rec"), "--id", "n1"))[0] == 0
         assert (await command("wait", "b1", "--at", address))[0] == 0
@@ -313,6 +313,6 @@
                 ("127.0.0.1", port_of(controller)), Request("POST", "/v1/operate", {}, body), 2.0
             )
             assert response.status == 400
-        assert not controller.overlay.operator_orders.done
+        assert not controller.overlay.overrides.completed
 
     play(tmp_path, work)
