--- a/onyxhead/agent/keeper.py
+++ b/onyxhead/agent/keeper.py
@@ -5,7 +5,8 @@
 import json
 from typing import NamedTuple
 
-from onyxhead.fleet.fencing import FencingTokenGuard, StaleTokenError
+from onyxhead.fleet.errors import StaleTokenError
+from onyxhead.fleet.fencing import FencingTokenGuard
 from onyxhead.http.messages import (
     JSON,
     MERGE_PATCH,
--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -10,10 +10,20 @@
 
 import structlog
 
-from onyxhead.fleet import slow_start_budget as loans
 from onyxhead.fleet.assignment import Member
-from onyxhead.fleet.membership import MalformedPacketError, Membership, Packet, read
+from onyxhead.fleet.errors import MalformedPacketError
+from onyxhead.fleet.membership import Membership
 from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
+from onyxhead.fleet.packets import Packet
+from onyxhead.fleet.slow_start_budget import SlowStartBudget
+from onyxhead.fleet.wire_format import (
+    decode_budget_report,
+    decode_grants,
+    decode_packet,
+    encode_budget_report,
+    encode_grants,
+    encode_packet,
+)
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Fault, Request, Response, answer, problem
 from onyxhead.settings.load import Fellow, Fleet
@@ -51,8 +61,11 @@
         self.logged_errors: set[str] = set()
         # A disk that knows of an earlier life would know its loans; an empty one proves nothing.
         kept = daemon.store.get(BUDGET_GRANTS) or ([] if daemon.core.epoch > 1 else None)
-        self.budget = loans.SlowStartBudget(
-            daemon.settings.name, now, kept, lambda made: daemon.store.put(BUDGET_GRANTS, made)
+        self.budget = SlowStartBudget(
+            daemon.settings.name,
+            now,
+            decode_grants(kept) if kept is not None else None,
+            lambda grants: daemon.store.put(BUDGET_GRANTS, encode_grants(grants)),
         )
         self.lend_at = now
         for name, each in (daemon.store.get(FLEET_MEMBERS) or {}).items():
@@ -126,7 +139,7 @@
         if member is None:
             return
         keys = self.daemon.keys
-        request = answer(200, {"packet": packet.plain(), "news": self._news()})
+        request = answer(200, {"packet": encode_packet(packet), "news": self._news()})
         seconds = 2 * self.settings.timeout / TENTHS
         try:
             told = await ask_once(
@@ -144,14 +157,14 @@
         now = self.daemon.clock.now()
         replies = []
         for each in packets:
-            replies += self.coalition.membership.receive(read(each), now)
+            replies += self.coalition.membership.receive(decode_packet(each), now)
         if isinstance(news, dict):
             proxies = {str(name): str(zone) for name, zone in dict(news.get("proxies", {})).items()}
             withdrawn = tuple(map(str, news.get("withdrawn", ())))
             self.coalition.on_peer_report(sender, PeerReport(proxies, withdrawn, int(news.get("list") or 0), now))
             # A member of an older program says nothing of budgets; nothing is lent to it.
             if sender in self.coalition.alive and sender != self.coalition.own_name and "budget" in news:
-                self.budget.on_report(sender, loans.parse_report(news["budget"]))
+                self.budget.on_report(sender, decode_budget_report(news["budget"]))
         return replies
 
     def handle_packet(self, request: Request) -> Response:
@@ -171,7 +184,7 @@
         for packet in replies:
             if packet.to != sender:
                 self.daemon.start(self._send(packet), vital=False)
-        return answer(200, {"packets": [packet.plain() for packet in back], "news": self._news()})
+        return answer(200, {"packets": [encode_packet(packet) for packet in back], "news": self._news()})
 
     def _news(self) -> dict[str, Any]:
         last = self.daemon.follower.last
@@ -180,7 +193,7 @@
             "proxies": self.joined_zones(),
             "withdrawn": sorted(house.proxy_tables.withdrawn),
             "list": last.version if last else 0,
-            "budget": self.budget.report().plain(),
+            "budget": encode_budget_report(self.budget.report()),
         }
 
     # What operators ask
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -26,7 +26,8 @@
 from onyxhead.controller.fleet_transport import FleetTransport
 from onyxhead.controller.health_check import look
 from onyxhead.controller.load_report_ingest import LoadReportIngest
-from onyxhead.fleet.fencing import StaleTokenError, next_token
+from onyxhead.fleet.errors import StaleTokenError
+from onyxhead.fleet.fencing import next_token
 from onyxhead.fronts.files.push import Encoder, Refused, Stream
 from onyxhead.http.messages import Request, Response, answer, problem
 from onyxhead.http.server import Server
--- a/onyxhead/fleet/__init__.py
+++ b/onyxhead/fleet/__init__.py
@@ -1,3 +1,5 @@
-"""Controllers that share a fleet: membership, who serves which proxy, fencing tokens. No I/O, no clock of its own.
+"""Controllers that share a fleet: membership, ownership of proxies, fencing tokens, slow-start budget.
 
-Nothing here is needed to keep a rule: each controller keeps them alone. Sharing makes service better."""
+Nothing here does I/O or reads a clock, and nothing is needed to keep a safety rule: each controller keeps them alone.
+Sharing makes service better.
+"""
--- a/onyxhead/fleet/assignment.py
+++ b/onyxhead/fleet/assignment.py
@@ -1,7 +1,8 @@
-"""Who serves which proxy: its own zone first, then evenly by what each channel carries, with few moves. No I/O.
+"""Which member serves which proxy: its own zone first, then evenly by channel capacity, with few moves. No I/O.
 
-Weighted rendezvous hashing gives each proxy an order of members of its own; a bound on each member's load, taken up in
-the order of the proxies' names' hashes, keeps it even. Every member that knows the same comes to the same."""
+Weighted rendezvous hashing gives each proxy an order of members of its own. A bound on each member's load, filled in
+the order of the hashes of the proxies' names, keeps the load even. Members that know the same assign the same.
+"""
 
 from __future__ import annotations
 
@@ -11,40 +12,44 @@
 from typing import NamedTuple
 
 MAX_LOAD_FACTOR = 1.1
-"""So much over its even part a member may serve; less would move more proxies at each change."""
+"""A member may serve so much more than its even part; less would move more proxies at each change."""
+HASH_BYTES = 8
 
 
 class Member(NamedTuple):
-    """`carries` is the channel's pace in lines a second: joins cost lines, so proxies are dealt out by it."""
+    """A controller. Joins cost lines of its channel, so proxies are assigned by the channel's pace."""
 
     name: str
     zone: str
     lines_per_second: float
 
 
-def _score(proxy: str, member: Member) -> float:
-    digest = hashlib.blake2b(f"{proxy}\0{member.name}".encode(), digest_size=8).digest()
-    share = (int.from_bytes(digest, "big") + 1) / (2**64 + 1)
-    return -member.lines_per_second / math.log(share)
-
-
 def rank_members(proxy: str, zone: str, members: Mapping[str, Member]) -> list[str]:
-    """Members in the order in which this proxy would have them; those of its zone before all others."""
+    """Members in the order in which this proxy prefers them; those of its zone before all others."""
     return sorted(members, key=lambda name: (members[name].zone != zone, -_score(proxy, members[name]), name))
 
 
 def assign_proxies(proxies: Mapping[str, str], members: Mapping[str, Member]) -> dict[str, str]:
-    """Each proxy's member; proxies by name with their zones. Empty if there is no member."""
-    whole = sum(member.lines_per_second for member in members.values())
-    if not whole:
+    """The member of each proxy, for proxies by name with their zones. Empty if there is no member."""
+    total = sum(member.lines_per_second for member in members.values())
+    if not total:
         return {}
-    parts = {name: len(proxies) * member.lines_per_second / whole for name, member in members.items()}
-    room = {name: max(math.ceil(part), math.floor(MAX_LOAD_FACTOR * part)) for name, part in parts.items()}
-    dealt: dict[str, str] = {}
-    order = sorted(proxies, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
-    for proxy in order:
-        wanted = rank_members(proxy, proxies[proxy], members)
-        name = next((each for each in wanted if room[each] > 0), wanted[0])
-        room[name] -= 1
-        dealt[proxy] = name
-    return dealt
+    even_parts = {name: len(proxies) * member.lines_per_second / total for name, member in members.items()}
+    capacity = {name: max(math.ceil(part), math.floor(MAX_LOAD_FACTOR * part)) for name, part in even_parts.items()}
+    assigned: dict[str, str] = {}
+    for proxy in sorted(proxies, key=_name_hash):
+        ranked = rank_members(proxy, proxies[proxy], members)
+        member = next((name for name in ranked if capacity[name] > 0), ranked[0])
+        capacity[member] -= 1
+        assigned[proxy] = member
+    return assigned
+
+
+def _score(proxy: str, member: Member) -> float:
+    digest = hashlib.blake2b(f"{proxy}\0{member.name}".encode(), digest_size=HASH_BYTES).digest()
+    uniform = (int.from_bytes(digest, "big") + 1) / (2 ** (8 * HASH_BYTES) + 1)
+    return -member.lines_per_second / math.log(uniform)
+
+
+def _name_hash(name: str) -> bytes:
+    return hashlib.blake2b(name.encode(), digest_size=HASH_BYTES).digest()
--- a/onyxhead/fleet/fencing.py
+++ b/onyxhead/fleet/fencing.py
@@ -1,43 +1,38 @@
-"""Fencing tokens: of two controllers that each believe they lead a proxy, only the newer one's orders count. No I/O.
+"""Fencing tokens: of two controllers that each believe they lead a proxy, only the newer one's updates count. No I/O.
 
-The agent is the judge, since only it knows whom it joined last. It keeps the highest token it ever took on disk; a
-controller offers a higher one at each join, and an order with another is refused with the one that holds, so that the
-loser learns of it. No agreement among controllers is needed, and none can break it."""
+The agent is the judge, since only it knows whom it joined last. It keeps the highest token it ever accepted on disk. A
+controller offers a higher one at each join, and an update with another token is rejected with the current one, so that
+the controller that lost the proxy learns of it. No agreement among controllers is needed, and none can break it.
+"""
 
 from __future__ import annotations
 
-MAX_TOKEN = 2**62
-"""No token beyond this one; an agent that has reached it must be given a new state by hand."""
-
+from onyxhead.fleet.errors import StaleTokenError
 
-class StaleTokenError(Exception):
-    """An order or a join under a token that does not hold. `held` is the one that does."""
-
-    def __init__(self, text: str, held: int) -> None:
-        super().__init__(text)
-        self.current = held
+MAX_TOKEN = 2**62
+"""The last token; the state of an agent that has reached it must be made anew by hand."""
 
 
-def next_token(held: int) -> int:
+def next_token(current: int) -> int:
     """The token that a controller offers to an agent which holds this one. Raises StaleTokenError if none is left."""
-    if held >= MAX_TOKEN:
-        raise StaleTokenError("tokens are used up; the agent's state must be made anew", held)
-    return held + 1
+    if current >= MAX_TOKEN:
+        raise StaleTokenError("tokens are used up; the agent's state must be made anew", current)
+    return current + 1
 
 
 class FencingTokenGuard:
-    """The agent's side. `raise_to` is for a join, `check` for an order."""
+    """The agent's side: `advance` is for a join, `check` for an update."""
 
-    def __init__(self, held: int = 0) -> None:
-        self.current = held
+    def __init__(self, current: int = 0) -> None:
+        self.current = current
 
     def advance(self, token: int) -> None:
-        """Takes a token above all before. Raises StaleTokenError; the caller keeps it on disk before it answers."""
+        """Accepts a token above all before; the caller keeps it on disk before it answers. Raises StaleTokenError."""
         if not self.current < token <= MAX_TOKEN:
             raise StaleTokenError(f"token {token} is not above {self.current}", self.current)
         self.current = token
 
     def check(self, token: int) -> None:
-        """Raises StaleTokenError for an order under any other token than the one that holds."""
+        """Raises StaleTokenError for an update under any other token than the current one."""
         if token != self.current:
             raise StaleTokenError(f"token {token} does not hold", self.current)
--- a/onyxhead/fleet/ownership.py
+++ b/onyxhead/fleet/ownership.py
@@ -1,4 +1,4 @@
-"""One controller's part in a shared fleet: whom it takes, whom it sends on, whom it hands over, and when. No I/O."""
+"""One controller's part in a shared fleet: which proxies it accepts, redirects and hands over, and when. No I/O."""
 
 from __future__ import annotations
 
@@ -6,15 +6,20 @@
 from typing import Any, NamedTuple
 
 from onyxhead.fleet.assignment import Member, assign_proxies, rank_members
-from onyxhead.fleet.membership import Membership, Status
+from onyxhead.fleet.membership import Membership, MemberState
+from onyxhead.fleet.packets import Status
+from onyxhead.time_units import TICKS_PER_SECOND
 
-SECOND = 10_000
-PROXY_RETENTION = 60 * SECOND
-"""For so long a proxy that no member serves any more stays on the roll."""
+PROXY_RETENTION = 60 * TICKS_PER_SECOND
+"""For so long a proxy that no member serves any more counts as one of the fleet."""
+DEFAULT_SETTLE_TIME = 3 * TICKS_PER_SECOND
 
 
 class PeerReport(NamedTuple):
-    """What a member says of itself beside being there; `at` by the receiver's clock."""
+    """What a member tells of itself beside being alive; `received_at` by the receiver's clock.
+
+    `proxies` are those it serves, with their zones; `list_version` is that of the endpoint list it follows.
+    """
 
     proxies: dict[str, str]
     withdrawn: tuple[str, ...]
@@ -22,77 +27,102 @@
     received_at: int
 
 
+class KnownProxy(NamedTuple):
+    """A proxy of the fleet, and when a member last served it."""
+
+    zone: str
+    seen_at: int
+
+
+class Handover(NamedTuple):
+    """A proxy to hand over, and to which member."""
+
+    proxy: str
+    to: str
+
+
 class OwnershipCoordinator:
-    """`settle`: for how long nothing may have changed among the members before proxies are moved for balance."""
+    """Decides together with its peers which member owns which proxy.
+
+    `settle_time` is for how long nothing may have changed among the members before proxies are moved for balance.
+    """
 
     def __init__(
-        self, membership: Membership, members: Mapping[str, Member], now: int, settle: int = 3 * SECOND
+        self, membership: Membership, members: Mapping[str, Member], now: int, settle_time: int = DEFAULT_SETTLE_TIME
     ) -> None:
-        self.membership, self.members, self.settle = membership, dict(members), settle
+        self.membership, self.members, self.settle_time = membership, dict(members), settle_time
         self.peer_reports: dict[str, PeerReport] = {}
-        self.membership_changed_at, self.alive = now, tuple(membership.alive())
-        self.moved_at = now
+        self.alive, self.membership_changed_at = tuple(membership.alive()), now
+        self.last_handover_at = now
         self.sticky: dict[str, str] = {}
-        self.known_proxies: dict[str, tuple[str, int]] = {}
+        self.known_proxies: dict[str, KnownProxy] = {}
         self.known_proxies_changed_at = now
 
     @property
     def own_name(self) -> str:
+        """The name of this member."""
         return self.membership.own_name
 
     def serving(self) -> dict[str, Member]:
+        """The members that may serve proxies now."""
         return {name: self.members[name] for name in self.membership.alive() if name in self.members}
 
+    # Peers
+
     def observe_membership(self, now: int) -> list[str]:
-        """Notes who came and who went; tells it in words."""
+        """Takes note of members that came or left; returns a text on each for the log."""
         alive = tuple(self.membership.alive())
         if alive == self.alive:
             return []
-        said = [f"{name} is here" for name in alive if name not in self.alive]
-        said += [f"{name} is gone" for name in self.alive if name not in alive]
+        changes = [f"{name} joined" for name in alive if name not in self.alive]
+        changes += [f"{name} left" for name in self.alive if name not in alive]
         self.alive, self.membership_changed_at = alive, now
-        return said
-
-    def on_peer_report(self, name: str, news: PeerReport) -> None:
-        """What a member said of itself; older news never replaces newer."""
-        if (
-            name in self.members
-            and name != self.own_name
-            and news.received_at >= self.peer_reports.get(name, news).received_at
-        ):
-            self.peer_reports[name] = news
-
-    def withdrawn_by_peers(self, now: int, younger: int) -> set[str]:
-        """Backends that other members keep withdrawn, as far as they said so of late. It only ever adds to caution."""
-        return {
-            backend
-            for news in self.peer_reports.values()
-            if now - news.received_at < younger
-            for backend in news.withdrawn
-        }
+        return changes
 
-    def fleet_proxies(self, own: Mapping[str, str], now: int) -> dict[str, str]:
-        """All proxies of the fleet as far as known, with their zones.
+    def on_peer_report(self, name: str, report: PeerReport) -> None:
+        """A member's report on itself; an older one never replaces a newer one."""
+        if name not in self.members or name == self.own_name:
+            return
+        if report.received_at >= self.peer_reports.get(name, report).received_at:
+            self.peer_reports[name] = report
 
-        One that is on its way from a member to another stays on the roll: were it left out, members would deal the
-        rest differently and hand proxies back and forth."""
-        for news in [news for name, news in sorted(self.peer_reports.items()) if name in self.alive]:
-            for proxy, zone in news.proxies.items():
-                self._remember_proxy(proxy, zone, news.received_at, now)
+    def withdrawn_by_peers(self, now: int, max_age: int) -> set[str]:
+        """Backends that other members keep withdrawn, by their recent reports. It only ever adds to caution."""
+        recent = [report for report in self.peer_reports.values() if now - report.received_at < max_age]
+        return {backend for report in recent for backend in report.withdrawn}
+
+    # Proxies
+
+    def fleet_proxies(self, own: Mapping[str, str], now: int) -> dict[str, str]:
+        """All proxies of the fleet as far as known, with their zones; `own` are those served here.
+
+        One that is on its way between two members still counts: were it left out, members would assign the rest
+        differently and hand proxies back and forth.
+        """
+        for name, report in sorted(self.peer_reports.items()):
+            if name in self.alive:
+                for proxy, zone in report.proxies.items():
+                    self._remember_proxy(proxy, zone, report.received_at, now)
         for proxy, zone in own.items():
             self._remember_proxy(proxy, zone, now, now)
-        gone = [proxy for proxy, (_, seen) in self.known_proxies.items() if now - seen > PROXY_RETENTION]
-        for proxy in gone:
-            del self.known_proxies[proxy]
-            self.known_proxies_changed_at = now
-        return {proxy: zone for proxy, (zone, _) in self.known_proxies.items()}
+        self._forget_old_proxies(now)
+        return {proxy: known.zone for proxy, known in self.known_proxies.items()}
 
-    def _remember_proxy(self, proxy: str, zone: str, seen: int, now: int) -> None:
-        if proxy not in self.known_proxies:
-            if now - seen > PROXY_RETENTION:
+    def _remember_proxy(self, proxy: str, zone: str, seen_at: int, now: int) -> None:
+        known = self.known_proxies.get(proxy)
+        if known is None:
+            if now - seen_at > PROXY_RETENTION:
                 return
             self.known_proxies_changed_at = now
-        self.known_proxies[proxy] = (zone, max(seen, self.known_proxies.get(proxy, (zone, 0))[1]))
+        self.known_proxies[proxy] = KnownProxy(zone, max(seen_at, known.seen_at if known is not None else 0))
+
+    def _forget_old_proxies(self, now: int) -> None:
+        old = [proxy for proxy, known in self.known_proxies.items() if now - known.seen_at > PROXY_RETENTION]
+        for proxy in old:
+            del self.known_proxies[proxy]
+            self.known_proxies_changed_at = now
+
+    # Decisions
 
     def better_owner(self, proxy: str, zone: str, own: Mapping[str, str], now: int) -> str | None:
         """The member that should serve this proxy in place of this one; None if it is best served here."""
@@ -101,45 +131,57 @@
             return rank_members(proxy, zone, serving)[0]
         if self.sticky.get(proxy) in serving:
             return None if self.sticky[proxy] == self.own_name else self.sticky[proxy]
-        dealt = assign_proxies(self.fleet_proxies(own, now) | {proxy: zone}, serving)
-        return dealt[proxy] if dealt.get(proxy, self.own_name) != self.own_name else None
+        assigned = assign_proxies(self.fleet_proxies(own, now) | {proxy: zone}, serving)
+        owner = assigned.get(proxy, self.own_name)
+        return owner if owner != self.own_name else None
 
-    def next_handover(self, own: Mapping[str, str], now: int, gap: int) -> tuple[str, str] | None:
-        """The next proxy to hand over and to whom, if it is time: one at a time, `gap` apart, once all is settled.
+    def next_handover(self, own: Mapping[str, str], now: int, gap: int) -> Handover | None:
+        """The next proxy to hand over, if it is time: one at a time and `gap` apart, once all is settled.
 
-        A member that leaves hands over at once; for balance alone nothing is moved while members come and go."""
-        leaving = self.membership.status is Status.LEAVING
+        A member that leaves hands over at once. For balance alone nothing is moved while members come and go.
+        """
         proxies = self.fleet_proxies(own, now)
-        quiet = now - max(self.membership_changed_at, self.known_proxies_changed_at) >= self.settle
-        if now - self.moved_at < gap or not (leaving or quiet):
+        if now - self.last_handover_at < gap or not (self._leaving() or self._settled(now)):
             return None
         serving = self.serving()
         if not serving or serving.keys() == {self.own_name}:
             return None
-        dealt = assign_proxies(proxies, serving)
+        assigned = assign_proxies(proxies, serving)
         for proxy in sorted(own):
-            to = self.sticky.get(proxy, dealt.get(proxy, self.own_name))
+            to = self.sticky.get(proxy, assigned.get(proxy, self.own_name))
             if to != self.own_name and to in serving:
-                self.moved_at = now
-                return proxy, to
+                self.last_handover_at = now
+                return Handover(proxy, to)
         return None
 
+    def _leaving(self) -> bool:
+        return self.membership.status is Status.LEAVING
+
+    def _settled(self, now: int) -> bool:
+        return now - max(self.membership_changed_at, self.known_proxies_changed_at) >= self.settle_time
+
+    # What operators see
+
     def state(self, now: int) -> dict[str, Any]:
-        """What operators see; what is not known is None."""
+        """The fleet for operators, as JSON; what is not known is None."""
+        states = sorted(self.membership.states().items())
         return {
             "own": self.own_name,
             "twins": sorted(self.membership.duplicate_boots),
-            "members": {
-                name: {
-                    "status": known.status.name.lower() if known.incarnation >= 0 else "never heard",
-                    "incarnation": max(0, known.incarnation),
-                    "since_s": round((now - known.since) / SECOND, 1) if name != self.own_name else None,
-                    "proxies": len(self.peer_reports[name].proxies) if name in self.peer_reports else None,
-                    "news_age_s": round((now - self.peer_reports[name].received_at) / SECOND, 1)
-                    if name in self.peer_reports
-                    else None,
-                    "list": self.peer_reports[name].list_version if name in self.peer_reports else None,
-                }
-                for name, known in sorted(self.membership.statuses().items())
-            },
+            "members": {name: self._member_state(name, state, now) for name, state in states},
         }
+
+    def _member_state(self, name: str, state: MemberState, now: int) -> dict[str, Any]:
+        report = self.peer_reports.get(name)
+        return {
+            "status": state.status.name.lower() if state.incarnation >= 0 else "never heard",
+            "incarnation": max(0, state.incarnation),
+            "since_s": _seconds(now - state.since) if name != self.own_name else None,
+            "proxies": len(report.proxies) if report is not None else None,
+            "news_age_s": _seconds(now - report.received_at) if report is not None else None,
+            "list": report.list_version if report is not None else None,
+        }
+
+
+def _seconds(ticks: int) -> float:
+    return round(ticks / TICKS_PER_SECOND, 1)
--- a/onyxhead/fleet/slow_start_budget.py
+++ b/onyxhead/fleet/slow_start_budget.py
@@ -1,55 +1,62 @@
-"""Rule 4's budget for cold backends, shared by number: who uses less lends to who needs more. No I/O.
+"""The slow-start budget of warming endpoints, shared by number: who uses less lends to who needs more. No I/O.
 
-Alone, each controller bounds what its own proxies bring to a cold backend by its own part: the usual flows of its
-proxies for each unit of weight. All parts together are what the backend bears, so lone controllers are safe and
-wasteful: one whose proxies are idle leaves a part that another, in a burst, could use.
+Alone, each controller bounds what its own proxies bring to a warming endpoint by its own capacity there: the baseline
+rate of its proxies for each unit of weight. All capacities together are what the endpoint bears, so lone controllers
+are safe and wasteful: one whose proxies are idle leaves capacity that another, in a burst, could use.
 
-A loan moves some of a part from one controller to another. It can't be ended by time, since clocks run apart and orders
-take theirs, nor by the lender, whose word may be lost. It ends for both by what both see in the same list: the backend
-has been up for its cold time, or has left, or has started anew. So the sum of all parts never grows, whatever is lost,
-delayed, doubled or reordered:
+A grant moves some capacity from one controller, the lender, to another, the borrower. It can't be ended by time, since
+clocks run apart and updates take theirs, nor by the lender, whose message may be lost. It ends for both by what both
+see in the same endpoint list: the incarnation has been up for its warm-up time, or has left, or has started anew. So
+the sum of all capacities never grows, whatever is lost, delayed, doubled or reordered:
 
-- The lender takes the loan off its own part, and has it on disk, before it tells anyone.
-- The borrower uses a loan from the moment it first hears of it. It hears of one loan many times and counts it once.
+- The lender takes the grant off its own capacity, and has it on disk, before it tells anyone.
+- The borrower uses a grant from the moment it first hears of it. It hears of one grant many times and counts it once.
 - A lender that lost its disk can't know what it lent, and borrowers that could tell may be dead, with their proxies
-  still at work. For backends that started before it did, it keeps to the part that no one can have borrowed from it.
-- Nothing is lent for backends older than the lender's life: proxies of its life before may still use all of its part.
-- With no news nothing is lent, and each keeps to its lone bound.
+  still at work. For endpoints that started before it did, it keeps to the part that no one can have borrowed from it.
+- Nothing is lent for endpoints older than the lender's process: proxies that an earlier one served may still use all of
+  its capacity.
+- With no reports nothing is lent, and each keeps to its lone bound.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from typing import Any, NamedTuple
 
+from onyxhead.time_units import TICKS_PER_SECOND
+
 MAX_GRANTED_FRACTION = 0.5
-"""Of its part, what a controller lends at most; the rest is its own whatever anyone says."""
+"""Of its capacity, what a controller lends at most; the rest is its own whatever anyone says."""
 GRANTED_SPARE_FRACTION = 0.5
-"""Of what it leaves unused now: flows come back faster than loans."""
+"""Of what it leaves unused now, what a controller lends: requests come back faster than grants."""
 MIN_GRANT_FRACTION = 0.05
-"""Of a part; smaller loans only make news longer."""
+"""Of a capacity; smaller grants only make reports longer."""
 MAX_GRANTS = 10_000
-MAX_CLOCK_SKEW = 60 * 10_000
-"""So far apart, in tenths of a millisecond, may be the clock that starts are told by and the controller's own."""
+MAX_CLOCK_SKEW = 60 * TICKS_PER_SECOND
+"""How far apart the clock by which endpoints' starts are told may be from the controller's own."""
+AMOUNT_DECIMALS = 6
 
 
 class Incarnation(NamedTuple):
-    """One start of a backend, the same in every member's list."""
+    """One start of a backend, the same in every member's endpoint list."""
 
     backend: str
     started_at: int
 
 
 class IncarnationLoad(NamedTuple):
-    """What a controller has for a cold backend and what it would bring. `part` is its lone bound in usual flows (warmth
-    and trust apart, since both sides apply their own), `asked` what its flows would take if nothing held them."""
+    """What a controller may bring to a warming endpoint, and what it would bring.
+
+    `capacity` is its lone bound, as a part of its baseline rate, before slow start and health weights, which each
+    controller applies by itself. `demand` is what its requests would take if nothing held them.
+    """
 
     capacity: float
     demand: float
 
 
 class BudgetGrant(NamedTuple):
-    """`number` counts up over the lender's lives, so that a loan is known by (lender, number)."""
+    """Capacity that one controller lends another; known by lender and number, which counts up over restarts."""
 
     lender: str
     number: int
@@ -57,170 +64,152 @@
     incarnation: Incarnation
     amount: float
 
-    def plain(self) -> list[Any]:
-        return [
-            self.lender,
-            self.number,
-            self.borrower,
-            self.incarnation.backend,
-            self.incarnation.started_at,
-            self.amount,
-        ]
-
-
-class MalformedReportError(ValueError):
-    """News that can't be taken; the text says why."""
-
 
 class BudgetReport(NamedTuple):
-    """What a member says of its budget: what it lacks, by backend's life, and every loan it knows of as a party."""
+    """What a member tells of its budget: its shortfalls, and every grant that it knows of as a party."""
 
     shortfalls: dict[Incarnation, float]
     grants: tuple[BudgetGrant, ...]
 
-    def plain(self) -> dict[str, Any]:
-        return {
-            "lacks": [
-                [life.backend, life.started_at, round(lack, 6)] for life, lack in sorted(self.shortfalls.items())
-            ],
-            "loans": [loan.plain() for loan in self.grants],
-        }
-
-
-def parse_report(plain: Any) -> BudgetReport:  # noqa: ANN401
-    """A member's word. Raises MalformedReportError."""
-    try:
-        lacks = {Incarnation(str(name), _whole(at)): _amount(lack) for name, at, lack in plain["lacks"]}
-        loans = tuple(
-            BudgetGrant(str(lender), _whole(number), str(borrower), Incarnation(str(name), _whole(at)), _amount(amount))
-            for lender, number, borrower, name, at, amount in plain["loans"]
-        )
-    except (KeyError, TypeError, ValueError) as error:
-        raise MalformedReportError(f"no word of a budget: {error}") from None
-    if len(lacks) > MAX_GRANTS or len(loans) > MAX_GRANTS:
-        raise MalformedReportError("too much said of a budget")
-    return BudgetReport(lacks, loans)
-
-
-def _whole(value: object) -> int:
-    if type(value) is not int or not 0 <= value < 2**62:
-        raise MalformedReportError(f"{value!r} is no number of a loan or a start")
-    return value
-
-
-def _amount(value: object) -> float:
-    if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value < 1e9:
-        raise MalformedReportError(f"{value!r} is no amount")
-    return float(value)
-
 
 class SlowStartBudget:
-    """One controller's books of loans. `kept` are the loans of earlier lives as `plain` wrote them, None if the disk
-    knows of no earlier life; `keep` puts them on disk before it returns, or raises, and then nothing was lent.
-    `began` is this life's start, by the clock that backends' starts are told by."""
+    """One controller's account of grants.
+
+    `grants` are those of earlier processes, None if the disk knows of no earlier process. `persist` puts all grants on
+    disk before it returns, or raises, and then nothing was lent. `started_at` is the start of this process, by the
+    clock that endpoints' starts are told by.
+    """
 
     def __init__(
-        self, own: str, began: int, kept: list[list[Any]] | None, keep: Callable[[list[list[Any]]], None]
+        self,
+        own_name: str,
+        started_at: int,
+        grants: Iterable[BudgetGrant] | None,
+        persist: Callable[[list[BudgetGrant]], None],
     ) -> None:
-        self.own_name, self.started_at, self.persist = own, began, keep
-        self.granted: dict[int, BudgetGrant] = {}
+        self.own_name, self.started_at, self.persist = own_name, started_at, persist
+        self.history_complete = grants is not None
+        self.granted: dict[int, BudgetGrant] = {grant.number: grant for grant in grants or ()}
         self.received: dict[tuple[str, int], BudgetGrant] = {}
         self.loads: dict[Incarnation, IncarnationLoad] = {}
         self.shortfalls: dict[str, dict[Incarnation, float]] = {}
-        self.history_complete = kept is not None
-        if kept:
-            for loan in parse_report({"lacks": [], "loans": kept}).grants:
-                self.granted[loan.number] = loan
         self.last_number = max(self.granted, default=0)
 
-    # What is heard
+    # Events
 
-    def on_loads(self, strains: Mapping[Incarnation, IncarnationLoad]) -> None:
-        """All backends that are cold now, with this controller's own figures. Loans on others are over."""
-        self.loads = dict(strains)
-        over = [number for number, loan in self.granted.items() if loan.incarnation not in strains]
+    def on_loads(self, loads: Mapping[Incarnation, IncarnationLoad]) -> None:
+        """All endpoints that are warming up now, with this controller's own loads; grants on others are over."""
+        self.loads = dict(loads)
+        over = [number for number, grant in self.granted.items() if grant.incarnation not in loads]
         for number in over:
             del self.granted[number]
-        self.received = {key: loan for key, loan in self.received.items() if loan.incarnation in strains}
-
-    def on_report(self, member: str, word: BudgetReport) -> None:
-        """A member's word, as often and as late as it comes."""
-        self.shortfalls[member] = word.shortfalls
-        for loan in word.grants:
-            if loan.lender == self.own_name:
-                # Lost with a disk, or lent by a life before: whoever uses it says so, and it stays lent.
-                if loan.borrower == member and loan.incarnation in self.loads and loan.number not in self.granted:
-                    self.granted[loan.number] = loan
-                self.last_number = max(self.last_number, loan.number)
-            elif loan.borrower == self.own_name and loan.lender == member and loan.incarnation in self.loads:
-                self.received.setdefault((loan.lender, loan.number), loan)
+        self.received = {key: grant for key, grant in self.received.items() if grant.incarnation in loads}
+
+    def on_report(self, member: str, report: BudgetReport) -> None:
+        """A member's report, as often and as late as it comes."""
+        self.shortfalls[member] = report.shortfalls
+        for grant in report.grants:
+            if grant.lender == self.own_name:
+                self._on_own_grant(member, grant)
+            elif grant.borrower == self.own_name and grant.lender == member and grant.incarnation in self.loads:
+                self.received.setdefault((grant.lender, grant.number), grant)
+
+    def _on_own_grant(self, member: str, grant: BudgetGrant) -> None:
+        # Lost with a disk, or lent by an earlier process: whoever uses it says so, and it stays lent.
+        if grant.borrower == member and grant.incarnation in self.loads and grant.number not in self.granted:
+            self.granted[grant.number] = grant
+        self.last_number = max(self.last_number, grant.number)
 
     def on_member_left(self, member: str) -> None:
-        """A member left or died. What it lent stays borrowed and what it borrowed stays lent: its proxies may still
-        hold lines that use it."""
+        """A member left or died.
+
+        What it lent stays borrowed and what it borrowed stays lent: its proxies may still hold lines that use it.
+        """
         self.shortfalls.pop(member, None)
 
-    def _older(self, life: Incarnation) -> bool:
-        return life.started_at <= self.started_at + MAX_CLOCK_SKEW
-
-    # What is decided
-
-    def share(self, life: Incarnation) -> float:
-        """Of this controller's own part for a cold backend, how much it may use now; over 1 where it borrowed."""
-        strain = self.loads.get(life)
-        if strain is None or strain.capacity <= 0:
-            # Nothing is known of its own flows yet; of whatever its part will be, at most so much can be lent.
-            lent = any(loan.incarnation == life for loan in self.granted.values())
-            return 1.0 - MAX_GRANTED_FRACTION if lent or (not self.history_complete and self._older(life)) else 1.0
-        away = sum(loan.amount for loan in self.granted.values() if loan.incarnation == life)
-        more = sum(loan.amount for loan in self.received.values() if loan.incarnation == life)
-        kept = max(0.0, 1.0 - away / strain.capacity)
-        if not self.history_complete and self._older(life):
+    # Decisions
+
+    def share(self, incarnation: Incarnation) -> float:
+        """How much of its own capacity this controller may use at a warming endpoint; over 1 where it borrowed."""
+        load = self.loads.get(incarnation)
+        may_have_lent = not self.history_complete and self._may_be_older(incarnation)
+        if load is None or load.capacity <= 0:
+            # Nothing is known of its own load yet; of whatever its capacity will be, at most so much can be lent.
+            lent = any(grant.incarnation == incarnation for grant in self.granted.values())
+            return 1.0 - MAX_GRANTED_FRACTION if lent or may_have_lent else 1.0
+        kept = max(0.0, 1.0 - self._lent(incarnation) / load.capacity)
+        if may_have_lent:
             kept = min(kept, 1.0 - MAX_GRANTED_FRACTION)
-        return kept + more / strain.capacity
+        return kept + self._borrowed(incarnation) / load.capacity
 
     def grant(self) -> list[BudgetGrant]:
-        """Loans to those that lack, out of what is left unused; on disk before they are returned. In a fixed order, the
-        one who lacks most first."""
+        """New grants to members with a shortfall, out of what is left unused; on disk before they are returned.
+
+        The order is fixed, the greatest shortfall at an endpoint first. Raises what `persist` does.
+        """
         made: list[BudgetGrant] = []
-        for life, strain in sorted(self.loads.items()):
-            # Proxies of this controller's life before may still use all of its part.
-            if self._older(life):
-                continue
-            away = sum(loan.amount for loan in self.granted.values() if loan.incarnation == life)
-            spare = min(
-                MAX_GRANTED_FRACTION * strain.capacity - away,
-                GRANTED_SPARE_FRACTION * (strain.capacity * self.share(life) - strain.demand),
-            )
-            wanting = [(lack, name) for name, lacks in self.shortfalls.items() if (lack := lacks.get(life, 0.0)) > 0]
-            for lack, name in sorted(wanting, key=lambda each: (-each[0], each[1])):
-                amount = min(spare, lack)
-                if amount < MIN_GRANT_FRACTION * strain.capacity or len(self.granted) + len(made) >= MAX_GRANTS:
-                    break
-                spare -= amount
-                self.last_number += 1
-                made.append(BudgetGrant(self.own_name, self.last_number, name, life, round(amount, 6)))
-                # It said what it lacked before it heard of this; it must say so again to get more.
-                self.shortfalls[name] = {each: left for each, left in self.shortfalls[name].items() if each != life}
+        for incarnation, load in sorted(self.loads.items()):
+            # Proxies that an earlier process of this controller served may still use all of its capacity.
+            if not self._may_be_older(incarnation):
+                self._grant_from(incarnation, load, made)
         if made:
-            self.persist([loan.plain() for loan in (*self.granted.values(), *made)])
-            self.granted |= {loan.number: loan for loan in made}
+            self.persist([*self.granted.values(), *made])
+            self.granted |= {grant.number: grant for grant in made}
         return made
 
+    def _grant_from(self, incarnation: Incarnation, load: IncarnationLoad, made: list[BudgetGrant]) -> None:
+        spare = self._spare(incarnation, load)
+        for shortfall, member in self._shortfalls_at(incarnation):
+            amount = min(spare, shortfall)
+            if amount < MIN_GRANT_FRACTION * load.capacity or len(self.granted) + len(made) >= MAX_GRANTS:
+                return
+            spare -= amount
+            self.last_number += 1
+            amount = round(amount, AMOUNT_DECIMALS)
+            made.append(BudgetGrant(self.own_name, self.last_number, member, incarnation, amount))
+            # It reported its shortfall before it heard of this grant; it must report again to get more.
+            remaining = {key: value for key, value in self.shortfalls[member].items() if key != incarnation}
+            self.shortfalls[member] = remaining
+
+    def _spare(self, incarnation: Incarnation, load: IncarnationLoad) -> float:
+        lendable = MAX_GRANTED_FRACTION * load.capacity - self._lent(incarnation)
+        unused = load.capacity * self.share(incarnation) - load.demand
+        return min(lendable, GRANTED_SPARE_FRACTION * unused)
+
+    def _shortfalls_at(self, incarnation: Incarnation) -> list[tuple[float, str]]:
+        """Shortfalls with the members that have them, the greatest first."""
+        found = [(each.get(incarnation, 0.0), member) for member, each in self.shortfalls.items()]
+        return sorted((each for each in found if each[0] > 0), key=lambda each: (-each[0], each[1]))
+
+    def _may_be_older(self, incarnation: Incarnation) -> bool:
+        return incarnation.started_at <= self.started_at + MAX_CLOCK_SKEW
+
+    def _lent(self, incarnation: Incarnation) -> float:
+        return sum(grant.amount for grant in self.granted.values() if grant.incarnation == incarnation)
+
+    def _borrowed(self, incarnation: Incarnation) -> float:
+        return sum(grant.amount for grant in self.received.values() if grant.incarnation == incarnation)
+
+    # Reports
+
     def report(self) -> BudgetReport:
-        """What to tell all others."""
-        lacks = {}
-        for life, strain in self.loads.items():
-            lack = strain.demand - strain.capacity * self.share(life)
-            if lack > MIN_GRANT_FRACTION * strain.capacity:
-                lacks[life] = lack
-        return BudgetReport(lacks, (*self.granted.values(), *self.received.values()))
+        """What to tell all other members."""
+        shortfalls = {}
+        for incarnation, load in self.loads.items():
+            shortfall = load.demand - load.capacity * self.share(incarnation)
+            if shortfall > MIN_GRANT_FRACTION * load.capacity:
+                shortfalls[incarnation] = shortfall
+        return BudgetReport(shortfalls, (*self.granted.values(), *self.received.values()))
 
     def status(self) -> dict[str, Any]:
-        """For operators, by backend."""
-        found: dict[str, Any] = {}
-        for life in sorted(self.loads):
-            lent = {loan.borrower: loan.amount for loan in self.granted.values() if loan.incarnation == life}
-            borrowed = {loan.lender: loan.amount for loan in self.received.values() if loan.incarnation == life}
-            found[life.backend] = {"share": round(self.share(life), 3), "lent": lent, "borrowed": borrowed}
-        return found
+        """The budget for operators, as JSON by backend."""
+        return {incarnation.backend: self._incarnation_status(incarnation) for incarnation in sorted(self.loads)}
+
+    def _incarnation_status(self, incarnation: Incarnation) -> dict[str, Any]:
+        granted = [grant for grant in self.granted.values() if grant.incarnation == incarnation]
+        received = [grant for grant in self.received.values() if grant.incarnation == incarnation]
+        return {
+            "share": round(self.share(incarnation), 3),
+            "lent": {grant.borrower: grant.amount for grant in granted},
+            "borrowed": {grant.lender: grant.amount for grant in received},
+        }
--- /dev/null
+++ b/onyxhead/fleet/wire_format.py
@@ -0,0 +1,138 @@
+"""How gossip packets and budget reports are written in JSON, and how grants are stored.
+
+Their field names are part of the protocol between controllers. In the code, a packet's `about` is its subject, `lacks`
+are shortfalls, and `loans` are grants, written as lists: lender, number, borrower, backend, start, amount.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any
+
+from onyxhead.fleet.errors import MalformedPacketError, MalformedReportError
+from onyxhead.fleet.packets import MAX_UPDATES, MemberUpdate, Packet, PacketKind, Status
+from onyxhead.fleet.slow_start_budget import MAX_GRANTS, BudgetGrant, BudgetReport, Incarnation
+
+PROTOCOL_VERSION = 1
+"""Packets of any other version are rejected."""
+MAX_UPDATES_READ = 4 * MAX_UPDATES
+MAX_PACKET_NUMBER = 2**53
+"""The greatest whole number that every JSON parser reads exactly."""
+MAX_REPORT_NUMBER = 2**62
+MAX_AMOUNT = 1e9
+MAX_NAME_IN_ERROR = 80
+
+TO, SENDER, BOOT, KIND, NUMBER, ABOUT = "to", "sender", "boot", "kind", "number", "about"
+UPDATES, VERSION = "updates", "version"
+LACKS, LOANS = "lacks", "loans"
+AMOUNT_DECIMALS = 6
+
+_KINDS = frozenset(kind.value for kind in PacketKind)
+
+
+def encode_packet(packet: Packet) -> dict[str, Any]:
+    """The JSON object of a packet."""
+    return {
+        TO: packet.to,
+        SENDER: packet.sender,
+        BOOT: packet.boot,
+        KIND: packet.kind.value,
+        NUMBER: packet.number,
+        ABOUT: packet.subject,
+        UPDATES: [[update.name, int(update.status), update.incarnation, update.boot] for update in packet.updates],
+        VERSION: PROTOCOL_VERSION,
+    }
+
+
+def decode_packet(given: Any) -> Packet:  # noqa: ANN401  any JSON value
+    """The packet of a JSON object. Raises MalformedPacketError."""
+    try:
+        if given[VERSION] != PROTOCOL_VERSION:
+            sender = str(given[SENDER])[:MAX_NAME_IN_ERROR]
+            raise MalformedPacketError(f"{sender} speaks version {given[VERSION]!r}, this is {PROTOCOL_VERSION}")
+        updates = tuple(
+            MemberUpdate(str(name), Status(status), _packet_number(incarnation), str(boot))
+            for name, status, incarnation, boot in given[UPDATES][:MAX_UPDATES_READ]
+        )
+        texts = [given[name] for name in (TO, SENDER, BOOT, KIND, ABOUT)]
+        if not all(isinstance(text, str) for text in texts) or given[KIND] not in _KINDS:
+            raise MalformedPacketError("not a packet")
+        to, sender, boot, kind, subject = texts
+        return Packet(to, sender, boot, PacketKind(kind), _packet_number(given[NUMBER]), subject, updates)
+    except MalformedPacketError:
+        raise
+    except (KeyError, TypeError, ValueError) as error:
+        raise MalformedPacketError(f"not a packet: {error}") from error
+
+
+def _packet_number(value: object) -> int:
+    if type(value) is not int or not 0 <= value <= MAX_PACKET_NUMBER:
+        raise ValueError(f"{value!r} is out of range")
+    return value
+
+
+def encode_budget_report(report: BudgetReport) -> dict[str, Any]:
+    """The JSON object of a budget report."""
+    return {
+        LACKS: [
+            [incarnation.backend, incarnation.started_at, round(shortfall, AMOUNT_DECIMALS)]
+            for incarnation, shortfall in sorted(report.shortfalls.items())
+        ],
+        LOANS: encode_grants(report.grants),
+    }
+
+
+def decode_budget_report(given: Any) -> BudgetReport:  # noqa: ANN401  any JSON value
+    """The budget report of a JSON object. Raises MalformedReportError."""
+    try:
+        shortfalls = {
+            Incarnation(str(backend), _report_number(started_at)): _amount(shortfall)
+            for backend, started_at, shortfall in given[LACKS]
+        }
+        grants = tuple(
+            BudgetGrant(
+                str(lender),
+                _report_number(number),
+                str(borrower),
+                Incarnation(str(backend), _report_number(started_at)),
+                _amount(amount),
+            )
+            for lender, number, borrower, backend, started_at, amount in given[LOANS]
+        )
+    except (KeyError, TypeError, ValueError) as error:
+        raise MalformedReportError(f"no word of a budget: {error}") from error
+    if len(shortfalls) > MAX_GRANTS or len(grants) > MAX_GRANTS:
+        raise MalformedReportError("too much said of a budget")
+    return BudgetReport(shortfalls, grants)
+
+
+def encode_grants(grants: Iterable[BudgetGrant]) -> list[list[Any]]:
+    """Grants as they are sent and stored."""
+    return [
+        [
+            grant.lender,
+            grant.number,
+            grant.borrower,
+            grant.incarnation.backend,
+            grant.incarnation.started_at,
+            grant.amount,
+        ]
+        for grant in grants
+    ]
+
+
+def decode_grants(given: Any) -> tuple[BudgetGrant, ...]:  # noqa: ANN401  any JSON value
+    """Grants as `encode_grants` wrote them. Raises MalformedReportError."""
+    return decode_budget_report({LACKS: [], LOANS: given}).grants
+
+
+def _report_number(value: object) -> int:
+    if type(value) is not int or not 0 <= value < MAX_REPORT_NUMBER:
+        raise MalformedReportError(f"{value!r} is no number of a loan or a start")
+    return value
+
+
+def _amount(value: object) -> float:
+    if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value < MAX_AMOUNT:
+        raise MalformedReportError(f"{value!r} is no amount")
+    return float(value)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -9,14 +9,15 @@
 
 import pytest
 
+from onyxhead.fleet.errors import MalformedReportError
 from onyxhead.fleet.slow_start_budget import (
     MAX_GRANTED_FRACTION,
+    BudgetGrant,
     Incarnation,
     IncarnationLoad,
-    MalformedReportError,
     SlowStartBudget,
-    parse_report,
 )
+from onyxhead.fleet.wire_format import decode_budget_report, decode_grants, encode_budget_report, encode_grants
 from tests.controller_rig import Rig, entry
 
 SECOND = 10_000
@@ -28,19 +29,20 @@
         self.kept: list[list[Any]] | None = None
         self.full = False
 
-    def keep(self, loans: list[list[Any]]) -> None:
+    def keep(self, grants: list[BudgetGrant]) -> None:
         if self.full:
             raise OSError("no room")
-        self.kept = json.loads(json.dumps(loans))
+        self.kept = json.loads(json.dumps(encode_grants(grants)))
 
 
 def budget(own: str, disk: Disk | None = None, began: int = 0) -> SlowStartBudget:
     disk = disk or Disk()
-    return SlowStartBudget(own, began, disk.kept if disk.kept is not None else ([] if began == 0 else None), disk.keep)
+    kept = disk.kept if disk.kept is not None else ([] if began == 0 else None)
+    return SlowStartBudget(own, began, decode_grants(kept) if kept is not None else None, disk.keep)
 
 
 def pass_on(giver: SlowStartBudget, taker: SlowStartBudget) -> None:
-    taker.on_report(giver.own_name, parse_report(json.loads(json.dumps(giver.report().plain()))))
+    taker.on_report(giver.own_name, decode_budget_report(json.loads(json.dumps(encode_budget_report(giver.report())))))
 
 
 def test_the_idle_lend_to_the_one_in_a_burst_and_only_what_they_leave() -> None:
@@ -79,7 +81,7 @@
     pass_on(busy, idle)
     idle.grant()
     pass_on(idle, busy)
-    old = parse_report(idle.report().plain())
+    old = decode_budget_report(encode_budget_report(idle.report()))
     again = Incarnation("b0", 200 * SECOND)
     for each in (idle, busy):
         each.on_loads({again: IncarnationLoad(10.0, 10.0)})
@@ -112,7 +114,7 @@
 )
 def test_what_is_no_word_is_refused(plain: Any) -> None:
     with pytest.raises(MalformedReportError):
-        parse_report(plain)
+        decode_budget_report(plain)
 
 
 class Fleet:
@@ -163,18 +165,18 @@
                 # One word arrives, any of them, and may arrive again.
                 sender, to, plain = self.chance.choice(self.flying)
                 if (taker := self.members[to]) is not None:
-                    taker.on_report(sender, parse_report(plain))
+                    taker.on_report(sender, decode_budget_report(plain))
             case 4 if len(self.flying) > 20:
                 self.flying = self.flying[10:]
             case _ if member is not None:
                 self.lend(name)
-                self.flying.append((name, other, json.loads(json.dumps(member.report().plain()))))
+                self.flying.append((name, other, json.loads(json.dumps(encode_budget_report(member.report())))))
                 if (taker := self.members[other]) is not None and self.chance.random() < 0.7:
                     taker.on_loads(
                         {life: IncarnationLoad(self.parts[other], 0.0) for life in self.lives}
                         | {life: strain for life, strain in taker.loads.items() if life in self.lives}
                     )
-                    taker.on_report(name, parse_report(copy.deepcopy(member.report().plain())))
+                    taker.on_report(name, decode_budget_report(copy.deepcopy(encode_budget_report(member.report()))))
 
     def over(self) -> float:
         """By how much all parts together are beyond what the backend bears."""
@@ -239,7 +241,7 @@
             if shared:
                 rig.core.update_budget_shares(rig.now, budgets[name])
                 other = "idle" if name == "busy" else "busy"
-                budgets[name].on_report(other, parse_report(budgets[other].report().plain()))
+                budgets[name].on_report(other, decode_budget_report(encode_budget_report(budgets[other].report())))
     return brought(rigs["busy"]), [rig.core.policy.endpoints.by_id["b9"].budget_share for rig in rigs.values()]
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,9 +15,12 @@
 from onyxhead.controller.server import ControllerServer
 from onyxhead.fleet.assignment import Member, assign_proxies, rank_members
 from onyxhead.fleet.controller_selector import ControllerSelector
-from onyxhead.fleet.fencing import MAX_TOKEN, FencingTokenGuard, StaleTokenError, next_token
-from onyxhead.fleet.membership import MalformedPacketError, Membership, Packet, Status, read
+from onyxhead.fleet.errors import MalformedPacketError, StaleTokenError
+from onyxhead.fleet.fencing import MAX_TOKEN, FencingTokenGuard, next_token
+from onyxhead.fleet.membership import Membership
 from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
+from onyxhead.fleet.packets import Packet, Status
+from onyxhead.fleet.wire_format import decode_packet, encode_packet
 from onyxhead.http.client import ask_once
 from onyxhead.http.messages import Request
 from onyxhead.settings.load import Controller
@@ -67,7 +70,7 @@
             self.flying = [each for each in self.flying if each[0] > self.now]
             for _, packet in due:
                 if packet.to in self.members and self.stalled.get(packet.to, 0) <= self.now:
-                    again = read(json.loads(json.dumps(packet.plain())))
+                    again = decode_packet(json.loads(json.dumps(encode_packet(packet))))
                     self.send(self.members[packet.to].receive(again, self.now))
             for name, member in list(self.members.items()):
                 if self.stalled.get(name, 0) <= self.now:
@@ -219,7 +222,7 @@
 )
 def test_what_is_no_packet_or_of_another_version_is_told_apart(given: Any) -> None:
     with pytest.raises(MalformedPacketError):
-        read(given)
+        decode_packet(given)
 
 
 # Who serves whom
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -26,6 +26,7 @@
 
 from onyxhead.cli.main import main as command
 from onyxhead.fleet.slow_start_budget import Incarnation, IncarnationLoad, SlowStartBudget
+from onyxhead.fleet.wire_format import decode_grants, encode_grants
 from onyxhead.series.time_series_store import TimeSeriesStore
 from tests.programs import COMMAND, Program, ask, until
 
@@ -38,7 +39,9 @@
 
 def lend(keep: Callable[[list[list[Any]]], None]) -> None:
     """Controller c1 lends c2 a part of what it leaves of the cold backend b3, and has it written by `keep`."""
-    budget, life = SlowStartBudget("c1", 0, [["c1", 3, "c2", "b3", 9_000_000, 2.5]], keep), Incarnation("b3", 9_000_000)
+    stored = decode_grants([["c1", 3, "c2", "b3", 9_000_000, 2.5]])
+    budget = SlowStartBudget("c1", 0, stored, lambda grants: keep(encode_grants(grants)))
+    life = Incarnation("b3", 9_000_000)
     budget.on_loads({life: IncarnationLoad(10.0, 2.0)})
     budget.shortfalls["c2"] = {life: 1.0}
     budget.grant()
