--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -32,7 +32,8 @@
 from onyxhead.controller.load_stats import parse_load_stats
 from onyxhead.controller.proxies import NEVER_ACKNOWLEDGED, JoinRequest
 from onyxhead.controller.version_requests import CHANGING_VERBS, handle_version_request
-from onyxhead.fleet.fencing import StaleTokenError, next_token
+from onyxhead.fleet.errors import StaleTokenError
+from onyxhead.fleet.fencing import next_token
 from onyxhead.fronts.files.push import Encoder, Refused, Stream
 from onyxhead.http.messages import Request, Response, json_response, problem_response
 from onyxhead.http.server import Server
