--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -31,7 +31,8 @@
 from onyxhead.tables.errors import RollbackRejectedError, UnknownVersionError
 from onyxhead.tables.history import History, LineKey, Version
 from onyxhead.tables.rollback import CurrentEndpoints, PinnedVersion, RollbackPlan, plan_rollback
-from onyxhead.tables.table_state import Freeze, TableState
+from onyxhead.tables.table_set import Freeze
+from onyxhead.tables.table_state import TableState
 from onyxhead.tables.updates import ProxyUpdate
 from onyxhead.tables.view import View
 
@@ -428,8 +429,8 @@
         room = SETTLE_SHARE * self.delivery_queue.limits.max_queued_lines - self.delivery_queue.queued_lines
         for message in self.proxy_tables.reconcile(room):
             self._enqueue(now, message)
-        left = self.proxy_tables.pending_changes()
-        if self.canary is None and not any(own is self.proxy_tables.canary for own, _, _ in left):
+        left = self.proxy_tables.pending_lines()
+        if self.canary is None and not any(line.tables is self.proxy_tables.canary for line in left):
             # Those that were on trial hold what all others hold, and are like all others again.
             self.proxy_tables.canary_proxies = frozenset()
         self.unsettled = self.pin is not None or bool(left) or bool(self.proxy_tables.canary_proxies)
