--- a/onyxhead/policy/balancer.py
+++ b/onyxhead/policy/balancer.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterator, Mapping, Sequence
 from typing import NamedTuple
 
-from onyxhead.policy import capacity
 from onyxhead.policy.admission import AdmissionController
 from onyxhead.policy.attempt_statistics import FleetStatistics
+from onyxhead.policy.capacity import update_capacities
 from onyxhead.policy.channel_budget import ChannelBudget
 from onyxhead.policy.decisions import AcknowledgementRequest, Decision, SubscribeToEndpoints, WakeUp
 from onyxhead.policy.endpoints import Backend, EndpointRegistry
@@ -79,6 +79,7 @@
         self._next_wake_up: int | None = None
         self._last_change_round = now - TICKS_PER_SECOND
 
+        # The parts; tests look into them, hosts use only the methods and properties below.
         self.slow_start = SlowStart(safety)
         self.weights = LineWeights(self.slow_start)
         self.subsets = Subsetting(deployment, feedback_delay, self.slow_start, now)
@@ -90,15 +91,10 @@
         self.outliers = OutlierDetector(utility, feedback_delay, self.weights)
         self.warmup_limiter = WarmupLimiter(deployment, self.slow_start, self.weights)
         self.admission = AdmissionController(deployment, utility, self.channel, feedback_delay, now)
-        self.withdrawals = WithdrawalScheduler(
-            self.channel, self.endpoints, self.proxies, self.subsets, safety.drain_grace
-        )
-        self.table_assigner = TableAssigner(
-            deployment, self.channel, self.endpoints, self.proxies, self.subsets, self.slow_start, self.withdrawals
-        )
-        self.table_updater = TableUpdater(
-            self.channel, self.endpoints, self.proxies, self.subsets, self.slow_start, self.weights, now
-        )
+        known = self.channel, self.endpoints, self.proxies, self.subsets
+        self.withdrawals = WithdrawalScheduler(*known, safety.drain_grace)
+        self.table_assigner = TableAssigner(*known, self.slow_start, self.withdrawals, deployment)
+        self.table_updater = TableUpdater(*known, self.slow_start, self.weights, now)
 
     # Events
 
@@ -200,9 +196,8 @@
         found = []
         for backend in self.endpoints.ready():
             if self.slow_start.warmup_fraction(backend, now) < 1:
-                baseline_rate = self.rates.baseline_per_weight * backend.weight
-                unlimited_rate = baseline_rate * backend.unlimited_load
-                found.append(WarmingBackend(backend.id, backend.started_at, baseline_rate, unlimited_rate))
+                rate = self.rates.baseline_per_weight * backend.weight
+                found.append(WarmingBackend(backend.id, backend.started_at, rate, rate * backend.unlimited_load))
         return found
 
     # Decisions
@@ -229,12 +224,12 @@
             yield WakeUp(WAKE_UP_INTERVAL_TICKS)
 
     def _change_round_is_due(self, now: int) -> bool:
-        after_change = now >= self.table_updater.last_sent + CHANGE_INTERVAL_TICKS
-        return after_change and now >= self._last_change_round + WAKE_UP_INTERVAL_TICKS
+        after_change = self.table_updater.last_sent + CHANGE_INTERVAL_TICKS
+        return now >= max(after_change, self._last_change_round + WAKE_UP_INTERVAL_TICKS)
 
     def _decide_changes(self, now: int, ready: Sequence[Backend]) -> Iterator[Decision]:
         self._evaluate_attempts(now, ready)
-        self._update_subsets(now, ready)
+        self.subsets.update(now, ready, self.endpoints.last_departure(), self.proxies.by_id.values(), self.fleet)
         self.weights.unreachable_zones = find_unreachable_zones(ready)
         self._update_estimates(now, ready)
         # Levels and weights must not fill the channel that withdrawals wait for.
@@ -254,22 +249,15 @@
         self.admission.follow_attempts(now, loss.best_quartile, self.fleet.success_rate, self.proxies)
         self.outliers.detect(now, ready, loss.average, self.subsets)
 
-    def _update_subsets(self, now: int, ready: Sequence[Backend]) -> None:
-        departures = (backend.departed_at or 0 for backend in self.endpoints.by_id.values())
-        last_departure = max(departures, default=0)
-        self.subsets.update(now, ready, last_departure, self.proxies.by_id.values(), self.fleet)
-
     def _update_estimates(self, now: int, ready: Sequence[Backend]) -> None:
         """Estimates rates and capacities anew, and sets weight factors and admission levels by them."""
         tables, rates, fleet = self.subsets.tables, self.rates, self.fleet
         rates.update(ready, self.proxies, tables, self.admission.levels)
-        capacity.update_speed_weights(ready, self.subsets.connection_limited)
-        costs = capacity.estimate_costs(ready, rates.per_weight)
         default_rate = self.warmup_limiter.least_bearable_load * rates.baseline_per_weight
-        total_capacity = capacity.estimate_capacity(now, ready, tables, costs, self.slow_start, default_rate)
-        capacity.assign_capacity_weights(ready, tables, costs, rates.per_weight)
+        limited = self.subsets.connection_limited
+        capacity = update_capacities(now, ready, tables, rates.per_weight, self.slow_start, default_rate, limited)
         warmup_fraction = self.warmup_limiter.limit(now, ready, tables, rates, fleet)
         self.admission.follow_health_checks(
             now, ready, self.proxies.baseline_rate(), fleet.failure_fraction, fleet.late_fraction
         )
-        self.admission.update_levels(self.proxies, tables, total_capacity, warmup_fraction)
+        self.admission.update_levels(self.proxies, tables, capacity, warmup_fraction)
--- a/onyxhead/policy/capacity.py
+++ b/onyxhead/policy/capacity.py
@@ -23,7 +23,28 @@
 SIGNIFICANT_SPEED_CHANGE = 0.3
 
 
-def update_speed_weights(ready: Sequence[Backend], connection_limited: bool) -> None:
+def update_capacities(
+    now: int,
+    ready: Sequence[Backend],
+    tables: Sequence[Table],
+    rate_per_weight: dict[int, float],
+    slow_start: SlowStart,
+    default_rate_per_weight: float,
+    connection_limited: bool,
+) -> float:
+    """Sets the weight factors of the backends and the capacity of each table, by what is known of them now.
+
+    Returns the requests a second that all backends together can serve in time. A backend without a known cost counts
+    for `default_rate_per_weight` times its listed weight.
+    """
+    _update_speed_weights(ready, connection_limited)
+    costs = _estimate_costs(ready, rate_per_weight)
+    capacity = _estimate_capacity(now, ready, tables, costs, slow_start, default_rate_per_weight)
+    _assign_capacity_weights(ready, tables, costs, rate_per_weight)
+    return capacity
+
+
+def _update_speed_weights(ready: Sequence[Backend], connection_limited: bool) -> None:
     """Gives the slower half of each kind of machine less weight: machines differ, and statistics tell it late.
 
     In a subset of one backend its weight says nothing and only costs lines, so with connection limits all get 1.
@@ -38,7 +59,7 @@
                 backend.speed_weight = speed
 
 
-def estimate_costs(ready: Sequence[Backend], rate_per_weight: dict[int, float]) -> dict[str, float]:
+def _estimate_costs(ready: Sequence[Backend], rate_per_weight: dict[int, float]) -> dict[str, float]:
     """The cost of a request at each backend; empty while no requests come."""
     prior = KIND_REPORT_WEIGHT * sum(backend.request_rate(rate_per_weight) for backend in ready) / max(1, len(ready))
     if not prior:
@@ -53,7 +74,7 @@
     }
 
 
-def estimate_capacity(
+def _estimate_capacity(
     now: int,
     ready: Sequence[Backend],
     tables: Sequence[Table],
@@ -61,10 +82,7 @@
     slow_start: SlowStart,
     default_rate_per_weight: float,
 ) -> float:
-    """Sets the capacity of each table; returns that of all backends together, in requests a second.
-
-    Without a known cost a backend counts for `default_rate_per_weight` times its listed weight.
-    """
+    """Sets the capacity of each table; returns that of all backends together."""
     capacities = {}
     for backend in ready if costs else ():
         cost = costs[backend.id]
@@ -75,7 +93,7 @@
     return sum(capacities.values())
 
 
-def assign_capacity_weights(
+def _assign_capacity_weights(
     ready: Sequence[Backend], tables: Sequence[Table], costs: dict[str, float], rate_per_weight: dict[int, float]
 ) -> None:
     """Sets the backends' weight factors by table so that none is utilized more than `MAX_UTILIZATION`.
--- a/onyxhead/policy/endpoints.py
+++ b/onyxhead/policy/endpoints.py
@@ -130,6 +130,10 @@
         """The backends that may get requests, in the order in which they were first listed."""
         return [backend for backend in self.by_id.values() if backend.ready]
 
+    def last_departure(self) -> int:
+        """When the last known departure was, 0 without any; one that is spread over time may lie ahead."""
+        return max((backend.departed_at or 0 for backend in self.by_id.values()), default=0)
+
     def update(self, now: int, event: WatchEvent, endpoints: Sequence[Endpoint]) -> None:
         """Applies an update of the endpoint list; what a snapshot leaves out has departed."""
         ready_before = sum(backend.ready for backend in self.by_id.values())
--- a/onyxhead/policy/table_assignment.py
+++ b/onyxhead/policy/table_assignment.py
@@ -23,13 +23,13 @@
 
     def __init__(
         self,
-        deployment: Deployment,
         channel: ChannelBudget,
         endpoints: EndpointRegistry,
         proxies: ProxyRegistry,
         subsets: Subsetting,
         slow_start: SlowStart,
         withdrawals: WithdrawalScheduler,
+        deployment: Deployment,
     ) -> None:
         self._channel = channel
         self._endpoints = endpoints
--- a/onyxhead/policy/table_changes.py
+++ b/onyxhead/policy/table_changes.py
@@ -80,8 +80,9 @@
             yield TableChange(number, tuple(sent))
 
     def _must_wait(self, now: int) -> bool:
-        """Whether too much is unacknowledged: many small messages would be mostly overhead, and a slow channel must
-        keep room for what cannot wait. A message that reached nobody is never acknowledged, so not for ever."""
+        """Whether too much is unacknowledged to send changes."""
+        # Many small messages would be mostly overhead, and a slow channel must keep room for what cannot wait. A
+        # message that reached nobody is never acknowledged, so the wait ends.
         channel = self._channel
         last = max(channel.last_sent, channel.last_acknowledged)
         if now >= last + 2 * channel.max_delay + TICKS_PER_SECOND:
