--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -10,7 +10,14 @@
 from onyxhead.controller.delivery_queue import QueuedMessage
 from onyxhead.controller.endpoint_list import EndpointEntry, EndpointList, EndpointListFollower
 from onyxhead.fronts.files.push import Encoder, Stream
-from onyxhead.http.messages import JSON, MERGE_PATCH, ORDER, STREAM, Request, order_field
+from onyxhead.http.messages import (
+    JSON_MEDIA_TYPE,
+    MERGE_PATCH_MEDIA_TYPE,
+    ORDER_HEADER,
+    STREAM_HEADER,
+    Request,
+    format_order_header,
+)
 from onyxhead.policy.inputs import AdmissionMode, ChannelLimits, Deployment, RetrySafety, SafetyLimits, TrafficGroup
 from onyxhead.tables.updates import ProxyUpdate
 from onyxhead.tables.view import View
@@ -35,12 +42,12 @@
     """What goes over the wire for a message, and nothing else of it."""
     body, digest = Encoder().body(message)
     headers = {
-        STREAM: stream,
-        ORDER: order_field(message.round_number, message.line_cost, at),
+        STREAM_HEADER: stream,
+        ORDER_HEADER: format_order_header(message.round_number, message.line_cost, at),
         "content-digest": digest,
         "if-match": message.base_etag,
         "onyxhead-result": message.result.etag,
-        "content-type": JSON if message.full else MERGE_PATCH,
+        "content-type": JSON_MEDIA_TYPE if message.full else MERGE_PATCH_MEDIA_TYPE,
     }
     return Request("PUT" if message.full else "PATCH", "/v1/view", headers, body)
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -20,13 +20,13 @@
 from onyxhead.http.messages import Request, Response
 from onyxhead.policy.decisions import TableAssignment, TableChange, Withdrawal
 from onyxhead.policy.inputs import AdmissionMode
-from onyxhead.settings.load import Agent, Log, Route
+from onyxhead.settings.model import AgentSettings, GroupRoute, LogSettings
 from onyxhead.tables.addresses import EndpointAddress
 from onyxhead.tables.table_state import TableState
 from onyxhead.tables.view import View
 from tests.controller_rig import line, request_of
 
-ROUTES = (Route("read", "/r", 0.5, 1), Route("write", "/w", 1.0, 0))
+ROUTES = (GroupRoute("read", "/r", 0.5, 1), GroupRoute("write", "/w", 1.0, 0))
 
 
 def orders() -> tuple[Keeper, list[Request]]:
@@ -115,8 +115,8 @@
     """Stands for a kill: nothing after it runs, not even what cleans up after errors."""
 
 
-def settings(folder: Path) -> Agent:
-    return Agent(
+def settings(folder: Path) -> AgentSettings:
+    return AgentSettings(
         "p1",
         "north",
         ("127.0.0.1", 1),
@@ -133,7 +133,7 @@
         0.1,
         1 << 20,
         None,
-        Log("info", "json"),
+        LogSettings("info", "json"),
     )
 
 
