--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -16,9 +16,19 @@
 from onyxhead.controller.core_host import CoreHost
 from onyxhead.controller.task_supervisor import TaskSupervisor
 from onyxhead.fleet.assignment import Member
-from onyxhead.fleet.membership import MalformedPacketError, Membership, Packet, read
+from onyxhead.fleet.errors import MalformedPacketError
+from onyxhead.fleet.membership import Membership
 from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
-from onyxhead.fleet.slow_start_budget import SlowStartBudget, parse_report
+from onyxhead.fleet.packets import Packet
+from onyxhead.fleet.slow_start_budget import SlowStartBudget
+from onyxhead.fleet.wire_format import (
+    decode_budget_report,
+    decode_grants,
+    decode_packet,
+    encode_budget_report,
+    encode_grants,
+    encode_packet,
+)
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import HttpError, Request, Response, json_response, problem_response
 from onyxhead.keys.credentials import TlsCredentials
@@ -82,7 +92,12 @@
         self.coordinator = OwnershipCoordinator(membership, members, now, settings.settle_time)
         # A disk that knows of an earlier incarnation would know its grants; an empty one proves nothing.
         grants = store.get(BUDGET_GRANTS) or ([] if host.core.epoch > 1 else None)
-        self.budget = SlowStartBudget(name, now, grants, lambda made: store.put(BUDGET_GRANTS, made))
+        self.budget = SlowStartBudget(
+            name,
+            now,
+            decode_grants(grants) if grants is not None else None,
+            lambda made: store.put(BUDGET_GRANTS, encode_grants(made)),
+        )
         self.budget_due_at = now
         self.logged_errors: set[str] = set()
         self.handlers = {
@@ -159,7 +174,7 @@
         member = self.settings.members.get(packet.to)
         if member is None:
             return
-        document = json_response(HTTPStatus.OK, {"packet": packet.plain(), "news": self._report()})
+        document = json_response(HTTPStatus.OK, {"packet": encode_packet(packet), "news": self._report()})
         timeout_s = 2 * self.settings.probe_timeout / TICKS_PER_SECOND
         request = Request("POST", FLEET_PATH, document.headers, document.body)
         try:
@@ -177,7 +192,7 @@
         now = self.host.now()
         replies = []
         for packet in packets:
-            replies += self.coordinator.membership.receive(read(packet), now)
+            replies += self.coordinator.membership.receive(decode_packet(packet), now)
         if isinstance(report, dict):
             proxies = {str(name): str(zone) for name, zone in dict(report.get("proxies", {})).items()}
             withdrawn = tuple(map(str, report.get("withdrawn", ())))
@@ -185,7 +200,7 @@
             self.coordinator.on_peer_report(sender, PeerReport(proxies, withdrawn, version, now))
             # A member of an older version reports no budget; nothing is granted to it.
             if sender in self.coordinator.alive and sender != self.coordinator.own_name and "budget" in report:
-                self.budget.on_report(sender, parse_report(report["budget"]))
+                self.budget.on_report(sender, decode_budget_report(report["budget"]))
         return replies
 
     def handle_packet(self, request: Request) -> Response:
@@ -205,7 +220,9 @@
         for packet in replies:
             if packet.to != sender:
                 self.supervisor.start_background(self._send(packet))
-        return json_response(HTTPStatus.OK, {"packets": [packet.plain() for packet in back], "news": self._report()})
+        return json_response(
+            HTTPStatus.OK, {"packets": [encode_packet(packet) for packet in back], "news": self._report()}
+        )
 
     def _report(self) -> dict[str, Any]:
         """What this controller tells the others beside its packets."""
@@ -213,7 +230,7 @@
             "proxies": self.own_proxies(),
             "withdrawn": sorted(self.host.core.proxy_tables.withdrawn),
             "list": self.list_version(),
-            "budget": self.budget.report().plain(),
+            "budget": encode_budget_report(self.budget.report()),
         }
 
     # Operators' requests
--- a/onyxhead/controller/join_handler.py
+++ b/onyxhead/controller/join_handler.py
@@ -10,7 +10,8 @@
 from onyxhead.controller.core_host import CoreHost
 from onyxhead.controller.proxies import JoinRequest
 from onyxhead.controller.proxy_streams import ProxyStreams, StreamParameters
-from onyxhead.fleet.fencing import StaleTokenError, next_token
+from onyxhead.fleet.errors import StaleTokenError
+from onyxhead.fleet.fencing import next_token
 from onyxhead.http.messages import Request, Response, json_response, problem_response
 from onyxhead.settings.model import ControllerSettings
 from onyxhead.tables.addresses import parse_address
