--- /dev/null
+++ b/onyxhead/cli/output.py
@@ -0,0 +1,42 @@
+"""Output of commands: JSON documents and tables of text."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping, Sequence
+
+import click
+from rich.console import Console
+from rich.table import Table
+
+Row = Mapping[str, object]
+
+
+def print_json(value: object) -> None:
+    """Print a value as indented JSON."""
+    click.echo(json.dumps(value, indent=2))
+
+
+def print_table(title: str, rows: Sequence[Row]) -> None:
+    """Print rows that have the same columns, under a title."""
+    if not rows:
+        click.echo(f"no {title}")
+        return
+    table = Table(title=title, title_justify="left", box=None)
+    for name in rows[0]:
+        table.add_column(name)
+    for row in rows:
+        table.add_row(*(format_cell(value) for value in row.values()))
+    Console().print(table)
+
+
+def print_fields(title: str, fields: Row) -> None:
+    """Print named values as a table with one row for each."""
+    print_table(title, [{"what": name, "value": value} for name, value in fields.items()])
+
+
+def format_cell(value: object) -> str:
+    """Return a JSON value as the text of one table cell."""
+    if isinstance(value, dict):
+        return " ".join(f"{key}={each}" for key, each in value.items())
+    return ", ".join(map(str, value)) if isinstance(value, list) else str(value)
--- /dev/null
+++ b/onyxhead/cli/routing.py
@@ -0,0 +1,106 @@
+"""Commands on routing: import and export of nginx configurations, and the route of one request."""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from onyxhead.cli.exits import ExitCode, FaultyInputError, RefusedError
+from onyxhead.cli.files import replace_file
+from onyxhead.cli.options import PATH
+from onyxhead.records.syntax import Faulty
+
+if TYPE_CHECKING:
+    from onyxhead.routing.model import Routing
+
+
+@click.group("import")
+def import_group() -> None:
+    """Carry another program's configuration over."""
+
+
+@import_group.command("nginx")
+@click.argument("file", type=PATH)
+@click.option("--out", type=PATH, help="Write the records here instead of to standard output.")
+@click.option("--report", type=PATH, help="Write the report here instead of to standard error.")
+@click.option("--strict", is_flag=True, help="Exit with 1 if anything was not carried.")
+def import_nginx(file: Path, out: Path | None, report: Path | None, strict: bool) -> None:
+    """Read nginx blocks from FILE and what it includes; say line by line what was carried whole, with a difference, or
+    not at all."""
+    from onyxhead.fronts.nginx.carry import Carrying
+    from onyxhead.routing.files import text
+
+    routing, lines = Carrying(_parse_nginx(file)).run()
+    report_text = "".join(f"{line}\n" for line in lines)
+    if report is not None:
+        report.write_text(report_text, encoding="utf-8")
+    else:
+        click.echo(report_text, err=True, nl=False)
+    if any(line.directive == "syntax" for line in lines):
+        raise FaultyInputError(f"{file}: nothing is written, since not all of it could be read")
+    if out is not None:
+        replace_file(out, text(routing))
+    else:
+        click.echo(text(routing), nl=False)
+    if strict and any(line.verdict == "not" for line in lines):
+        sys.exit(ExitCode.REFUSED)
+
+
+def _parse_nginx(file: Path) -> Any:  # noqa: ANN401  # crossplane's untyped syntax tree
+    """Return the syntax trees of an nginx configuration's files. Raises FaultyInputError."""
+    import crossplane
+
+    if not file.is_file():
+        raise FaultyInputError(f"{file}:1: cannot read it: no such file")
+    try:
+        return crossplane.parse(str(file), check_ctx=False, check_args=False)["config"]
+    except (OSError, UnicodeDecodeError, RecursionError) as error:
+        raise FaultyInputError(f"{file}:1: cannot read it: {error}") from error
+
+
+@click.group("export")
+def export_group() -> None:
+    """Write records as another program's configuration."""
+
+
+@export_group.command("nginx")
+@click.argument("file", type=PATH)
+def export_nginx(file: Path) -> None:
+    """Write the routing in FILE as nginx's upstream, server and location blocks."""
+    from onyxhead.fronts.nginx.write import Unsaid, blocks
+
+    try:
+        click.echo(blocks(_read_routing(file)), nl=False)
+    except Unsaid as error:
+        raise RefusedError(f"{file}: {error}") from error
+
+
+@click.command()
+@click.argument("file", type=PATH)
+@click.argument("host")
+@click.argument("path")
+@click.option("--known", "variables", multiple=True, metavar="NAME=VALUE", help="A variable, such as http_x_team=red.")
+def route(file: Path, host: str, path: str, variables: tuple[str, ...]) -> None:
+    """Say where a flow to HOST and PATH goes by the routing in FILE, and why."""
+    from onyxhead.routing.choose import Router
+
+    values = dict(variable.partition("=")[::2] for variable in variables)
+    way = Router(_read_routing(file)).way(host, path, values)
+    location = way.location
+    click.echo(f"host      {' '.join(way.host.names) or '(default)' if way.host else '-'}")
+    click.echo(f"location  {f'{location.kind} {location.pattern}' if location else '-'}")
+    click.echo(f"pool      {way.pool or '-'}")
+    click.echo(f"asks for  {way.path}" if way.pool else f"answers   {way.status}")
+    sys.exit(0 if way.pool else ExitCode.REFUSED)
+
+
+def _read_routing(file: Path) -> Routing:
+    from onyxhead.routing.files import read
+
+    try:
+        return read(file)
+    except Faulty as error:
+        raise FaultyInputError(*error.faults) from error
--- /dev/null
+++ b/onyxhead/cli/settings_files.py
@@ -0,0 +1,108 @@
+"""Commands on settings files: check, format, compare, and their JSON Schema."""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+
+import click
+
+from onyxhead.cli.exits import ExitCode, FaultyInputError
+from onyxhead.cli.files import replace_file
+from onyxhead.cli.options import PATH, json_option
+from onyxhead.cli.output import print_json
+from onyxhead.records.syntax import Fault, Faulty
+from onyxhead.settings import load
+
+
+@click.command()
+@click.argument("files", nargs=-1, required=True, type=PATH)
+def check(files: tuple[Path, ...]) -> None:
+    """Check settings files; every fault is named with its place."""
+    faults: list[Fault] = []
+    for path in files:
+        try:
+            load.read_settings(path)
+        except Faulty as error:
+            faults += error.faults
+    if faults:
+        raise FaultyInputError(*faults)
+    click.echo(f"{len(files)} sound")
+
+
+@click.command()
+@click.argument("files", nargs=-1, required=True, type=PATH)
+@click.option("--check", "only_check", is_flag=True, help="Change nothing; exit with 1 if a file is not laid out so.")
+def fmt(files: tuple[Path, ...], only_check: bool) -> None:
+    """Lay settings files out evenly. Comments stay, the meaning can't change, and a file with faults is left alone."""
+    from onyxhead.records.layout import laid_out
+    from onyxhead.records.syntax import parse
+
+    faults: list[object] = []
+    differing: list[Path] = []
+    for path in files:
+        try:
+            text = path.read_bytes().decode()
+            parse(text, str(path))
+        except (OSError, UnicodeDecodeError) as error:
+            faults.append(f"{path}:1:1: cannot read it: {error}")
+            continue
+        except Faulty as error:
+            faults += error.faults
+            continue
+        formatted = laid_out(text)
+        if formatted != text:
+            differing.append(path)
+            if not only_check:
+                replace_file(path, formatted)
+    for path in differing:
+        click.echo(f"{path}: {'is not laid out so' if only_check else 'laid out'}")
+    if faults:
+        raise FaultyInputError(*faults)
+    sys.exit(ExitCode.REFUSED if only_check and differing else 0)
+
+
+@click.command()
+@click.argument("one", type=PATH)
+@click.argument("two", type=PATH)
+@json_option
+def diff(one: Path, two: Path, as_json: bool) -> None:
+    """Tell what differs in meaning between settings ONE and TWO, and which rules each change presses on."""
+    from onyxhead.records.changes import changes, kinds
+    from onyxhead.records.files import check as check_files
+    from onyxhead.records.files import gather
+
+    records, definitions = [], []
+    faults: list[Fault] = []
+    for path in (one, two):
+        try:
+            files = gather(path)
+            definition = load.definition_of(files)
+            definitions.append(definition)
+            records.append(check_files(files, *definition))
+        except Faulty as error:
+            faults += error.faults
+    if faults:
+        raise FaultyInputError(*faults)
+    (schema_text, kind), (_, other_kind) = definitions
+    if kind != other_kind:
+        raise FaultyInputError(f"{one} holds a {kind}, {two} a {other_kind}")
+    differences = changes(records[0], records[1], kinds(schema_text))
+    if as_json:
+        print_json([each._asdict() for each in differences])
+    else:
+        for each in differences:
+            rules = f"  (rule {', '.join(each.rules.split())})" if each.rules else ""
+            click.echo(each.text + rules)
+    sys.exit(ExitCode.REFUSED if differences else 0)
+
+
+@click.command("schema")
+@click.argument("kind", type=click.Choice(["controller", "agent", "operators", "routing"]))
+def json_schema(kind: str) -> None:
+    """Write the JSON Schema of a kind of settings, for editors."""
+    from onyxhead.records.json_schema import schema
+    from onyxhead.routing.files import schema as routing_schema
+
+    text = routing_schema() if kind == "routing" else load.schema()
+    print_json(schema(text, f"#{kind.capitalize()}"))
--- a/onyxhead/incident/__init__.py
+++ b/onyxhead/incident/__init__.py
@@ -1,1 +1,1 @@
-"""What an incident was like, told from the controllers' own records."""
+"""Incident pages: what happened in a period, from the controllers' own records."""
--- /dev/null
+++ b/onyxhead/incident/gaps.py
@@ -0,0 +1,49 @@
+"""Periods of which a controller has no records. No I/O.
+
+What is not recorded is not filled in: a period in which a controller was down, or its store took nothing, is a gap, and
+a gap does not mean that nothing happened.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from itertools import pairwise
+from typing import NamedTuple
+
+from onyxhead.store.records import StoredPeriod
+
+HEARTBEAT_TIMEOUT_S = 5.0
+"""An incarnation records a heartbeat every second; without one for this long it kept no records."""
+MIN_DOWNTIME_S = 1.5
+
+
+class Gap(NamedTuple):
+    """A period without records; `until` is None where it lasts to the end."""
+
+    controller: str
+    since: float
+    until: float | None
+    reason: str
+
+
+def find_gaps(periods: Iterable[StoredPeriod], since: float, until: float) -> list[Gap]:
+    """Return the gaps between two times, as far as the controllers' heartbeats tell."""
+    gaps = [gap for period in periods for gap in _gaps_of(period, since, until)]
+    return sorted(gaps, key=lambda gap: (gap.since, gap.controller))
+
+
+def _gaps_of(period: StoredPeriod, since: float, until: float) -> list[Gap]:
+    name, incarnations = period.name, sorted(period.incarnations)
+    if not incarnations:
+        return [Gap(name, since, until, "no records at all")]
+    gaps: list[Gap] = []
+    first, last = incarnations[0], incarnations[-1]
+    if first.began > since:
+        gaps.append(Gap(name, since, min(until, first.began), "nothing is recorded before"))
+    for before, after in pairwise(incarnations):
+        within = after.began > since and before.seen < until
+        if within and after.began - before.seen > MIN_DOWNTIME_S:
+            gaps.append(Gap(name, max(since, before.seen), min(until, after.began), "it was down"))
+    if until - last.seen > HEARTBEAT_TIMEOUT_S:
+        gaps.append(Gap(name, max(since, last.seen), None, "nothing is recorded after"))
+    return gaps
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -11,37 +11,45 @@
 from click.testing import CliRunner
 
 from onyxhead.cli.main import main
-from onyxhead.incident.page import page
-from onyxhead.incident.timeline import Life, Records, Stretch, courses, disagreements, events, gaps
+from onyxhead.incident.backend_states import BackendState, StateInterval, backend_states, find_disagreements
+from onyxhead.incident.events import collect_events
+from onyxhead.incident.gaps import find_gaps
+from onyxhead.incident.page import Incident, render_page
 from onyxhead.operate.fleet_client import send_command
+from onyxhead.store.records import AuditRecord, DecisionRecord, EndpointListRecord, IncarnationRecord, StoredPeriod
 from tests.test_controller_server import BACKENDS, Running, list_of, play, port_of, shown, until
 
 NOW = 1_000_000.0
 
 
-def order(
-    at: float, *decisions: list[Any], causes: tuple[str, ...] = ("list: 1 changes",), sound: bool | None = True
-) -> dict[str, Any]:
-    return {"number": int(at), "at": NOW + at, "causes": list(causes), "decisions": list(decisions), "sound": sound}
+def decision_round(
+    at: float, *decisions: list[Any], causes: tuple[str, ...] = ("list: 1 changes",), intact: bool | None = True
+) -> DecisionRecord:
+    return DecisionRecord(int(at), NOW + at, 1, int(at), list(causes), list(decisions), intact)
 
 
-def records(name: str = "c1", **more: Any) -> Records:
-    usual: dict[str, Any] = {"lives": (Life(1, NOW, NOW + 100),), "orders": (), "lists": (), "audit": ()}
-    return Records(name, **(usual | more))
-
-
-def test_orders_become_events_with_their_causes() -> None:
-    own = records(
-        orders=(
-            order(5, ["withdraw", "b1"], ["lines", 0, {"b2": 0.1, "b3": 1.0}]),
-            order(9, ["readmit", "b1"], ["level", 0, [1], 0.5, 1], causes=("p1 joined", "p2 left: broke")),
-            order(12, ["withdraw", "b9"], sound=False),
-        ),
-        lists=((NOW + 4, 7),),
-        audit=((NOW + 6, "ann", "drain b1", "applied"),),
+def stored_period(name: str = "c1", **more: Any) -> StoredPeriod:
+    usual: dict[str, Any] = {
+        "decisions": [],
+        "incarnations": [IncarnationRecord(1, NOW, NOW + 100)],
+        "endpoint_lists": [],
+        "audit": [],
+    }
+    return StoredPeriod(name, **(usual | more))
+
+
+def test_records_become_events_with_their_causes() -> None:
+    period = stored_period(
+        decisions=[
+            decision_round(5, ["withdraw", "b1"], ["lines", 0, {"b2": 0.1, "b3": 1.0}]),
+            decision_round(9, ["readmit", "b1"], ["level", 0, [1], 0.5, 1], causes=("p1 joined", "p2 left: broke")),
+            decision_round(12, ["withdraw", "b9"], intact=False),
+        ],
+        endpoint_lists=[EndpointListRecord(NOW + 4, 7)],
+        audit=[AuditRecord(NOW + 6, "ann", "drain b1", "applied")],
     )
-    told = [(round(each.at - NOW), each.kind, each.who) for each in events([own], NOW, NOW + 50)]
-    assert told == [
+    events = collect_events([period], NOW, NOW + 50)
+    assert [(round(each.at - NOW), each.kind, each.subjects) for each in events] == [
         (0, "life", ()),
         (4, "list", ()),
         (5, "weights", ("b2", "b3")),
@@ -53,22 +61,22 @@
         (9, "readmitted", ("b1",)),
         (12, "damaged", ()),
     ]
-    assert not any("b9" in each.text for each in events([own], NOW, NOW + 50))
+    assert not any("b9" in each.text for each in events)
 
 
-def test_a_stretch_with_no_records_is_a_gap_and_never_calm() -> None:
-    own = records(
-        lives=(Life(1, NOW + 10, NOW + 30), Life(2, NOW + 50, NOW + 90)),
-        orders=(order(12, ["lines", 0, {"b1": 1.0}]), order(55, ["withdraw", "b1"])),
+def test_a_period_without_records_is_a_gap_in_which_states_are_unknown() -> None:
+    period = stored_period(
+        incarnations=[IncarnationRecord(1, NOW + 10, NOW + 30), IncarnationRecord(2, NOW + 50, NOW + 90)],
+        decisions=[decision_round(12, ["lines", 0, {"b1": 1.0}]), decision_round(55, ["withdraw", "b1"])],
     )
-    found = gaps([own], NOW, NOW + 100)
-    assert [(round(gap.since - NOW), gap.until and round(gap.until - NOW), gap.why) for gap in found] == [
+    gaps = find_gaps([period], NOW, NOW + 100)
+    assert [(round(gap.since - NOW), gap.until and round(gap.until - NOW), gap.reason) for gap in gaps] == [
         (0, 10, "nothing is recorded before"),
         (30, 50, "it was down"),
         (90, None, "nothing is recorded after"),
     ]
-    made = [(round(s.since - NOW), round(s.until - NOW), s.state) for s in courses([own], NOW, NOW + 100)["b1"]["c1"]]
-    assert made == [
+    intervals = backend_states([period], NOW, NOW + 100)["b1"]["c1"]
+    assert [(round(each.since - NOW), round(each.until - NOW), each.state) for each in intervals] == [
         (0, 12, "not known"),
         (12, 30, "in"),
         (30, 50, "not known"),
@@ -76,40 +84,42 @@
         (55, 90, "out"),
         (90, 100, "not known"),
     ]
-    assert gaps([Records("c9", (), (), (), ())], NOW, NOW + 1)[0].why == "no records at all"
+    empty = StoredPeriod("c9", [], [], [], [])
+    assert find_gaps([empty], NOW, NOW + 1)[0].reason == "no records at all"
 
 
-def test_two_controllers_that_disagree_are_told_but_not_where_one_is_silent() -> None:
-    one = {
+def test_controllers_disagree_only_where_both_states_are_known() -> None:
+    history = {
         "b1": {
-            "c1": [Stretch(NOW, NOW + 50, "in")],
+            "c1": [StateInterval(NOW, NOW + 50, BackendState.IN)],
             "c2": [
-                Stretch(NOW, NOW + 10, "in"),
-                Stretch(NOW + 10, NOW + 30, "out"),
-                Stretch(NOW + 30, NOW + 50, "not known"),
+                StateInterval(NOW, NOW + 10, BackendState.IN),
+                StateInterval(NOW + 10, NOW + 30, BackendState.OUT),
+                StateInterval(NOW + 30, NOW + 50, BackendState.UNKNOWN),
             ],
         }
     }
-    (told,) = disagreements(one)
-    assert told.at == NOW + 10 and "c1 has it in, c2 out, for 20 s" in told.text
-
-
-def test_a_page_escapes_what_it_tells_and_breaks_its_lines_at_gaps() -> None:
-    own = records(audit=((NOW + 1, "<script>", "drain", "x"),))
-    made = page(
-        "A & B",
-        NOW,
-        NOW + 10,
-        events([own], NOW, NOW + 10),
-        gaps([own], NOW - 5, NOW + 10),
-        {},
-        {"busy.b1": [(NOW, 1.0), (NOW + 2, 2.0), (NOW + 4, None), (NOW + 6, 1.0)]},
-        [],
+    (disagreement,) = find_disagreements(history)
+    assert disagreement.at == NOW + 10 and "c1 has it in, c2 out, for 20 s" in disagreement.text
+
+
+def test_a_page_escapes_its_texts_and_breaks_its_lines_at_gaps() -> None:
+    period = stored_period(audit=[AuditRecord(NOW + 1, "<script>", "drain", "x")])
+    incident = Incident(
+        title="A & B",
+        since=NOW,
+        until=NOW + 10,
+        events=collect_events([period], NOW, NOW + 10),
+        gaps=find_gaps([period], NOW - 5, NOW + 10),
+        states={},
+        series={"busy.b1": [(NOW, 1.0), (NOW + 2, 2.0), (NOW + 4, None), (NOW + 6, 1.0)]},
+        disagreements=[],
     )
+    page = render_page(incident)
     assert (
-        "<script>" not in made and "A &amp; B" in made and made.count("<polyline") == 1 and made.count("<circle") == 1
+        "<script>" not in page and "A &amp; B" in page and page.count("<polyline") == 1 and page.count("<circle") == 1
     )
-    assert not re.search(r"(src|href)=|https?://|@import", made)
+    assert not re.search(r"(src|href)=|https?://|@import", page)
 
 
 def test_a_scripted_incident_shows_every_event_at_its_time(tmp_path: Path) -> None:
