--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -80,20 +80,23 @@
         self.proxy_tables = TableState(groups, deployment.admission_mode, channel.message_overhead)
         self.delivery_queue: DeliveryQueue[ProxyUpdate] = DeliveryQueue(channel, stall_timeout)
         self.join_backoff = JoinBackoff()
-        self.versions = TableVersions(
+        self.versions = self._table_versions(history or History(), now)
+        self.load_estimator = LoadEstimator()
+        self.statistics_feed = StatisticsFeed(
+            self.policy, self.load_estimator, self.joined, groups, deployment.report_interval, now
+        )
+
+    def _table_versions(self, history: History, now: int) -> TableVersions:
+        return TableVersions(
             self.proxy_tables,
-            history or History(),
+            history,
             self.joined,
-            epoch,
+            self.epoch,
             now,
-            channel.lines_per_second,
+            self.deployment.channel.lines_per_second,
             self.current_endpoints,
             self._add_cause,
         )
-        self.load_estimator = LoadEstimator()
-        self.statistics_feed = StatisticsFeed(
-            self.policy, self.load_estimator, self.joined, groups, deployment.report_interval, now
-        )
 
     # Endpoints
 
--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -3,40 +3,29 @@
 from __future__ import annotations
 
 import asyncio
-import secrets
-import time
 from collections.abc import Callable
 from http import HTTPStatus
-from random import Random
 from typing import Any, Protocol
 
 import structlog
 
 from onyxhead.controller import log_events
 from onyxhead.controller.core_host import CoreHost
+from onyxhead.controller.fleet_state import FleetState
 from onyxhead.controller.task_supervisor import TaskSupervisor
-from onyxhead.fleet.assignment import Member
 from onyxhead.fleet.errors import MalformedPacketError
-from onyxhead.fleet.membership import Membership
-from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
+from onyxhead.fleet.ownership import PeerReport
 from onyxhead.fleet.packets import Packet
-from onyxhead.fleet.slow_start_budget import SlowStartBudget
 from onyxhead.fleet.wire_format import (
     decode_budget_report,
-    decode_grants,
     decode_packet,
     encode_budget_report,
-    encode_grants,
     encode_packet,
 )
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import HttpError, Request, Response, json_response, problem_response
 from onyxhead.keys.credentials import TlsCredentials
-from onyxhead.settings.model import FleetMember, FleetSettings
 from onyxhead.store.errors import StoreUnavailableError
-from onyxhead.store.store import Store
-from onyxhead.store.value_names import BUDGET_GRANTS, FLEET_MEMBERS
-from onyxhead.tables.addresses import parse_address
 from onyxhead.time_units import TICKS_PER_SECOND
 
 FLEET_PATH = "/v1/fleet"
@@ -44,7 +33,6 @@
 WITHDRAWAL_GRACES = 10
 """Withdrawals that members reported within so many drain graces are taken over."""
 MAX_LOGGED_ERRORS = 100
-MAX_PACE = 1e9
 
 log = structlog.get_logger()
 
@@ -64,61 +52,19 @@
 
     def __init__(
         self,
-        name: str,
-        settings: FleetSettings,
+        fleet: FleetState,
         host: CoreHost,
-        store: Store,
         supervisor: TaskSupervisor,
         keys: TlsCredentials | None,
         streams: StreamControl,
         list_version: Callable[[], int],
     ) -> None:
-        self.settings, self.host, self.store, self.supervisor = settings, host, store, supervisor
-        self.keys, self.streams, self.list_version = keys, streams, list_version
-        now = host.now()
-        # A later start must win over an earlier one of the same name, also on an empty or a restored disk.
-        boot = f"{int(time.time() * 1000):015d}.{secrets.token_hex(3)}"
-        membership = Membership(
-            name,
-            boot,
-            tuple(settings.members),
-            Random(boot),
-            now,
-            settings.probe_period,
-            settings.probe_timeout,
-            settings.suspicion_timeout,
-        )
-        members = {name: Member(name, each.zone, each.lines_per_second) for name, each in settings.members.items()}
-        self.coordinator = OwnershipCoordinator(membership, members, now, settings.settle_time)
-        # A disk that knows of an earlier incarnation would know its grants; an empty one proves nothing.
-        grants = store.get(BUDGET_GRANTS) or ([] if host.core.epoch > 1 else None)
-        self.budget = SlowStartBudget(
-            name,
-            now,
-            decode_grants(grants) if grants is not None else None,
-            lambda made: store.put(BUDGET_GRANTS, encode_grants(made)),
-        )
-        self.budget_due_at = now
+        self.fleet, self.settings = fleet, fleet.settings
+        self.coordinator, self.budget = fleet.coordinator, fleet.budget
+        self.host, self.supervisor, self.keys, self.streams = host, supervisor, keys, streams
+        self.list_version = list_version
+        self.budget_due_at = host.now()
         self.logged_errors: set[str] = set()
-        self.handlers = {
-            "handover": self._hand_over,
-            "move": self._move,
-            "members": self._change_member,
-            "who": self._find_owner,
-        }
-        for member, given in (store.get(FLEET_MEMBERS) or {}).items():
-            self._set_member(member, given, now)
-
-    def own_proxies(self) -> dict[str, str]:
-        """The zones of the proxies that have joined here, by name."""
-        core = self.host.core
-        return {proxy.name: core.zones[proxy.zone] for proxy in core.joined.values()}
-
-    def better_owner(self, proxy: str, zone: str) -> str | None:
-        """The controller that should serve a proxy in place of this one."""
-        return self.coordinator.better_owner(proxy, zone, self.own_proxies(), self.host.now())
-
-    # Gossip
 
     async def run(self) -> None:
         """Take part in the fleet for ever."""
@@ -141,7 +87,7 @@
     def _hand_over_next(self, now: int) -> None:
         """Hand over the next proxy that another controller should serve, if it is time."""
         gap = round(2 * self.streams.join_time_s() * TICKS_PER_SECOND)
-        if (move := self.coordinator.next_handover(self.own_proxies(), now, gap)) is not None:
+        if (move := self.coordinator.next_handover(self.fleet.own_proxies(), now, gap)) is not None:
             proxy, to = move
             log.info(log_events.PROXY_HANDED_OVER, proxy=proxy, to=to)
             self.streams.end_stream(proxy, f"handed over to {to}")
@@ -227,71 +173,8 @@
     def _report(self) -> dict[str, Any]:
         """What this controller tells the others beside its packets."""
         return {
-            "proxies": self.own_proxies(),
+            "proxies": self.fleet.own_proxies(),
             "withdrawn": sorted(self.host.core.proxy_tables.withdrawn),
             "list": self.list_version(),
             "budget": encode_budget_report(self.budget.report()),
         }
-
-    # Operators' requests
-
-    def status(self) -> dict[str, Any]:
-        """The fleet as this controller sees it."""
-        return self.coordinator.state(self.host.now()) | {"budget": self.budget.status()}
-
-    def _hand_over(self, arguments: dict[str, Any]) -> Response:
-        """Leave the fleet and hand over all proxies."""
-        self.coordinator.membership.leave()
-        log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change="leaving: all proxies are handed over")
-        return json_response(HTTPStatus.OK, {"proxies": len(self.own_proxies())})
-
-    def _move(self, arguments: dict[str, Any]) -> Response:
-        """Have one proxy served by a certain controller."""
-        proxy, to = str(arguments.get("proxy")), str(arguments.get("to"))
-        if to not in self.coordinator.serving():
-            return problem_response(HTTPStatus.CONFLICT, f"{to} is not known to serve now")
-        self.coordinator.sticky[proxy] = to
-        return json_response(HTTPStatus.OK, {"proxy": proxy, "to": to, "here": proxy in self.own_proxies()})
-
-    def _change_member(self, arguments: dict[str, Any]) -> Response:
-        """Add, change or remove a member, over the settings and across restarts."""
-        name, member = str(arguments.get("name")), arguments.get("member")
-        if name == self.coordinator.own_name and member is None:
-            return problem_response(HTTPStatus.CONFLICT, "a controller leaves by handover, not by removing itself")
-        try:
-            self._set_member(name, member, self.host.now())
-        except (ValueError, KeyError, TypeError) as error:
-            return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, f"not a member: {error}")
-        self.store.put(FLEET_MEMBERS, (self.store.get(FLEET_MEMBERS) or {}) | {name: member})
-        change = f"{name} {'removed' if member is None else 'put in'} by command"
-        log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change=change)
-        return json_response(HTTPStatus.OK, {"members": sorted(self.settings.members)})
-
-    def _set_member(self, name: str, given: dict[str, Any] | None, now: int) -> None:
-        """Add, change or (with None) remove a member. Raises ValueError, KeyError for one that is malformed."""
-        coordinator, members = self.coordinator, self.settings.members
-        if given is None:
-            members.pop(name, None)
-            coordinator.members.pop(name, None)
-            coordinator.peer_reports.pop(name, None)
-            coordinator.membership.remove(name)
-            return
-        member = FleetMember(parse_address(given["address"]), str(given["zone"]), float(given["pace"]))
-        if not name or not 0 < member.lines_per_second < MAX_PACE:
-            raise ValueError("name or pace out of range")
-        members[name] = member
-        coordinator.members[name] = Member(name, member.zone, member.lines_per_second)
-        coordinator.membership.add(name, now)
-
-    def _find_owner(self, arguments: dict[str, Any]) -> Response:
-        """Tell which controller serves a proxy, as far as is known."""
-        proxy = str(arguments.get("proxy"))
-        owner: str | None = None
-        if proxy in self.own_proxies():
-            owner = self.coordinator.own_name
-        else:
-            # A member that is gone serves nobody, whatever it last reported; of the others the newest report counts.
-            reports = sorted(self.coordinator.peer_reports.items(), key=lambda item: -item[1].received_at)
-            alive = self.coordinator.alive
-            owner = next((name for name, report in reports if name in alive and proxy in report.proxies), None)
-        return json_response(HTTPStatus.OK, {"proxy": proxy, "served_by": owner})
--- a/onyxhead/controller/http_routes.py
+++ b/onyxhead/controller/http_routes.py
@@ -18,6 +18,7 @@
 from onyxhead.controller.discovery_watch import DiscoveryWatch
 from onyxhead.controller.endpoint_overlay import EndpointOverlay
 from onyxhead.controller.errors import InvalidStatisticsError
+from onyxhead.controller.fleet_commands import FleetCommands
 from onyxhead.controller.fleet_transport import FleetTransport
 from onyxhead.controller.join_handler import JoinHandler
 from onyxhead.controller.load_report_ingest import LoadReportIngest
@@ -40,8 +41,9 @@
 
 
 class Parts(NamedTuple):
-    """The parts of a controller that requests reach. `fleet` is None for a controller that is alone, `load_reports`
-    is None if none are taken.
+    """The parts of a controller that requests reach.
+
+    `fleet` and `fleet_commands` are None for a controller that is alone, `load_reports` is None if none are taken.
     """
 
     settings: ControllerSettings
@@ -53,6 +55,7 @@
     joins: JoinHandler
     operators: OperatorCommands
     fleet: FleetTransport | None
+    fleet_commands: FleetCommands | None
     load_reports: LoadReportIngest | None
 
 
@@ -72,8 +75,8 @@
         response = await self._state_request(request, path)
         if response is None and self.parts.load_reports is not None:
             response = await self._load_request(self.parts.load_reports, request, path)
-        if response is None and self.parts.fleet is not None:
-            response = _fleet_request(self.parts.fleet, request, path)
+        if response is None and self.parts.fleet is not None and self.parts.fleet_commands is not None:
+            response = _fleet_request(self.parts.fleet, self.parts.fleet_commands, request, path)
         return response or self._proxy_request(request, path) or problem_response(HTTPStatus.NOT_FOUND, "nothing here")
 
     async def _state_request(self, request: Request, path: list[str]) -> Response | None:
@@ -181,14 +184,16 @@
     return peer is not None and (request.method == "GET" or peer.role in (OPERATOR_ROLE, CONTROLLER_ROLE))
 
 
-def _fleet_request(fleet: FleetTransport, request: Request, path: list[str]) -> Response | None:
+def _fleet_request(
+    transport: FleetTransport, commands: FleetCommands, request: Request, path: list[str]
+) -> Response | None:
     """Packets of other controllers, and operators' requests on the fleet."""
     match request.method, path:
         case "POST", ["v1", "fleet"]:
-            return fleet.handle_packet(request)
+            return transport.handle_packet(request)
         case "GET", ["v1", "fleet"]:
-            return json_response(HTTPStatus.OK, fleet.status())
-        case "POST", ["v1", "fleet", verb] if (handler := fleet.handlers.get(verb)) is not None:
+            return json_response(HTTPStatus.OK, commands.fleet.status())
+        case "POST", ["v1", "fleet", verb] if (handler := commands.handlers.get(verb)) is not None:
             return _fleet_command(handler, request)
     return None
 
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -23,6 +23,8 @@
 from onyxhead.controller.decision_loop import DecisionLoop
 from onyxhead.controller.discovery_watch import DiscoveryWatch
 from onyxhead.controller.endpoint_overlay import EndpointOverlay
+from onyxhead.controller.fleet_commands import FleetCommands
+from onyxhead.controller.fleet_state import FleetState
 from onyxhead.controller.fleet_transport import FleetTransport
 from onyxhead.controller.http_routes import HttpRoutes, Parts
 from onyxhead.controller.join_handler import JoinHandler
@@ -82,7 +84,10 @@
             self.configuration.notify if self.configuration is not None else None,
         )
         self.operators = OperatorCommands(settings, self.host, self.store, self.watch, self.overlay)
-        self.fleet = self._join_fleet()
+        self.fleet = (
+            FleetState(settings.name, settings.fleet, self.host, self.store) if settings.fleet is not None else None
+        )
+        self.fleet_transport = self._fleet_transport(self.fleet) if self.fleet is not None else None
         self.load_reports = self._open_ingest()
         self.http_server = Server(self._routes().handle_request)
         restore_endpoints(settings, self.store, self.host, self.watch)
@@ -122,19 +127,9 @@
             history,
         )
 
-    def _join_fleet(self) -> FleetTransport | None:
-        settings = self.settings
-        if settings.fleet is None:
-            return None
+    def _fleet_transport(self, fleet: FleetState) -> FleetTransport:
         return FleetTransport(
-            settings.name,
-            settings.fleet,
-            self.host,
-            self.store,
-            self.supervisor,
-            self.keys,
-            self.streams,
-            lambda: self.watch.version or 0,
+            fleet, self.host, self.supervisor, self.keys, self.streams, lambda: self.watch.version or 0
         )
 
     def _open_ingest(self) -> LoadReportIngest | None:
@@ -153,7 +148,8 @@
             overlay=self.overlay,
             joins=JoinHandler(self.settings, self.host, self.streams, self.fleet),
             operators=self.operators,
-            fleet=self.fleet,
+            fleet=self.fleet_transport,
+            fleet_commands=FleetCommands(self.fleet) if self.fleet is not None else None,
             load_reports=self.load_reports,
         )
         return HttpRoutes(parts)
@@ -196,8 +192,8 @@
                     await self.netconf.renew(context)
 
             start(rotate_keys(self.keys, self.settings.tls.interval, restart_listeners, self.streams))
-        if self.fleet is not None:
-            start(self.fleet.run())
+        if self.fleet_transport is not None:
+            start(self.fleet_transport.run())
         if self.load_reports is not None:
             start(self.load_reports.run())
         start(self._record_heartbeats())
