--- a/onyxhead/controller/configuration/__init__.py
+++ b/onyxhead/controller/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration core: data trees under a schema, edits, datastores, commits and what they may break. No I/O."""
+"""The configuration that is edited in service: data trees under a schema, datastores, access, commits. No I/O."""
--- a/onyxhead/controller/configuration/access.py
+++ b/onyxhead/controller/configuration/access.py
@@ -12,12 +12,14 @@
 
 
 class Access:
+    """The users and rules of the settings; `denied` counts what was denied since the start."""
+
     def __init__(self, users: Mapping[str, NetconfUser], rules: tuple[AccessRule, ...]) -> None:
         self.users, self.rules = users, rules
         self.denied = {"operations": 0, "writes": 0}
 
     def may_run(self, user: str, rpc: str) -> None:
-        """Raises RpcError access-denied."""
+        """Raises RpcError access-denied for an operation that the user may not run."""
         if rpc == "close-session":
             return
         for rule in self._rules(user):
@@ -39,6 +41,7 @@
                 raise RpcError("access-denied", f"{user} may not {operation} {path}", path)
 
     def readable(self, user: str, path: str) -> bool:
+        """Whether the user may read the data at a path."""
         for rule in self._rules(user):
             if rule.rpc is None and _covers(rule, "read") and _below(path, rule.path):
                 return rule.permit
--- a/onyxhead/controller/configuration/commit_plan.py
+++ b/onyxhead/controller/configuration/commit_plan.py
@@ -1,16 +1,20 @@
-"""What a commit would do to the five rules: refused before it acts, or planned. No I/O.
+"""What a commit would do to the safety rules of docs/design.md: it is rejected before it acts, or planned. No I/O.
 
-Only what an edit itself would break is refused. What the fleet suffers for other reasons is the module's business."""
+Only what an edit itself would break is rejected. What the fleet suffers for other reasons is left to the policy.
+"""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
 from onyxhead.controller.configuration.tree import RpcError, Tree
+from onyxhead.time_units import TICKS_PER_SECOND
 
-URGENT = 0.9
-"""The part of the limit that withdrawals may fill, as in the module."""
-TENTHS = 10_000
+MAX_WITHDRAWAL_SHARE = 0.9
+"""Share of the queue limit that withdrawals may fill, as in the policy."""
+DEFAULT_LINES_PER_SECOND, DEFAULT_MAX_QUEUED_LINES, DEFAULT_DRAIN_GRACE = 1000, 2000, 20_000
+RESTARTING_PARTS = ("channel", "guards", "group")
+"""Parts of the tree whose change needs a new start of the policy."""
 
 
 class BackendFacts(NamedTuple):
@@ -23,7 +27,7 @@
 
 
 class FleetFacts(NamedTuple):
-    """What the controller knows when it judges. `head` in lines."""
+    """What the controller knows when a commit is planned. `message_overhead` in lines for each message."""
 
     backends: tuple[BackendFacts, ...]
     proxies: int
@@ -32,7 +36,10 @@
 
 
 class CommitPlan(NamedTuple):
-    """What a commit does: which backends leave or come back, whether all proxies must join anew, for how long."""
+    """What a commit does: which backends it drains or restores, and which weights it changes.
+
+    With `rebuild` all proxies join again; `seconds` is the time for which its lines occupy the channel.
+    """
 
     drains: tuple[str, ...]
     restores: tuple[str, ...]
@@ -42,56 +49,76 @@
 
 
 def drained(tree: Tree) -> set[str]:
+    """The backends that a configuration drains."""
     return {each["id"] for each in tree.get("backend", ()) if each.get("drained")}
 
 
 def weights(tree: Tree) -> dict[str, str]:
+    """The weights that a configuration gives to backends."""
     return {each["id"]: each["weight"] for each in tree.get("backend", ()) if "weight" in each}
 
 
 def plan_commit(before: Tree, after: Tree, facts: FleetFacts) -> CommitPlan:
     """The plan of a commit. Raises RpcError for one that would break a rule by itself."""
-    leaving, coming = drained(after) - drained(before), drained(before) - drained(after)
-    ready = {backend.id for backend in facts.backends if backend.ready}
-    channel, guards = _part(after, "channel"), _part(after, "guards")
-    pace, most = float(channel.get("pace", 1000)), int(channel.get("most-waiting", 2000))
-    grace = guards.get("drain-grace", 20_000) / TENTHS
+    drains, restores = drained(after) - drained(before), drained(before) - drained(after)
+    lines_per_second = float(_part(after, "channel").get("pace", DEFAULT_LINES_PER_SECOND))
     if not after.get("group"):
         raise RpcError("operation-failed", "no traffic group would be left", "/fleet/group")
-    _keep_groups(before, after, facts)
-    if most < facts.queued_lines:
-        text = f"{facts.queued_lines:.0f} lines wait now; a limit of {most} would be broken at once (rule 5)"
+    _check_groups(before, after, facts)
+    _check_queue_limit(after, facts)
+    ready_drains = len(drains & {backend.id for backend in facts.backends if backend.ready})
+    drain_lines = facts.proxies * (facts.message_overhead + 1 + ready_drains)
+    _check_drains(after, facts, ready_drains, drain_lines)
+    rebuild = any(_part(before, name) != _part(after, name) for name in RESTARTING_PARTS)
+    if rebuild:
+        table_lines = len(facts.backends) + 1 + facts.message_overhead
+        lines = facts.proxies * table_lines * max(1, len(after["group"]))
+    else:
+        lines = drain_lines if ready_drains or restores else 0.0
+    reweighted = {name for name, weight in weights(after).items() if weights(before).get(name) != weight}
+    reweighted |= weights(before).keys() - weights(after).keys()
+    seconds = lines / lines_per_second
+    return CommitPlan(tuple(sorted(drains)), tuple(sorted(restores)), tuple(sorted(reweighted)), rebuild, seconds)
+
+
+def _check_queue_limit(after: Tree, facts: FleetFacts) -> None:
+    limit = _max_queued_lines(after)
+    if limit < facts.queued_lines:
+        text = f"{facts.queued_lines:.0f} lines wait now; a limit of {limit} would be broken at once (rule 5)"
         raise RpcError("operation-failed", text, "/fleet/channel/most-waiting")
-    told = len(leaving & ready)
-    lines = facts.proxies * (facts.message_overhead + 1 + told)
-    room = min(URGENT * most, pace * grace)
-    if told and lines > room:
-        fits = max(0, int(room / max(1, facts.proxies) - facts.message_overhead - 1))
-        text = f"{told} drains at once take {lines:.0f} lines, {room:.0f} pass in the grace: {fits} at a time (rule 3)"
+
+
+def _check_drains(after: Tree, facts: FleetFacts, drains: int, lines: float) -> None:
+    """All withdrawals must reach the proxies within the drain grace."""
+    lines_per_second = float(_part(after, "channel").get("pace", DEFAULT_LINES_PER_SECOND))
+    grace_s = _part(after, "guards").get("drain-grace", DEFAULT_DRAIN_GRACE) / TICKS_PER_SECOND
+    capacity = min(MAX_WITHDRAWAL_SHARE * _max_queued_lines(after), lines_per_second * grace_s)
+    if drains and lines > capacity:
+        fitting = max(0, int(capacity / max(1, facts.proxies) - facts.message_overhead - 1))
+        text = f"{drains} drains at once take {lines:.0f} lines, {capacity:.0f} pass in the grace: "
+        text += f"{fitting} at a time (rule 3)"
         raise RpcError("operation-failed", text, "/fleet/backend")
-    rebuild = any(_part(before, name) != _part(after, name) for name in ("channel", "guards", "group"))
-    tables = len(facts.backends) + 1 + facts.message_overhead
-    cost = facts.proxies * tables * max(1, len(after["group"])) if rebuild else lines if told or coming else 0.0
-    changed = {name for name, weight in weights(after).items() if weights(before).get(name) != weight}
-    changed |= weights(before).keys() - weights(after).keys()
-    return CommitPlan(tuple(sorted(leaving)), tuple(sorted(coming)), tuple(sorted(changed)), rebuild, cost / pace)
 
 
-def _keep_groups(before: Tree, after: Tree, facts: FleetFacts) -> None:
-    """An edit must not take a group's last warm backend (rule 1); one already bare is not the edit's doing."""
+def _check_groups(before: Tree, after: Tree, facts: FleetFacts) -> None:
+    """An edit must not take a group's last warm backend; a group that had none before is not the edit's doing."""
     for group in after["group"]:
         zones = set(group.get("zone", ()))
-        fit = [b for b in facts.backends if b.ready and b.warm and (not zones or b.zone in zones)]
-        left = [b for b in fit if b.id not in drained(after)]
+        usable = [b for b in facts.backends if b.ready and b.warm and (not zones or b.zone in zones)]
+        left = [b for b in usable if b.id not in drained(after)]
         earlier = next((each for each in before.get("group", ()) if each["name"] == group["name"]), None)
-        had = earlier is not None and any(
+        had_some = earlier is not None and any(
             b.ready and b.warm and b.id not in drained(before) and (b.zone in (earlier.get("zone") or [b.zone]))
             for b in facts.backends
         )
-        if not left and (had or (earlier is None and facts.backends)):
+        if not left and (had_some or (earlier is None and facts.backends)):
             text = f"group {group['name']!r} would have no warm backend (rule 1)"
             raise RpcError("operation-failed", text, "/fleet/backend")
 
 
-def _part(tree: Tree, name: str) -> Any:  # noqa: ANN401
+def _max_queued_lines(tree: Tree) -> int:
+    return int(_part(tree, "channel").get("most-waiting", DEFAULT_MAX_QUEUED_LINES))
+
+
+def _part(tree: Tree, name: str) -> Any:  # noqa: ANN401  a part of the configuration tree
     return tree.get(name, {})
--- a/onyxhead/controller/configuration/datastores.py
+++ b/onyxhead/controller/configuration/datastores.py
@@ -1,7 +1,7 @@
 """Running, candidate and startup: who may change them, and what a commit is (RFC 6241, sections 7 and 8).
 
-Nothing here does I/O. A commit is decided here, and counts once the host has it on disk: `commit` returns what is to be
-written, `done` says that it was. Times are seconds of the wall's clock, since a time-out outlives the process.
+No I/O. A commit is made here and takes effect once it is on disk: `commit` returns what is to be stored, `committed`
+says that it was. Times are in seconds of the wall clock, since a timeout outlives the process.
 """
 
 from __future__ import annotations
@@ -12,13 +12,18 @@
 from onyxhead.controller.configuration.tree import Edit, Node, RpcError, Tree, apply
 
 CONFIRM_TIMEOUT = 600
-NAMES = ("running", "candidate", "startup")
+RUNNING, CANDIDATE, STARTUP = "running", "candidate", "startup"
+NAMES = (RUNNING, CANDIDATE, STARTUP)
+COMMIT, CONFIRMED_COMMIT, CONFIRM, ROLLBACK = "commit", "confirmed commit", "confirm", "roll back"
+"""Kinds of commits, as they are stored and shown in the audit log."""
 
 
 class Commit(NamedTuple):
-    """One state of running. `until` is when it is taken back if nobody confirms it; 0 for never.
+    """One state of the running datastore.
 
-    `back` is the number of the commit that holds then; `persist` lets another session confirm."""
+    It is taken back at `confirm_by` if nobody confirms it, 0.0 for never; `rollback_to` is the number of the commit
+    that holds then. With a `persist_id` another session may confirm it.
+    """
 
     number: int
     tree: Tree
@@ -30,7 +35,10 @@
 
 
 class Datastores:
-    """`check` raises RpcError for a tree that the schema refuses; `allowed` for one that may not take effect."""
+    """`check` raises RpcError for a tree that the schema rejects.
+
+    `candidate_session` is the session that changed the candidate last, `commit_session` the one of the last commit.
+    """
 
     def __init__(
         self, node: Node, commits: list[Commit], check: Callable[[Tree], None], startup: Tree | None = None
@@ -46,30 +54,32 @@
         self.sessions: set[int] = set()
 
     def get(self, name: str) -> Tree:
+        """The content of a datastore. Raises RpcError for an unknown name."""
         if name not in NAMES:
             raise RpcError("invalid-value", f"there is no datastore {name!r}")
-        return {"running": self.running, "candidate": self.candidate, "startup": self.startup}[name]
+        return {RUNNING: self.running, CANDIDATE: self.candidate, STARTUP: self.startup}[name]
 
     # Locks
 
     def lock(self, session: int, name: str) -> None:
-        """Raises RpcError lock-denied, with the session that holds it or stands in the way."""
+        """Lock a datastore. Raises RpcError lock-denied, with the session that holds it or stands in the way."""
         self.get(name)
         if name in self.locks:
             raise RpcError("lock-denied", f"{name} is locked", kind="protocol", session_id=str(self.locks[name]))
-        if name == "candidate" and self.candidate != self.running:
+        if name == CANDIDATE and self.candidate != self.running:
             holder = str(self.candidate_session)
             raise RpcError("lock-denied", "candidate has changes of its own", kind="protocol", session_id=holder)
-        if name == "running" and self.last.confirm_by:
+        if name == RUNNING and self.last.confirm_by:
             raise RpcError("lock-denied", "a commit waits to be confirmed", kind="protocol", session_id="0")
         self.locks[name] = session
 
     def unlock(self, session: int, name: str) -> None:
+        """Unlock a datastore; changes of the candidate are discarded with its lock. Raises RpcError."""
         self.get(name)
         if self.locks.get(name) != session:
             raise RpcError("operation-failed", f"{name} is not locked by this session", kind="protocol")
         del self.locks[name]
-        if name == "candidate":
+        if name == CANDIDATE:
             self.candidate = self.running
 
     def may_write(self, session: int, name: str) -> None:
@@ -82,7 +92,7 @@
 
     def edited(self, session: int, name: str, edit: Edit, default: str, test: bool = True) -> Tree:
         """What the datastore would hold after the edit; nothing is set. Raises RpcError."""
-        if name == "running":
+        if name == RUNNING:
             raise RpcError("operation-not-supported", "running is changed by commit", kind="protocol")
         before = self.get(name)
         self.may_write(session, name)
@@ -92,19 +102,20 @@
         return after
 
     def put(self, session: int, name: str, tree: Tree) -> None:
-        """Replaces a datastore whole. Raises RpcError."""
+        """Replace the content of a datastore. Raises RpcError."""
         self.get(name)
         self.may_write(session, name)
-        if name == "running":
+        if name == RUNNING:
             raise RpcError("operation-not-supported", "running is changed by commit", kind="protocol")
-        if name == "candidate":
+        if name == CANDIDATE:
             self.candidate, self.candidate_session = tree, session
         else:
             self.check(tree)
             self.startup = tree
 
     def discard(self, session: int) -> None:
-        self.may_write(session, "candidate")
+        """Make the candidate equal to running. Raises RpcError."""
+        self.may_write(session, CANDIDATE)
         self.candidate = self.running
 
     # Commits
@@ -119,8 +130,8 @@
         persist: str = "",
         persist_id: str = "",
     ) -> Commit:
-        """The commit to write down; nothing has changed until `done`. Raises RpcError."""
-        for name in ("running", "candidate"):
+        """The commit to store; nothing has changed until `committed`. Raises RpcError."""
+        for name in (RUNNING, CANDIDATE):
             self.may_write(session, name)
         waiting = self.last
         if waiting.confirm_by:
@@ -129,17 +140,18 @@
         elif persist_id:
             raise RpcError("invalid-value", "no commit waits to be confirmed")
         self.check(self.candidate)
-        # A chain of unconfirmed commits goes back to where it began, not to its last link.
-        back = (waiting.rollback_to if waiting.confirm_by else waiting.number) if confirmed else 0
-        until = now + timeout if confirmed else 0.0
-        what = "commit" if not confirmed and not waiting.confirm_by else "confirmed commit" if confirmed else "confirm"
-        return Commit(waiting.number + 1, self.candidate, user, what, until, back, persist if confirmed else "")
+        number, unconfirmed = waiting.number + 1, bool(waiting.confirm_by)
+        if not confirmed:
+            return Commit(number, self.candidate, user, CONFIRM if unconfirmed else COMMIT)
+        # A chain of unconfirmed commits is rolled back to where it began, not to its last link.
+        rollback_to = waiting.rollback_to if unconfirmed else waiting.number
+        return Commit(number, self.candidate, user, CONFIRMED_COMMIT, now + timeout, rollback_to, persist)
 
     def committed(self, session: int, commit: Commit) -> None:
         """The commit is on disk and holds from now on."""
         self.commits[commit.number] = self.last = commit
         self.running, self.commit_session = commit.tree, session
-        if commit.kind == "roll back" and self.candidate != commit.tree and not self.locks.get("candidate"):
+        if commit.kind == ROLLBACK and self.candidate != commit.tree and not self.locks.get(CANDIDATE):
             self.candidate = commit.tree
 
     def cancel(self, session: int, user: str, persist_id: str = "") -> Commit:
@@ -157,17 +169,18 @@
 
     def _rollback(self, user: str) -> Commit:
         before = self.commits[self.last.rollback_to]
-        return Commit(self.last.number + 1, before.tree, user, "roll back")
+        return Commit(self.last.number + 1, before.tree, user, ROLLBACK)
 
     # Sessions
 
     def open_session(self, session: int) -> None:
+        """A session has begun."""
         self.sessions.add(session)
 
     def close_session(self, session: int) -> Commit | None:
-        """The session is over: its locks go, its candidate with its lock, and a commit that only it could confirm."""
+        """A session has ended: its locks are released. Returns the rollback of a commit that only it could confirm."""
         self.sessions.discard(session)
-        if self.locks.get("candidate") == session:
+        if self.locks.get(CANDIDATE) == session:
             self.candidate = self.running
         self.locks = {name: holder for name, holder in self.locks.items() if holder != session}
         if self.last.confirm_by and not self.last.persist_id and self.commit_session == session:
--- a/onyxhead/controller/configuration/service.py
+++ b/onyxhead/controller/configuration/service.py
@@ -1,7 +1,8 @@
-"""Where every edit ends up, from whichever front: checked, judged, written down, then put into effect. No I/O itself.
+"""The configuration service: every edit is checked, planned, stored, and only then put into effect. No I/O itself.
 
-The order is the point: `write` must have the commit on disk before anything acts on it, and nothing is answered before
-both are done. A kill in between leaves a commit that the next life finds and puts into effect."""
+The order matters: a commit must be on disk before anything acts on it, and nothing is answered before both are done. If
+the process is killed in between, the next incarnation finds the commit and puts it into effect.
+"""
 
 from __future__ import annotations
 
@@ -11,14 +12,15 @@
 
 from onyxhead.controller.configuration.access import Access
 from onyxhead.controller.configuration.commit_plan import CommitPlan, FleetFacts, plan_commit
-from onyxhead.controller.configuration.datastores import CONFIRM_TIMEOUT, Commit, Datastores
+from onyxhead.controller.configuration.datastores import CONFIRM_TIMEOUT, ROLLBACK, STARTUP, Commit, Datastores
 from onyxhead.controller.configuration.tree import Edit, RpcError, Tree
 
-EVENTS_KEPT = 2_000
+MAX_STORED_NOTIFICATIONS = 2_000
+ROOT_PATH = "/fleet"
 
 
 class Notification(NamedTuple):
-    """Something that happened, for those who listen and for replay. `at` in seconds of the wall's clock."""
+    """Something that happened, for subscribers and for replay. `at` in seconds of the wall clock."""
 
     at: float
     name: str
@@ -26,7 +28,9 @@
 
 
 class ConfigurationCallbacks(NamedTuple):
-    """What the host does for the desk. `write` and `save` return once it is on disk, or raise OSError."""
+    """What the server does for the service. `write_commit` and `save_startup` return once it is on disk, or raise
+    OSError. `audit` takes the user, the session, the action and its result.
+    """
 
     facts: Callable[[], FleetFacts]
     write_commit: Callable[[Commit], None]
@@ -38,28 +42,33 @@
 
 
 class ConfigurationService:
-    def __init__(self, stores: Datastores, access: Access, hands: ConfigurationCallbacks) -> None:
-        self.datastores, self.access, self.callbacks = stores, access, hands
-        self.events: deque[Notification] = deque(maxlen=EVENTS_KEPT)
+    """Sessions, edits and commits of all clients. `listeners` take notifications, by the session's number."""
+
+    def __init__(self, datastores: Datastores, access: Access, callbacks: ConfigurationCallbacks) -> None:
+        self.datastores, self.access, self.callbacks = datastores, access, callbacks
+        self.notifications: deque[Notification] = deque(maxlen=MAX_STORED_NOTIFICATIONS)
         self.listeners: dict[int, Callable[[Notification], None]] = {}
         self.terminators: dict[int, Callable[[], None]] = {}
         self.next_session = 1
 
     # Sessions
 
-    def open_session(self, kill: Callable[[], None]) -> int:
+    def open_session(self, terminate: Callable[[], None]) -> int:
+        """Begin a session and return its number. `terminate` closes its connection."""
         number, self.next_session = self.next_session, self.next_session + 1
-        self.terminators[number] = kill
+        self.terminators[number] = terminate
         self.datastores.open_session(number)
         return number
 
     def close_session(self, session: int) -> None:
+        """End a session; a commit that only it could confirm is taken back."""
         self.terminators.pop(session, None)
         self.listeners.pop(session, None)
-        if (back := self.datastores.close_session(session)) is not None:
-            self._apply(session, back)
+        if (rollback := self.datastores.close_session(session)) is not None:
+            self._apply(session, rollback)
 
     def kill_session(self, user: str, session: int, own: int) -> None:
+        """End another session. Raises RpcError."""
         if session == own:
             raise RpcError("invalid-value", "a session ends itself by close-session", kind="protocol")
         if session not in self.terminators:
@@ -71,16 +80,17 @@
     # Changes
 
     def edit(self, user: str, session: int, name: str, edit: Edit, default: str, test: str) -> None:
+        """Edit a datastore, with a default operation and a test option (RFC 6241, section 7.2). Raises RpcError."""
         before = self.datastores.get(name)
         after = self.datastores.edited(session, name, edit, default, test != "set")
         self.replace(user, session, name, before, after, test)
 
     def replace(self, user: str, session: int, name: str, before: Tree, after: Tree, test: str = "set") -> None:
-        """Puts a whole tree into candidate or startup, if the user may."""
-        self.access.may_write(user, before, after, "/fleet")
+        """Put a whole tree into candidate or startup, if the user may. Raises RpcError."""
+        self.access.may_write(user, before, after, ROOT_PATH)
         if test == "test-only":
             return
-        if name == "startup":
+        if name == STARTUP:
             self.datastores.check(after)
             self.callbacks.save_startup(after)
         self.datastores.put(session, name, after)
@@ -95,28 +105,29 @@
         persist: str = "",
         persist_id: str = "",
     ) -> Commit:
-        """Raises RpcError, with nothing changed."""
+        """Commit the candidate (RFC 6241, section 8.4). Raises RpcError, with nothing changed."""
         now = self.callbacks.wall_time()
         made = self.datastores.commit(session, user, now, confirmed, timeout, persist, persist_id)
-        self.access.may_write(user, self.datastores.running, made.tree, "/fleet")
+        self.access.may_write(user, self.datastores.running, made.tree, ROOT_PATH)
         return self._apply(session, made)
 
     def cancel(self, user: str, session: int, persist_id: str) -> Commit:
+        """Take an unconfirmed commit back. Raises RpcError."""
         return self._apply(session, self.datastores.cancel(session, user, persist_id))
 
     def expire_commit(self) -> Commit | None:
-        """Takes back what nobody confirmed in time."""
-        back = self.datastores.expired(self.callbacks.wall_time())
-        return self._apply(0, back) if back is not None else None
+        """Take back a commit that nobody confirmed in time."""
+        rollback = self.datastores.expired(self.callbacks.wall_time())
+        return self._apply(0, rollback) if rollback is not None else None
 
     def _apply(self, session: int, commit: Commit) -> Commit:
         before = self.datastores.running
         try:
             plan = plan_commit(before, commit.tree, self.callbacks.facts())
-        except RpcError as problem:
-            # What goes back was in effect before: it is put back whatever it costs, the module keeps the rules.
-            if commit.kind != "roll back":
-                self.callbacks.audit(commit.user, session, commit.kind, f"refused: {problem.text}")
+        except RpcError as error:
+            # What a rollback restores was in effect before: it is restored whatever it costs.
+            if commit.kind != ROLLBACK:
+                self.callbacks.audit(commit.user, session, commit.kind, f"refused: {error.text}")
                 raise
             plan = CommitPlan((), (), (), True, 0.0)
         try:
@@ -132,10 +143,11 @@
         self.notify("configuration-changed", values)
         return commit
 
-    # Events
+    # Notifications
 
     def notify(self, name: str, values: dict[str, Any]) -> None:
-        event = Notification(self.callbacks.wall_time(), name, values)
-        self.events.append(event)
+        """Tell all listeners, and keep the notification for replay."""
+        notification = Notification(self.callbacks.wall_time(), name, values)
+        self.notifications.append(notification)
         for listener in list(self.listeners.values()):
-            listener(event)
+            listener(notification)
--- a/onyxhead/controller/configuration/tree.py
+++ b/onyxhead/controller/configuration/tree.py
@@ -10,12 +10,14 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from onyxhead.controller.errors import ControllerError
+
 Tree = dict[str, Any]
 OPERATIONS = ("merge", "replace", "create", "delete", "remove")
 
 
-class RpcError(Exception):
-    """What a client is told (RFC 6241, appendix A): tag and type from the RFC, a path, words."""
+class RpcError(ControllerError):
+    """An error that a client is told (RFC 6241, appendix A): `tag` and `kind` (its type) from the RFC, and a path."""
 
     def __init__(self, tag: str, text: str, path: str = "", kind: str = "application", **info: str) -> None:
         super().__init__(text)
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -1,4 +1,4 @@
-"""A controller's settings as a data tree, and a tree as settings: two views of one thing, with no change of meaning."""
+"""Conversions between a controller's settings and the data tree that is edited in service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def tree_of(settings: ControllerSettings) -> Tree:
-    """What of a controller's settings can be edited in service."""
+    """The part of a controller's settings that can be edited in service."""
     start = settings.deployment
     groups = [_group(group, settings.zones) for group in sorted(start.groups, key=lambda group: group.name)]
     tree: Tree = {
@@ -59,7 +59,7 @@
 
 
 def deployment(tree: Tree, settings: ControllerSettings) -> Deployment:
-    """What the module starts with under a tree; all else stays as the settings have it. Raises ValueError."""
+    """The policy's deployment under a tree; all else stays as in the settings. Raises ValueError."""
     start, channel, guards = settings.deployment, tree.get("channel", {}), tree.get("guards", {})
     groups = []
     for given in tree["group"]:
@@ -95,7 +95,7 @@
 
 
 def overlaid(roster: EndpointList, tree: Tree) -> EndpointList:
-    """Discovery's list with what operators say of its backends over it."""
+    """Discovery's list under the weights and drains of a configuration."""
     said = {each["id"]: each for each in tree.get("backend", ())}
     return roster._replace(entries=tuple(_overlaid(entry, said.get(entry.id, {})) for entry in roster.entries))
 
@@ -106,7 +106,7 @@
 
 
 def as_records(tree: Tree, prefixes: dict[str, str]) -> str:
-    """The tree as a settings file that a controller's own file can include in place of these fields."""
+    """The tree as a settings file that the controller's own file can include in place of these fields."""
     channel, guards = tree.get("channel", {}), tree.get("guards", {})
     groups = {}
     for given in tree["group"]:
--- a/onyxhead/fronts/netconf/session.py
+++ b/onyxhead/fronts/netconf/session.py
@@ -308,7 +308,7 @@
         self.stream = (start or 0.0, stop or float("inf"))
         self.desk.listeners[self.number] = self.notified
         if start is not None:
-            self.replay = [event for event in self.desk.events if start <= event.at <= self.stream[1]]
+            self.replay = [event for event in self.desk.notifications if start <= event.at <= self.stream[1]]
             self.replaying = True
         return []
 
