--- a/onyxhead/fleet/gossip_queue.py
+++ b/onyxhead/fleet/gossip_queue.py
@@ -30,9 +30,9 @@
         """
         limit = TRANSMISSIONS_PER_DOUBLING * max(1, member_count.bit_length())
         by_priority = sorted(self.transmissions, key=lambda name: (name != recipient, self.transmissions[name], name))
-        taken = by_priority[:MAX_UPDATES]
-        for name in taken:
+        names = by_priority[:MAX_UPDATES]
+        for name in names:
             self.transmissions[name] += 1
             if self.transmissions[name] >= limit and name != self.own_name:
                 del self.transmissions[name]
-        return taken
+        return names
--- a/onyxhead/fleet/wire_format.py
+++ b/onyxhead/fleet/wire_format.py
@@ -44,21 +44,21 @@
     }
 
 
-def decode_packet(given: Any) -> Packet:  # noqa: ANN401  any JSON value
+def decode_packet(value: Any) -> Packet:  # noqa: ANN401  any JSON value
     """The packet of a JSON object. Raises MalformedPacketError."""
     try:
-        if given[VERSION] != PROTOCOL_VERSION:
-            sender = str(given[SENDER])[:MAX_NAME_IN_ERROR]
-            raise MalformedPacketError(f"{sender} speaks version {given[VERSION]!r}, this is {PROTOCOL_VERSION}")
+        if value[VERSION] != PROTOCOL_VERSION:
+            sender = str(value[SENDER])[:MAX_NAME_IN_ERROR]
+            raise MalformedPacketError(f"{sender} speaks version {value[VERSION]!r}, this is {PROTOCOL_VERSION}")
         updates = tuple(
             MemberUpdate(str(name), Status(status), _packet_number(incarnation), str(boot))
-            for name, status, incarnation, boot in given[UPDATES][:MAX_UPDATES_READ]
+            for name, status, incarnation, boot in value[UPDATES][:MAX_UPDATES_READ]
         )
-        texts = [given[name] for name in (TO, SENDER, BOOT, KIND, ABOUT)]
-        if not all(isinstance(text, str) for text in texts) or given[KIND] not in _KINDS:
+        texts = [value[name] for name in (TO, SENDER, BOOT, KIND, ABOUT)]
+        if not all(isinstance(text, str) for text in texts) or value[KIND] not in _KINDS:
             raise MalformedPacketError("not a packet")
         to, sender, boot, kind, subject = texts
-        return Packet(to, sender, boot, PacketKind(kind), _packet_number(given[NUMBER]), subject, updates)
+        return Packet(to, sender, boot, PacketKind(kind), _packet_number(value[NUMBER]), subject, updates)
     except MalformedPacketError:
         raise
     except (KeyError, TypeError, ValueError) as error:
@@ -82,12 +82,12 @@
     }
 
 
-def decode_budget_report(given: Any) -> BudgetReport:  # noqa: ANN401  any JSON value
+def decode_budget_report(value: Any) -> BudgetReport:  # noqa: ANN401  any JSON value
     """The budget report of a JSON object. Raises MalformedReportError."""
     try:
         shortfalls = {
             Incarnation(str(backend), _report_number(started_at)): _amount(shortfall)
-            for backend, started_at, shortfall in given[LACKS]
+            for backend, started_at, shortfall in value[LACKS]
         }
         grants = tuple(
             BudgetGrant(
@@ -97,7 +97,7 @@
                 Incarnation(str(backend), _report_number(started_at)),
                 _amount(amount),
             )
-            for lender, number, borrower, backend, started_at, amount in given[LOANS]
+            for lender, number, borrower, backend, started_at, amount in value[LOANS]
         )
     except (KeyError, TypeError, ValueError) as error:
         raise MalformedReportError(f"no word of a budget: {error}") from error
@@ -121,9 +121,9 @@
     ]
 
 
-def decode_grants(given: Any) -> tuple[BudgetGrant, ...]:  # noqa: ANN401  any JSON value
+def decode_grants(value: Any) -> tuple[BudgetGrant, ...]:  # noqa: ANN401  any JSON value
     """Grants as `encode_grants` wrote them. Raises MalformedReportError."""
-    return decode_budget_report({LACKS: [], LOANS: given}).grants
+    return decode_budget_report({LACKS: [], LOANS: value}).grants
 
 
 def _report_number(value: object) -> int:
