--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -15,7 +15,8 @@
 from onyxhead.agent.daemon import Tree
 from onyxhead.agent.keeper import Keeper, Taken, Torn, read_state, state_of
 from onyxhead.agent.swap import PASSING, NotSwapped, clear, swap
-from onyxhead.controller import request_statistics
+from onyxhead.controller.load_stats import parse_load_stats
+from onyxhead.controller.request_statistics import BackendStatistics
 from onyxhead.fronts.files import envoy, nginx
 from onyxhead.http.messages import Request, Response
 from onyxhead.policy.decisions import TableAssignment, TableChange, Withdrawal
@@ -325,8 +326,8 @@
     before = counters.flatten(stats(good=3, bad=1, ms=30.0, flows=5))
     after = counters.flatten(stats(good=8, bad=2, ms=80.0, flows=12))
     made = counters.report("p1", "x", 4, 1.0, counters.difference(before, after), {"127.0.0.1:9001": 0.5})
-    read = request_statistics.read(json.loads(json.dumps(made)))
-    assert read.backends == {"127.0.0.1:9001": request_statistics.BackendStatistics(6, 1, 500.0, 10_000, 0.5)}
+    read = parse_load_stats(json.loads(json.dumps(made)))
+    assert read.backends == {"127.0.0.1:9001": BackendStatistics(6, 1, 500.0, 10_000, 0.5)}
     assert read.request_counts == {"read": (7, 10_000)}
 
 
