--- /dev/null
+++ b/tests/test_rollback.py
@@ -0,0 +1,141 @@
+"""Rollback and freezing of tables: plans, and their effect on proxies."""
+
+from __future__ import annotations
+
+import pytest
+from immutables import Map
+
+from onyxhead.agent.keeper import Taken
+from onyxhead.policy.decisions import TableChange
+from onyxhead.tables.errors import RollbackRejectedError
+from onyxhead.tables.history import History, Version
+from onyxhead.tables.rollback import CurrentEndpoints, plan_rollback, restrict_lines
+from tests.controller_rig import Rig, request_of
+from tests.table_rig import FULL, lines, rig_with_wrong_table
+
+
+def version_of(at: int, **weights: int) -> History:
+    history = History()
+    history.append(1, at, "", lines(**weights))
+    return history
+
+
+def test_a_rollback_is_restricted_to_endpoints_that_are_safe_now() -> None:
+    version = version_of(100, a=FULL, gone=FULL, cold=FULL, young=FULL).latest
+    truth = CurrentEndpoints({"a": 0, "cold": None, "young": 150, "new": 0})
+    now = lines(a=1, cold=5, young=9, new=FULL)
+    back = plan_rollback(version, now, now, truth)
+    assert back.lines == lines(a=FULL, cold=5, young=9)
+    assert back.excluded == {
+        "gone": "gone or draining",
+        "cold": "started since; it keeps its ramp",
+        "young": "started since; it keeps its ramp",
+    }
+
+
+def test_a_rollback_that_would_break_a_rule_or_change_nothing_is_rejected() -> None:
+    version = version_of(100, a=FULL, b=FULL).latest
+    now = lines(a=1, c=FULL)
+    with pytest.raises(RollbackRejectedError, match="no backend of version 1 still serves"):
+        plan_rollback(version, now, now, CurrentEndpoints({"c": 0}))
+    with pytest.raises(RollbackRejectedError, match="as in version 1 already"):
+        plan_rollback(version, now, lines(a=FULL, b=FULL), CurrentEndpoints({"a": 0, "b": 0}))
+    two = now | {(1, "c"): FULL}
+    with pytest.raises(RollbackRejectedError, match="table 1 would be left with no warm backend"):
+        plan_rollback(version, two, two, CurrentEndpoints({"a": 0, "b": 0, "c": 0}))
+    assert restrict_lines(Version(0, 0, 0, "", Map(), 0), now, CurrentEndpoints({}), [0]) == {}
+
+
+def roll_back(rig: Rig, version: str = "1", seconds: float = 60.0) -> None:
+    rig.core.versions.roll_back(rig.now, version, seconds)
+
+
+def test_a_wrong_table_is_rolled_back_on_all_proxies_and_pinned_until_released() -> None:
+    rig = rig_with_wrong_table()
+    roll_back(rig)
+    rig.run(1)
+    assert all(rig.lines(name) == {f"b{n}": FULL for n in range(6)} for name in rig.keepers)
+    with pytest.raises(RollbackRejectedError, match="already"):
+        roll_back(rig)
+    rig.set("b3", "draining")
+    rig.run(1)
+    assert all(set(rig.lines(name)) == {"b0", "b1", "b2", "b4", "b5"} for name in rig.keepers)
+    assert rig.core.versions.release("test") and not rig.core.versions.release("again")
+    rig.run(1)
+    assert rig.lines("p0")["b1"] == 1000 and "b3" not in rig.lines("p0")
+
+
+def test_pinned_tables_let_new_endpoints_in_by_slow_start_and_are_released_in_time() -> None:
+    rig = rig_with_wrong_table()
+    roll_back(rig, seconds=5.0)
+    rig.set("b7", "ready")
+    rig.run(3)
+    assert 0 < rig.lines("p0")["b7"] <= FULL // 3 and rig.lines("p0")["b1"] == FULL
+    rig.run(4)
+    assert rig.core.versions.pin is None and rig.lines("p0")["b1"] == 1000
+    rig.join("p9")
+    rig.run(1)
+    assert rig.lines("p9") == rig.lines("p0")
+
+
+def test_a_rollback_during_another_pins_the_later_version() -> None:
+    rig = rig_with_wrong_table()
+    roll_back(rig)
+    rig.step()
+    roll_back(rig, "2")
+    rig.run(1)
+    assert (
+        rig.core.versions.pin is not None
+        and rig.core.versions.pin.version.number == 2
+        and rig.lines("p0")["b1"] == 1000
+    )
+
+
+def test_a_large_rollback_stays_within_its_share_of_the_channel() -> None:
+    rig = Rig(backends=60, proxies=30, lines_per_second=3000.0, max_queued_lines=3000.0)
+    rig.run(4)
+    first = rig.core.versions.history.latest.number
+    changed = tuple((f"b{n}", 0.5) for n in range(50))
+    for message in rig.core.proxy_tables.apply_decisions(0, [TableChange(0, changed)]):
+        rig.core._enqueue(rig.now, message)
+    rig.run(2)
+    roll_back(rig, str(first))
+    rig.most = 0.0
+    rig.run(3)
+    assert rig.most <= 0.5 * 3000 and all(rig.lines(n)["b1"] == FULL for n in rig.keepers)
+
+
+def test_frozen_tables_change_only_as_safety_rules_demand() -> None:
+    rig = Rig(proxies=2)
+    rig.run(2)
+    assert rig.core.versions.freeze(rig.now, 60.0) == rig.core.versions.history.latest.number
+    for message in rig.core.proxy_tables.apply_decisions(0, [TableChange(0, (("b1", 0.001),))]):
+        rig.core._enqueue(rig.now, message)
+    rig.set("b2", "draining")
+    rig.run(2)
+    assert rig.lines("p0")["b1"] == FULL and "b2" not in rig.lines("p0")
+
+
+def test_versions_of_two_controllers_with_one_number_are_never_mixed_up() -> None:
+    first, second = Rig(backends=5, proxies=2, seed=1), Rig(backends=5, seed=2)
+    first.run(2)
+    second.run(2)
+    first.set("b1", "draining")
+    first.run(2)
+    second.set("b3", "draining")
+    second.run(2)
+    one, two = first.core.versions.history.latest, second.core.versions.history.latest
+    assert one.number == two.number and one.digest_hex != two.digest_hex
+    # The proxy is handed over; a late update of the first controller's version finds another view.
+    late = first.core.proxy_tables.apply_decisions(77, [TableChange(0, (("b2", 0.5),))])[0]
+    second.keepers = {"p0": first.keepers["p0"]}
+    second.join("p0")
+    second.run(2)
+    held = second.keepers["p0"].view.etag
+    refused = second.keepers["p0"].take(request_of(late, "p0", second.now))
+    assert not isinstance(refused, Taken) and refused.status == 412 and second.keepers["p0"].view.etag == held
+    # By that number each controller finds its own version, and what a rollback to it would bring back.
+    assert second.core.versions.history.find(str(two.number)).digest_hex == two.digest_hex
+    with pytest.raises(RollbackRejectedError, match="already"):
+        second.core.versions.roll_back(second.now, str(two.number), 60.0)
+    assert {b for _, b in first.core.versions.history.find(str(one.number)).lines} == {"b0", "b2", "b3", "b4"}
--- a/tests/test_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""Rule 4's budget among controllers: whatever becomes of news, disks and lives, all parts together never grow."""
+"""The slow-start budget shared among controllers: whatever is lost, all capacities together never grow."""
 
 from __future__ import annotations
 
@@ -41,57 +41,57 @@
     return SlowStartBudget(own, began, decode_grants(kept) if kept is not None else None, disk.keep)
 
 
-def pass_on(giver: SlowStartBudget, taker: SlowStartBudget) -> None:
+def deliver_report(giver: SlowStartBudget, taker: SlowStartBudget) -> None:
     taker.on_report(giver.own_name, decode_budget_report(json.loads(json.dumps(encode_budget_report(giver.report())))))
 
 
-def test_the_idle_lend_to_the_one_in_a_burst_and_only_what_they_leave() -> None:
+def test_an_idle_controller_lends_one_in_a_burst_part_of_what_it_leaves_unused() -> None:
     idle, busy = budget("c1"), budget("c2")
     idle.on_loads({INCARNATION: IncarnationLoad(10.0, 2.0)})
     busy.on_loads({INCARNATION: IncarnationLoad(10.0, 30.0)})
-    pass_on(busy, idle)
+    deliver_report(busy, idle)
     assert [loan.amount for loan in idle.grant()] == [4.0] and idle.grant() == []
-    pass_on(idle, busy)
-    pass_on(idle, busy)
+    deliver_report(idle, busy)
+    deliver_report(idle, busy)
     assert idle.share(INCARNATION) == pytest.approx(0.6) and busy.share(INCARNATION) == pytest.approx(1.4)
 
 
-def test_without_news_each_keeps_to_its_lone_bound() -> None:
+def test_without_reports_each_controller_keeps_to_its_lone_bound() -> None:
     alone = budget("c1")
     alone.on_loads({INCARNATION: IncarnationLoad(10.0, 0.0)})
     assert alone.grant() == [] and alone.share(INCARNATION) == 1.0
 
 
-def test_a_loan_that_does_not_reach_the_disk_was_never_made() -> None:
+def test_a_grant_that_is_not_persisted_was_never_made() -> None:
     disk = Disk()
     idle, busy = budget("c1", disk), budget("c2")
     idle.on_loads({INCARNATION: IncarnationLoad(10.0, 2.0)})
     busy.on_loads({INCARNATION: IncarnationLoad(10.0, 30.0)})
-    pass_on(busy, idle)
+    deliver_report(busy, idle)
     disk.full = True
     with pytest.raises(OSError):
         idle.grant()
     assert idle.share(INCARNATION) == 1.0 and idle.report().grants == ()
 
 
-def test_a_loan_ends_for_both_when_the_backend_is_warm_or_starts_anew() -> None:
+def test_a_grant_ends_for_both_when_the_backend_is_warm_or_restarts() -> None:
     idle, busy = budget("c1"), budget("c2")
     idle.on_loads({INCARNATION: IncarnationLoad(10.0, 2.0)})
     busy.on_loads({INCARNATION: IncarnationLoad(10.0, 30.0)})
-    pass_on(busy, idle)
+    deliver_report(busy, idle)
     idle.grant()
-    pass_on(idle, busy)
+    deliver_report(idle, busy)
     old = decode_budget_report(encode_budget_report(idle.report()))
     again = Incarnation("b0", 200 * SECOND)
     for each in (idle, busy):
         each.on_loads({again: IncarnationLoad(10.0, 10.0)})
         assert each.share(again) == 1.0
-    # News of the loan that was long on its way brings nothing back.
+    # A delayed report of the grant brings nothing back.
     busy.on_report("c1", old)
     assert busy.share(again) == 1.0 and not busy.received
 
 
-def test_a_life_with_an_empty_disk_keeps_to_what_no_one_can_have_borrowed() -> None:
+def test_a_controller_that_lost_its_disk_keeps_to_what_it_can_not_have_lent() -> None:
     fresh = budget("c1", Disk(), began=300 * SECOND)
     late = Incarnation("b1", 900 * SECOND)
     fresh.on_loads({INCARNATION: IncarnationLoad(10.0, 0.0), late: IncarnationLoad(10.0, 0.0)})
@@ -112,32 +112,32 @@
         {"lacks": [["b", n, 1] for n in range(20_000)], "loans": []},
     ],
 )
-def test_what_is_no_word_is_refused(plain: Any) -> None:
+def test_malformed_budget_reports_are_rejected(plain: Any) -> None:
     with pytest.raises(MalformedReportError):
         decode_budget_report(plain)
 
 
-class Fleet:
-    """Members whose words are lost, late, doubled and out of order, that die with or without their disks."""
+class SimulatedFleet:
+    """Members whose reports are lost, late, doubled and reordered, and that die with or without losing their disks."""
 
     def __init__(self, seed: int) -> None:
-        self.chance, self.now = Random(seed), 100 * SECOND
-        self.names = [f"c{n}" for n in range(self.chance.randint(2, 5))]
-        self.parts = {name: self.chance.uniform(1, 20) for name in self.names}
+        self.random, self.now = Random(seed), 100 * SECOND
+        self.names = [f"c{n}" for n in range(self.random.randint(2, 5))]
+        self.parts = {name: self.random.uniform(1, 20) for name in self.names}
         self.disks = {name: Disk() for name in self.names}
         self.members: dict[str, SlowStartBudget | None] = {name: budget(name, self.disks[name]) for name in self.names}
         for disk in self.disks.values():
             disk.kept = []
         self.lives = {INCARNATION}
-        self.flying: list[tuple[str, str, Any]] = []
-        # What the proxies of those that died may still bring, whatever their successors think.
+        self.in_flight: list[tuple[str, str, Any]] = []
+        # What the proxies of dead controllers may still bring, whatever the restarted controllers assume.
         self.left: dict[tuple[str, Incarnation], float] = {}
 
     def lend(self, name: str) -> None:
         if (member := self.members[name]) is not None:
             member.on_loads(
                 {
-                    life: IncarnationLoad(self.parts[name], self.chance.uniform(0, 3) * self.parts[name])
+                    life: IncarnationLoad(self.parts[name], self.random.uniform(0, 3) * self.parts[name])
                     for life in self.lives
                 }
             )
@@ -145,33 +145,33 @@
 
     def step(self) -> None:
         self.now += SECOND // 4
-        name, other = self.chance.sample(self.names, 2)
+        name, other = self.random.sample(self.names, 2)
         member = self.members[name]
-        match self.chance.randrange(12):
+        match self.random.randrange(12):
             case 0 if member is not None:
                 for life in self.lives & member.loads.keys():
                     self.left[name, life] = max(self.left.get((name, life), 0.0), member.share(life) * self.parts[name])
                 self.members[name] = None
-                if self.chance.random() < 0.3:
+                if self.random.random() < 0.3:
                     self.disks[name] = Disk()
             case 1 if member is None:
                 self.members[name] = budget(name, self.disks[name], self.now)
                 if self.disks[name].kept is None:
                     self.disks[name].kept = None
-            case 2 if self.chance.random() < 0.1:
-                self.lives = {Incarnation(f"b{self.chance.randrange(3)}", self.now)}
+            case 2 if self.random.random() < 0.1:
+                self.lives = {Incarnation(f"b{self.random.randrange(3)}", self.now)}
                 self.left = {key: value for key, value in self.left.items() if key[1] in self.lives}
-            case 3 if self.flying:
-                # One word arrives, any of them, and may arrive again.
-                sender, to, plain = self.chance.choice(self.flying)
+            case 3 if self.in_flight:
+                # Any one report arrives, and may arrive again.
+                sender, to, plain = self.random.choice(self.in_flight)
                 if (taker := self.members[to]) is not None:
                     taker.on_report(sender, decode_budget_report(plain))
-            case 4 if len(self.flying) > 20:
-                self.flying = self.flying[10:]
+            case 4 if len(self.in_flight) > 20:
+                self.in_flight = self.in_flight[10:]
             case _ if member is not None:
                 self.lend(name)
-                self.flying.append((name, other, json.loads(json.dumps(encode_budget_report(member.report())))))
-                if (taker := self.members[other]) is not None and self.chance.random() < 0.7:
+                self.in_flight.append((name, other, json.loads(json.dumps(encode_budget_report(member.report())))))
+                if (taker := self.members[other]) is not None and self.random.random() < 0.7:
                     taker.on_loads(
                         {life: IncarnationLoad(self.parts[other], 0.0) for life in self.lives}
                         | {life: strain for life, strain in taker.loads.items() if life in self.lives}
@@ -179,7 +179,7 @@
                     taker.on_report(name, decode_budget_report(copy.deepcopy(encode_budget_report(member.report()))))
 
     def over(self) -> float:
-        """By how much all parts together are beyond what the backend bears."""
+        """By how much all capacities together exceed what the backend bears."""
         worst = 0.0
         for life in self.lives:
             used = 0.0
@@ -193,14 +193,14 @@
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_all_parts_together_never_grow_whatever_is_lost(seed: int) -> None:
-    fleet = Fleet(seed)
+def test_all_capacities_together_never_grow_whatever_is_lost(seed: int) -> None:
+    fleet = SimulatedFleet(seed)
     for _ in range(300):
         fleet.step()
         assert fleet.over() < 1e-3, seed
 
 
-def test_the_check_finds_a_lender_that_takes_back_by_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_lender_that_forgets_its_grants_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     real = SlowStartBudget.on_loads
 
     def forgets(self: SlowStartBudget, strains: Any) -> None:
@@ -210,15 +210,15 @@
     monkeypatch.setattr(SlowStartBudget, "on_loads", forgets)
     found = 0
     for seed in range(40):
-        fleet = Fleet(seed)
+        fleet = SimulatedFleet(seed)
         for _ in range(300):
             fleet.step()
             found += fleet.over() > 1e-3
     assert found
 
 
-def brought(rig: Rig) -> float:
-    """The weight of the cold backend's line that proxies here hold, in parts."""
+def weight_at_warming_backend(rig: Rig) -> float:
+    """The weight of the warming backend's line at all proxies of this controller together."""
     return sum(
         keeper.view.entries.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"]
         for keeper in rig.keepers.values()
@@ -242,10 +242,12 @@
                 rig.core.update_budget_shares(rig.now, budgets[name])
                 other = "idle" if name == "busy" else "busy"
                 budgets[name].on_report(other, decode_budget_report(encode_budget_report(budgets[other].report())))
-    return brought(rigs["busy"]), [rig.core.policy.endpoints.by_id["b9"].budget_share for rig in rigs.values()]
+    return weight_at_warming_backend(rigs["busy"]), [
+        rig.core.policy.endpoints.by_id["b9"].budget_share for rig in rigs.values()
+    ]
 
 
-def test_a_controller_in_a_burst_uses_what_the_idle_one_leaves_at_a_cold_backend() -> None:
+def test_a_controller_in_a_burst_uses_what_the_idle_one_leaves_at_a_warming_backend() -> None:
     alone, shares = burst(False)
     assert shares == [1.0, 1.0]
     more, shares = burst(True)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: what is remembered after a kill, a broken file, a full disk."""
+"""The store: what is recovered after a kill, from a corrupt file, with a full disk."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 from onyxhead.tables.history import VersionRecord
 
 
-def filled(folder: Path) -> Store:
-    own = Store(folder, lambda: 100.0)
-    own.save_endpoint_list(7, b"list")
-    own.save_proxy("p1", 3, "north", '"t"', 9)
-    own.save_withdrawal("b1", True)
-    own.save_withdrawal("b2", True)
-    own.save_withdrawal("b2", False)
-    own.append_decisions(1, 9, ["list: 2 changes"], [["withdraw", "b1"]])
-    return own
+def filled_store(folder: Path) -> Store:
+    store = Store(folder, lambda: 100.0)
+    store.save_endpoint_list(7, b"list")
+    store.save_proxy("p1", 3, "north", '"t"', 9)
+    store.save_withdrawal("b1", True)
+    store.save_withdrawal("b2", True)
+    store.save_withdrawal("b2", False)
+    store.append_decisions(1, 9, ["list: 2 changes"], [["withdraw", "b1"]])
+    return store
 
 
-def test_the_next_life_knows_what_the_last_one_wrote(tmp_path: Path) -> None:
-    filled(tmp_path).close()
-    own = Store(tmp_path)
-    assert own.recovered == (2, b"list", 100.0, {"p1": 3}, {"b1": 100.0})
-    (order,) = own.recent_decisions(5)
+def test_the_next_incarnation_recovers_what_the_last_one_wrote(tmp_path: Path) -> None:
+    filled_store(tmp_path).close()
+    store = Store(tmp_path)
+    assert store.recovered == (2, b"list", 100.0, {"p1": 3}, {"b1": 100.0})
+    (order,) = store.recent_decisions(5)
     assert (order.round_number, order.causes, order.decisions) == (9, ["list: 2 changes"], [["withdraw", "b1"]])
-    own.close()
+    store.close()
 
 
-def test_every_life_has_an_epoch_of_its_own_also_after_a_kill(tmp_path: Path) -> None:
+def test_every_incarnation_has_an_epoch_of_its_own_also_after_a_kill(tmp_path: Path) -> None:
     text = (
         "import os, sys; from pathlib import Path; from onyxhead.store.store import Store\n"
         "print(Store(Path(sys.argv[1])).recovered.epoch, flush=True); os.kill(os.getpid(), 9)"
@@ -50,8 +50,8 @@
 
 
 @pytest.mark.parametrize("place", [0, 30, 4096])
-def test_a_broken_file_is_put_aside_and_never_trusted(place: int, tmp_path: Path) -> None:
-    filled(tmp_path).close()
+def test_a_corrupt_file_is_put_aside_and_never_used(place: int, tmp_path: Path) -> None:
+    filled_store(tmp_path).close()
     path = tmp_path / "onyxhead.db"
     with sqlite3.connect(path) as db:
         db.execute("pragma wal_checkpoint(truncate)")
@@ -60,86 +60,88 @@
     path.write_bytes(bytes(body))
     for end in ("-wal", "-shm"):
         path.with_name(path.name + end).unlink(missing_ok=True)
-    own = Store(tmp_path)
-    assert own.recovered.endpoint_list is None and own.warnings and list(tmp_path.glob("*.broken-*"))
-    own.close()
+    store = Store(tmp_path)
+    assert store.recovered.endpoint_list is None and store.warnings and list(tmp_path.glob("*.broken-*"))
+    store.close()
 
 
-def test_a_disk_that_takes_nothing_is_told_and_what_waits_is_written_later(
+def test_a_full_disk_is_reported_and_pending_writes_are_written_later(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    own = Store(tmp_path)
+    store = Store(tmp_path)
     monkeypatch.setattr(writer, "RETRY_DELAY_S", 0.01)
-    real = own.writer.connect
+    real = store.writer.connect
 
     def full() -> sqlite3.Connection:
         raise sqlite3.OperationalError("database or disk is full")
 
-    own.writer.connect = full
-    own.save_endpoint_list(8, b"kept")
+    store.writer.connect = full
+    store.save_endpoint_list(8, b"kept")
     until = time.monotonic() + 5
-    while not own.write_error and time.monotonic() < until:
+    while not store.write_error and time.monotonic() < until:
         time.sleep(0.01)
-    assert "full" in own.write_error
-    own.writer.connect = real
-    own.close()
+    assert "full" in store.write_error
+    store.writer.connect = real
+    store.close()
     again = Store(tmp_path)
     assert again.recovered.endpoint_list == b"kept"
     again.close()
 
 
-def test_a_folder_that_can_not_be_had_is_one_plain_message(tmp_path: Path) -> None:
+def test_a_folder_that_can_not_be_made_is_one_store_error(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     with pytest.raises(StoreUnavailableError, match="file"):
         Store(tmp_path / "file" / "state")
 
 
-def test_an_order_whose_bytes_were_flipped_is_told_and_an_older_file_is_read(tmp_path: Path) -> None:
-    filled(tmp_path).close()
+def test_damaged_decisions_are_marked_and_those_without_a_digest_are_read(tmp_path: Path) -> None:
+    filled_store(tmp_path).close()
     with sqlite3.connect(tmp_path / "onyxhead.db") as db:
         db.execute("update orders set decisions = replace(decisions, 'b1', 'b7')")
         db.execute("insert into orders (at, epoch, turn, causes, decisions) values (1.0, 1, 8, '[]', '[]')")
-    own = Store(tmp_path)
-    older, flipped = own.recent_decisions(5)
+    store = Store(tmp_path)
+    older, flipped = store.recent_decisions(5)
     assert (older.intact, flipped.intact, flipped.decisions) == (None, False, [])
-    own.close()
+    store.close()
 
 
-def test_a_file_of_the_program_before_digests_of_orders_gets_them(tmp_path: Path) -> None:
-    filled(tmp_path).close()
+def test_a_file_of_a_version_before_decision_digests_gets_them(tmp_path: Path) -> None:
+    filled_store(tmp_path).close()
     with sqlite3.connect(tmp_path / "onyxhead.db") as db:
         db.execute("alter table orders drop column digest")
-    own = Store(tmp_path)
-    own.append_decisions(2, 10, ["time"], [])
-    own.close()
+    store = Store(tmp_path)
+    store.append_decisions(2, 10, ["time"], [])
+    store.close()
     assert [each.intact for each in Store(tmp_path).recent_decisions(5)] == [True, None]
 
 
 PAGE, FRAME, HEAD = 4096, 4096 + 24, 32
 
 
-def test_killed_at_every_write_also_of_compaction_it_comes_back_to_what_had_been_committed(
+def test_a_kill_at_any_write_also_of_pruning_leaves_what_was_committed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(module, "PRUNE_INTERVAL", 4)
     monkeypatch.setattr(module, "MAX_VERSIONS", 3)
-    folder = tmp_path / "own"
-    own = Store(folder, lambda: 100.0)
+    folder = tmp_path / "store"
+    store = Store(folder, lambda: 100.0)
     # While this connection is open nothing is copied from the log to the file, so the log holds every write.
-    held = sqlite3.connect(folder / "onyxhead.db")
-    held.execute("select count(*) from versions").fetchall()
+    reader = sqlite3.connect(folder / "onyxhead.db")
+    reader.execute("select count(*) from versions").fetchall()
     states: list[list[int]] = [[]]
     for number in range(1, 15):
-        own.append_version(VersionRecord(number, 1, number, "time", {(0, f"b{number}"): 1}))
+        store.append_version(VersionRecord(number, 1, number, "time", {(0, f"b{number}"): 1}))
         until = time.monotonic() + 5
-        while (rows := [record.number for record in own.load_versions()])[-1:] != [number] and time.monotonic() < until:
+        while (rows := [record.number for record in store.load_versions()])[-1:] != [
+            number
+        ] and time.monotonic() < until:
             time.sleep(0.002)
         time.sleep(0.02)
-        states.append([record.number for record in own.load_versions()])
+        states.append([record.number for record in store.load_versions()])
     assert len(states[-1]) < 14 and rows
     before, log = (folder / "onyxhead.db").read_bytes(), (folder / "onyxhead.db-wal").read_bytes()
-    held.close()
-    own.close()
+    reader.close()
+    store.close()
     after = (folder / "onyxhead.db").read_bytes()
     ends = [HEAD + FRAME * n for n in range((len(log) - HEAD) // FRAME + 1)]
     last = -1
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Views, their digests and changes; the books and what messages cost."""
+"""Views, their digests and changes; the table state, its updates and what they cost."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 CHANGES = st.dictionaries(PATHS, st.one_of(st.none(), st.integers(1, 9)), max_size=8)
 
 
-def leaves(changes: dict[tuple[str, ...], int | None]) -> dict[tuple[str, ...], Any]:
+def entries(changes: dict[tuple[str, ...], int | None]) -> dict[tuple[str, ...], Any]:
     return {p: None if v is None else True if p[0] == "withdrawn" else line(p[-1], v) for p, v in changes.items()}
 
 
 @given(st.lists(CHANGES, max_size=6))
-def test_a_view_made_by_changes_is_the_view_made_at_once(steps: list[dict[tuple[str, ...], int | None]]) -> None:
+def test_a_view_made_by_changes_equals_the_view_made_at_once(steps: list[dict[tuple[str, ...], int | None]]) -> None:
     view, plain = View.EMPTY, dict[tuple[str, ...], Any]()
-    for step in map(leaves, steps):
+    for step in map(entries, steps):
         view = view.apply(parse_merge_patch(json.loads(json.dumps(merge_patch(step)))))
         plain = {p: v for p, v in (plain | step).items() if v is not None}
     assert view == View.from_entries(plain) and view.etag == View.from_entries(plain).etag
@@ -43,15 +43,15 @@
 
 
 @given(CHANGES, CHANGES)
-def test_changes_between_two_views_lead_from_one_to_the_other(one: Any, two: Any) -> None:
-    before, after = View.EMPTY.apply(leaves(one)), View.EMPTY.apply(leaves(two))
+def test_changes_between_two_views_lead_from_one_to_the_other(first: Any, second: Any) -> None:
+    before, after = View.EMPTY.apply(entries(first)), View.EMPTY.apply(entries(second))
     assert before.apply(before.changes_to(after)).etag == after.etag
     assert (before.etag == after.etag) == (before == after)
 
 
-def test_weights_that_differ_by_one_part_have_other_tags() -> None:
-    one = View.from_entries({("standing", "b1"): line("b1", 1_000_000)})
-    assert one.etag != one.with_entry(("standing", "b1"), line("b1", 1_000_001)).etag
+def test_weights_that_differ_by_a_millionth_have_different_etags() -> None:
+    first = View.from_entries({("standing", "b1"): line("b1", 1_000_000)})
+    assert first.etag != first.with_entry(("standing", "b1"), line("b1", 1_000_001)).etag
 
 
 @pytest.mark.parametrize(
@@ -70,58 +70,58 @@
         {"tables": {"1": {"lines": True}}},
     ],
 )
-def test_what_is_no_view_is_refused_whole(document: Any) -> None:
+def test_malformed_views_are_rejected(document: Any) -> None:
     with pytest.raises(MalformedViewError):
         View.from_document(document)
 
 
-def books() -> TableState:
+def table_state() -> TableState:
     made = TableState(("read", "write"), AdmissionMode.FRACTION, 6.0)
     made.addresses = {f"b{n}": EndpointAddress(f"127.0.0.1:{9000 + n}", "north") for n in range(5)}
     return made
 
 
-def test_an_assignment_sends_the_whole_table_once_and_counts_its_lines() -> None:
-    own = books()
-    own.apply_decisions(0, [TableChange(0, (("b0", 1.0), ("b1", 0.5)))])
-    own.join(7, View.from_entries({("standing", "b4"): line("b4")}))
-    (message,) = own.apply_decisions(1, [Withdrawal("b1", True), TableAssignment(7, 0, ())])
+def test_an_assignment_sends_the_full_table_once_and_counts_its_lines() -> None:
+    state = table_state()
+    state.apply_decisions(0, [TableChange(0, (("b0", 1.0), ("b1", 0.5)))])
+    state.join(7, View.from_entries({("standing", "b4"): line("b4")}))
+    (message,) = state.apply_decisions(1, [Withdrawal("b1", True), TableAssignment(7, 0, ())])
     assert message.full and message.line_cost == 6 + 1 + (1 + 2 + 1) + 1
     assert message.result.children("tables", "t0", "lines")["b1"]["weight"] == 500_000
     assert message.result.children("withdrawn") == {"b1": True} and not message.result.children("standing")
 
 
-def test_a_change_goes_to_users_of_its_table_only_and_a_withdrawal_to_all() -> None:
-    own = books()
-    own.apply_decisions(0, [TableChange(0, (("b0", 1.0), ("b1", 1.0)))])
-    own.join(1, View.EMPTY)
-    own.join(2, View.from_entries({("standing", "b0"): line("b0")}))
-    own.apply_decisions(1, [TableAssignment(1, 0, ())])
-    assert [m.proxy for m in own.apply_decisions(2, [TableChange(0, (("b2", 0.1),))])] == [1]
-    shut = own.apply_decisions(3, [Withdrawal("b0", True)])
-    assert [m.proxy for m in shut] == [1, 2] and all(m.urgent and not m.full for m in shut)
-    assert shut[1].to_document() == {"withdrawn": {"b0": True}}
-    assert own.views[2] == View.from_entries({("standing", "b0"): line("b0"), ("withdrawn", "b0"): True})
+def test_a_change_goes_to_proxies_of_its_table_only_and_a_withdrawal_to_all() -> None:
+    state = table_state()
+    state.apply_decisions(0, [TableChange(0, (("b0", 1.0), ("b1", 1.0)))])
+    state.join(1, View.EMPTY)
+    state.join(2, View.from_entries({("standing", "b0"): line("b0")}))
+    state.apply_decisions(1, [TableAssignment(1, 0, ())])
+    assert [m.proxy for m in state.apply_decisions(2, [TableChange(0, (("b2", 0.1),))])] == [1]
+    updates = state.apply_decisions(3, [Withdrawal("b0", True)])
+    assert [m.proxy for m in updates] == [1, 2] and all(m.urgent and not m.full for m in updates)
+    assert updates[1].to_document() == {"withdrawn": {"b0": True}}
+    assert state.views[2] == View.from_entries({("standing", "b0"): line("b0"), ("withdrawn", "b0"): True})
 
 
 @given(st.lists(st.tuples(st.booleans(), CHANGES), min_size=1, max_size=6))
-def test_a_folded_run_of_changes_leads_where_the_run_leads(steps: Any) -> None:
-    base = view = View.EMPTY.apply(leaves({("standing", "b1"): 3}))
+def test_coalesced_updates_lead_to_the_same_view_as_the_run(steps: Any) -> None:
+    base = view = View.EMPTY.apply(entries({("standing", "b1"): 3}))
     run = []
-    for turn, (whole, step) in enumerate(steps):
-        before, changes = view, leaves(step)
-        view = View.from_entries({p: v for p, v in changes.items() if v is not None}) if whole else view.apply(changes)
-        run.append(ProxyUpdate(1, turn, whole, before.etag, view, changes, 9.0, False))
-    one = coalesce(run)
-    assert one.base_etag == base.etag and one.result is view and one.round_number == len(steps) - 1
-    document = json.loads(json.dumps(one.to_document()))
-    assert (View.from_document(document) if one.full else base.apply(parse_merge_patch(document))).etag == view.etag
-
-
-def test_a_small_weight_never_becomes_no_line_and_zero_takes_it_away() -> None:
-    own = books()
-    own.join(1, View.EMPTY)
-    own.apply_decisions(1, [TableChange(0, (("b0", 1e-9),)), TableAssignment(1, 0, ())])
-    assert own.views[1].children("tables", "t0", "lines")["b0"]["weight"] == 1
-    own.apply_decisions(2, [TableChange(0, (("b0", 0.0),))])
-    assert not own.views[1].children("tables", "t0", "lines")
+    for round_number, (full, step) in enumerate(steps):
+        before, changes = view, entries(step)
+        view = View.from_entries({p: v for p, v in changes.items() if v is not None}) if full else view.apply(changes)
+        run.append(ProxyUpdate(1, round_number, full, before.etag, view, changes, 9.0, False))
+    update = coalesce(run)
+    assert update.base_etag == base.etag and update.result is view and update.round_number == len(steps) - 1
+    document = json.loads(json.dumps(update.to_document()))
+    assert (View.from_document(document) if update.full else base.apply(parse_merge_patch(document))).etag == view.etag
+
+
+def test_a_small_weight_keeps_its_line_and_zero_removes_it() -> None:
+    state = table_state()
+    state.join(1, View.EMPTY)
+    state.apply_decisions(1, [TableChange(0, (("b0", 1e-9),)), TableAssignment(1, 0, ())])
+    assert state.views[1].children("tables", "t0", "lines")["b0"]["weight"] == 1
+    state.apply_decisions(2, [TableChange(0, (("b0", 0.0),))])
+    assert not state.views[1].children("tables", "t0", "lines")
