--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -1,4 +1,4 @@
-"""A house with agents' keepers round it, no sockets: what leaves the channel reaches a keeper, or is lost."""
+"""A controller core with simulated agents, without sockets: a delivered message reaches its agent or is lost."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def request_of(message: ProxyUpdate, stream: str, at: int) -> Request:
-    """What goes over the wire for a message, and nothing else of it."""
+    """The request that carries a message."""
     body, digest = Encoder().body(message)
     headers = {
         STREAM_HEADER: stream,
@@ -55,27 +55,27 @@
 
 
 class Rig:
-    """One controller and its agents; `lose` makes messages vanish with their streams."""
+    """One controller and its agents. `disconnect` loses the messages of a stream; `stalled` proxies take no messages."""
 
     def __init__(self, backends: int = 6, proxies: int = 0, seed: int = 1, **channel: float) -> None:
-        self.now, self.chance = 1000 * SECOND, random.Random(seed)
+        self.now, self.random = 1000 * SECOND, random.Random(seed)
         self.start = deployment(**channel)
         self.core = ControllerCore(self.start, GROUPS, ZONES, seed, 1, 2 * SECOND, self.now)
         self.follower = EndpointListFollower(ZONES, lambda s: min(self.now, int(s * SECOND)), lambda: self.now)
         self.entries = {f"b{n}": entry(f"b{n}") for n in range(backends)}
-        self.keepers: dict[str, Keeper] = {}
-        self.slow: set[str] = set()
-        self.version, self.works = 0, list[Effects]()
-        self.most = 0.0
+        self.agents: dict[str, Keeper] = {}
+        self.stalled: set[str] = set()
+        self.version, self.effects = 0, list[Effects]()
+        self.peak_queued_lines = 0.0
         self.publish()
         for number in range(proxies):
             self.join(f"p{number}")
 
     def publish(self) -> None:
         self.version += 1
-        news = self.follower.update(EndpointList(self.version, tuple(self.entries.values())))
-        if news is not None:
-            self.core.on_endpoint_update(self.now, news)
+        update = self.follower.update(EndpointList(self.version, tuple(self.entries.values())))
+        if update is not None:
+            self.core.on_endpoint_update(self.now, update)
 
     def set(self, name: str, state: str) -> None:
         if state == "gone":
@@ -85,31 +85,31 @@
         self.publish()
 
     def join(self, name: str) -> None:
-        keeper = self.keepers.setdefault(name, Keeper(View.from_entries({("standing", "b0"): line("b0")})))
+        keeper = self.agents.setdefault(name, Keeper(View.from_entries({("standing", "b0"): line("b0")})))
         keeper.listen_to(name)
         bound = any(path[0] == "bindings" for path in keeper.view.entries)
         held = View.from_document(json.loads(json.dumps(keeper.view.to_document())))
         self.core.on_proxy_joined(self.now, JoinRequest(name, ZONES[len(name) % 2], 10.0, not bound, held))
 
-    def lose(self, name: str) -> None:
+    def disconnect(self, name: str) -> None:
         self.core.on_proxy_left(self.now, self.core.proxy_number(name))
 
-    def step(self, tenths: int = 100) -> Effects:
-        self.now += tenths
-        work = self.core.decide(self.now)
-        self.works.append(work)
-        self.most = max(self.most, self.core.delivery_queue.queued_lines)
-        for sent in work.deliveries:
-            if self.name(sent) not in self.slow:
-                self.deliver(sent)
-        return work
+    def step(self, ticks: int = 100) -> Effects:
+        self.now += ticks
+        effects = self.core.decide(self.now)
+        self.effects.append(effects)
+        self.peak_queued_lines = max(self.peak_queued_lines, self.core.delivery_queue.queued_lines)
+        for message in effects.deliveries:
+            if self.name(message) not in self.stalled:
+                self.deliver(message)
+        return effects
 
     def name(self, sent: QueuedMessage[ProxyUpdate]) -> str:
         return next(name for name, number in self.core.numbers.items() if number == sent.proxy)
 
     def deliver(self, sent: QueuedMessage[ProxyUpdate]) -> None:
         name = self.name(sent)
-        keeper = self.keepers[name]
+        keeper = self.agents[name]
         self.core.delivery_queue.on_written(sent.proxy)
         taken = keeper.take(request_of(sent.message, name, sent.queued_at))
         if isinstance(taken, Taken):
@@ -123,8 +123,8 @@
             self.step()
 
     def lines(self, name: str, group: str = "read") -> dict[str, int]:
-        """What the proxy may pick, with weights."""
-        view = self.keepers[name].view
+        """The backends that the proxy may use, with their weights."""
+        view = self.agents[name].view
         table = view.entries.get(("bindings", group))
         held = view.children("standing") if table is None else view.children("tables", table, "lines")
         return {b: at["weight"] for b, at in held.items() if ("withdrawn", b) not in view.entries}
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -15,7 +15,7 @@
     """Every proxy reports 40 attempts, of which 1 failed, or as many as `bad` says."""
     from onyxhead.controller.request_statistics import BackendStatistics, RequestStatistics
 
-    for name in rig.keepers:
+    for name in rig.agents:
         met = {"127.0.0.1:9001": BackendStatistics(40, bad.get(name, 1), 400.0, SECOND)}
         rig.core.on_request_statistics(rig.now, name, "x", number, RequestStatistics(met, {}))
 
@@ -26,7 +26,7 @@
     _, canary = rig.core.versions.start_canary(rig.now, "1", 0.25, seconds)
     (name,) = canary.proxies
     rig.run(2.5)
-    return rig, name, [other for other in rig.keepers if other != name]
+    return rig, name, [other for other in rig.agents if other != name]
 
 
 def test_a_canary_reaches_its_share_of_the_proxies_only() -> None:
@@ -34,8 +34,8 @@
     assert rig.lines(name)["b1"] == FULL and all(rig.lines(other)["b1"] == 1000 for other in others)
     rig.set("b4", "draining")
     rig.run(1)
-    assert all("b4" not in rig.lines(each) for each in rig.keepers)
-    rig.lose(name)
+    assert all("b4" not in rig.lines(each) for each in rig.agents)
+    rig.disconnect(name)
     rig.join(name)
     rig.run(1)
     assert rig.lines(name)["b1"] == FULL
@@ -53,7 +53,7 @@
         rig.core.versions.canary is None and rig.core.versions.pin is None and not rig.core.proxy_tables.canary_proxies
     )
     assert rig.lines(name)["b1"] == 1000
-    assert any("worse than the others" in told for work in rig.works for told in work.log_messages)
+    assert any("worse than the others" in told for work in rig.effects for told in work.log_messages)
 
 
 def test_too_few_attempts_decide_nothing_and_do_not_promote_a_canary() -> None:
--- a/tests/test_controller_core.py
+++ b/tests/test_controller_core.py
@@ -1,4 +1,4 @@
-"""The host's cores: channel, roster, clock, sums, door, and all of them together round the module."""
+"""The controller core and its parts, alone and together with simulated agents."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 LIMITS = ChannelLimits(100.0, 6.0, 50.0, 0, 0, 3, SECOND)
 
 
-def test_messages_leave_in_order_at_the_pace() -> None:
+def test_delivery_queue_releases_messages_in_order_at_the_stated_rate() -> None:
     channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     for proxy in (1, 2):
         channel.add_proxy(proxy)
@@ -35,7 +35,7 @@
     assert [sent.message for sent in channel.release_due(5000)] == ["to 2"]
 
 
-def test_what_would_wait_beyond_the_limit_is_refused_and_not_queued() -> None:
+def test_delivery_queue_rejects_lines_beyond_the_limit() -> None:
     channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     channel.add_proxy(1)
     channel.enqueue(0, 1, "a", 40)
@@ -44,7 +44,7 @@
     assert channel.queued_lines == 40
 
 
-def test_no_more_messages_are_written_to_one_proxy_than_the_cap() -> None:
+def test_delivery_queue_limits_messages_per_proxy_and_window() -> None:
     channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     channel.add_proxy(1)
     for _ in range(3):
@@ -54,7 +54,7 @@
     channel.enqueue(SECOND + 1, 1, "a", 1)
 
 
-def test_a_stream_that_takes_nothing_holds_only_its_own_back_counts_on_and_is_given_up() -> None:
+def test_stalled_stream_delays_only_its_own_messages_and_is_reported() -> None:
     channel: DeliveryQueue[str] = DeliveryQueue(LIMITS, SECOND)
     for proxy in (1, 2):
         channel.add_proxy(proxy)
@@ -90,7 +90,7 @@
         body(B1 | {"weight": 1e9}),
     ],
 )
-def test_a_list_that_is_half_written_or_contradicts_itself_is_not_followed(given: bytes) -> None:
+def test_malformed_or_contradictory_endpoint_list_is_rejected(given: bytes) -> None:
     with pytest.raises(InvalidEndpointListError):
         parse_endpoint_list(given)
 
@@ -99,7 +99,7 @@
     return EndpointListFollower(ZONES, lambda seconds: min(now, int(seconds * SECOND)), lambda: now)
 
 
-def test_a_list_that_goes_back_or_shrinks_to_nothing_is_not_followed() -> None:
+def test_older_or_empty_endpoint_list_is_rejected() -> None:
     own = follower()
     own.update(EndpointList(5, (entry("b1"),)))
     with pytest.raises(InvalidEndpointListError, match="older"):
@@ -109,7 +109,7 @@
     assert own.last == EndpointList(5, (entry("b1"),))
 
 
-def test_changes_name_what_left_and_a_newcomer_with_no_start_counts_as_just_started() -> None:
+def test_endpoint_update_names_removed_backends_and_assumes_new_ones_just_started() -> None:
     own = follower()
     first = own.update(EndpointList(1, (entry("b1"), entry("b2"))))
     assert first is not None and first.event is WatchEvent.SNAPSHOT and {e.started_at for e in first.endpoints} == {0}
@@ -121,7 +121,7 @@
     assert "moon" in news.warnings[0] and own.update(EndpointList(2, own.last.entries if own.last else ())) is None
 
 
-def test_the_clock_never_goes_back_and_a_start_ahead_of_it_counts_as_now() -> None:
+def test_clock_never_goes_back_and_future_wall_time_counts_as_now() -> None:
     wall, steady = [1000.0], [5.0]
     clock = Clock(lambda: wall[0], lambda: steady[0])
     wall[0], steady[0] = 10.0, 6.0
@@ -136,7 +136,7 @@
     return {"cluster_stats": [cluster | {"upstream_locality_stats": [{"upstream_endpoint_stats": [own | endpoint]}]}]}
 
 
-def test_sums_are_read_from_a_load_report() -> None:
+def test_request_statistics_are_parsed_from_a_load_report() -> None:
     latency = {"metric_name": "latency_ms", "num_requests_finished_with_metric": "8", "total_metric_value": 400.0}
     told = parse_load_stats(load_report_of(total_error_requests="2", load_metric_stats=[latency]))
     assert told.backends == {"127.0.0.1:9001": BackendStatistics(10, 2, 4000.0, 15_000, None)}
@@ -144,18 +144,18 @@
 
 
 @pytest.mark.parametrize("bad", [{"total_error_requests": "-1"}, {"total_error_requests": 1e99}, {"address": 5}])
-def test_sums_that_are_no_counts_are_refused(bad: dict[str, Any]) -> None:
+def test_load_report_with_invalid_counts_is_rejected(bad: dict[str, Any]) -> None:
     with pytest.raises(InvalidStatisticsError):
         parse_load_stats(load_report_of(**bad))
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf"), -1.0, "1", 7.0])
-def test_a_load_that_can_not_be_is_left_out(value: object) -> None:
+def test_impossible_utilization_is_left_out(value: object) -> None:
     stats = [{"metric_name": "cpu_utilization", "total_metric_value": value}]
     assert parse_load_stats(load_report_of(load_metric_stats=stats)).backends["127.0.0.1:9001"].utilization is None
 
 
-def test_sums_count_once_whatever_their_order_and_those_of_strangers_never() -> None:
+def test_request_statistics_count_once_in_any_order_and_only_from_joined_proxies() -> None:
     rig = Rig(proxies=1)
     told = parse_load_stats(load_report_of("127.0.0.1:9001"))
     assert rig.core.on_request_statistics(rig.now, "p0", "x", 5, told)
@@ -169,12 +169,12 @@
     assert rig.core.statistics_feed.pending.unknown_attempts == 8
 
 
-def test_a_report_far_older_than_the_last_is_not_counted() -> None:
+def test_duplicate_filter_rejects_a_far_older_report() -> None:
     gate = DuplicateFilter()
     assert gate.is_new("p", "x", 1000) and not gate.is_new("p", "x", 900)
 
 
-def test_load_headers_in_both_forms() -> None:
+def test_load_header_is_parsed_as_text_and_as_json() -> None:
     assert parse_load_header({"endpoint-load-metrics": "TEXT cpu_utilization=0.3,named_metrics.queue=4"}) == {
         "cpu_utilization": 0.3,
         "queue": 4.0,
@@ -194,7 +194,7 @@
     )
 
 
-def test_one_broken_stream_costs_no_wait_and_repeated_faults_ever_longer_ones() -> None:
+def test_join_backoff_grows_with_repeated_faults_but_not_after_the_first() -> None:
     door = JoinBackoff()
     door.on_stream_fault(0, "p")
     assert door.remaining(1, "p") == 0
@@ -208,7 +208,7 @@
 # All together
 
 
-def test_lines_decided_while_no_proxy_is_joined_reach_the_first_that_joins() -> None:
+def test_lines_decided_before_any_proxy_joined_reach_the_first_to_join() -> None:
     rig = Rig()
     rig.run(1)
     rig.join("p0")
@@ -216,61 +216,61 @@
     assert set(rig.lines("p0")) == {f"b{n}" for n in range(6)}
 
 
-def test_a_drain_told_while_forty_wait_for_full_tables_reaches_all_within_the_grace() -> None:
+def test_drain_reaches_all_proxies_within_the_grace_while_forty_wait_for_full_tables() -> None:
     rig = Rig(backends=30, lines_per_second=1500.0, max_queued_lines=4000.0)
     for number in range(40):
-        rig.keepers[f"p{number}"] = Keeper(View.from_entries({("standing", "b3"): line("b3")}))
+        rig.agents[f"p{number}"] = Keeper(View.from_entries({("standing", "b3"): line("b3")}))
         rig.join(f"p{number}")
     rig.run(0.1)
     rig.set("b3", "draining")
     rig.run(2.0)
-    assert all("b3" not in rig.lines(name) for name in rig.keepers)
-    assert rig.most <= 4000
+    assert all("b3" not in rig.lines(name) for name in rig.agents)
+    assert rig.peak_queued_lines <= 4000
 
 
-def test_a_withdrawal_lost_with_its_stream_reaches_the_proxy_at_its_next_join() -> None:
+def test_withdrawal_lost_with_its_stream_reaches_the_proxy_at_its_next_join() -> None:
     rig = Rig(proxies=3)
     rig.run(2)
-    rig.slow.add("p0")
+    rig.stalled.add("p0")
     rig.set("b2", "draining")
     rig.step()
-    rig.lose("p0")
-    rig.slow.clear()
+    rig.disconnect("p0")
+    rig.stalled.clear()
     rig.join("p0")
     rig.run(2)
     assert "b2" not in rig.lines("p0") and "b2" not in rig.lines("p1")
 
 
-def test_an_order_whose_answer_was_lost_is_not_done_again_and_the_books_agree() -> None:
+def test_update_whose_acknowledgement_was_lost_is_not_repeated() -> None:
     rig = Rig(proxies=2)
     rig.run(2)
-    rig.slow.add("p0")
+    rig.stalled.add("p0")
     rig.set("b2", "draining")
     sent = [each for _ in range(20) for each in rig.step().deliveries if rig.name(each) == "p0"]
-    taken = rig.keepers["p0"].take(request_of(sent[0].message, "p0", sent[0].queued_at))
+    taken = rig.agents["p0"].take(request_of(sent[0].message, "p0", sent[0].queued_at))
     assert isinstance(taken, Taken)
-    rig.keepers["p0"].applied(taken)
-    rig.lose("p0")
-    rig.slow.clear()
+    rig.agents["p0"].applied(taken)
+    rig.disconnect("p0")
+    rig.stalled.clear()
     rig.join("p0")
-    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.keepers["p0"].view.etag
+    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.agents["p0"].view.etag
     rig.run(2)
     assert rig.lines("p0") == rig.lines("p1") and "b2" not in rig.lines("p0")
 
 
 @pytest.mark.parametrize("after", [1.0, 1.4, 2.5])
-def test_a_survivor_that_gets_a_hundred_proxies_in_a_deploy_keeps_drains_within_the_grace(after: float) -> None:
+def test_controller_that_takes_over_a_hundred_proxies_drains_within_the_grace(after: float) -> None:
     way = {"lines_per_second": 1050.0, "max_queued_lines": 2100.0}
     first = Rig(backends=60, **way)
     for number in range(100):
-        first.keepers[f"p{number}"] = Keeper(View.from_entries({("standing", "b0"): line("b0")}))
+        first.agents[f"p{number}"] = Keeper(View.from_entries({("standing", "b0"): line("b0")}))
         first.join(f"p{number}")
     first.run(90)
-    assert all(len(first.lines(name)) == 60 for name in first.keepers)
+    assert all(len(first.lines(name)) == 60 for name in first.agents)
     second = Rig(backends=60, **way)
     second.run(2)
-    second.keepers = first.keepers
-    for name in second.keepers:
+    second.agents = first.agents
+    for name in second.agents:
         second.join(name)
     for number in range(10):
         second.set(f"b{number}", "draining")
@@ -280,46 +280,46 @@
     for number in range(10, 15):
         second.set(f"b{number}", "draining")
     second.run(max(0.0, grace - after - 0.05))
-    late = {name for name in second.keepers if set(second.lines(name)) & {f"b{n}" for n in range(10)}}
-    assert not late and second.most <= 2100
+    late = {name for name in second.agents if set(second.lines(name)) & {f"b{n}" for n in range(10)}}
+    assert not late and second.peak_queued_lines <= 2100
     second.run(grace - max(0.0, grace - after - 0.05) - 0.05)
-    assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.keepers)
+    assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.agents)
     # Bound again well before whole tables could have been sent: 100 x 69 lines take 6.6 s, beside 2.8 s of withdrawals.
     second.run(6.4 - after - grace)
     assert all(second.core.proxy_tables.tables_of(proxy) for proxy in second.core.joined)
     second.run(12)
-    assert all(len(second.lines(name)) == 45 for name in second.keepers)
+    assert all(len(second.lines(name)) == 45 for name in second.agents)
 
 
-def test_a_proxy_that_comes_back_is_sent_only_the_lines_that_changed_meanwhile() -> None:
+def test_rejoining_proxy_is_sent_only_changed_lines() -> None:
     rig = Rig(backends=30, proxies=3)
     rig.run(2)
-    rig.lose("p0")
+    rig.disconnect("p0")
     rig.set("b7", "draining")
     rig.run(2)
     rig.join("p0")
     sent = [each for _ in range(100) for each in rig.step().deliveries if rig.name(each) == "p0"]
     assert 0 < sum(each.lines for each in sent) < 30
     assert rig.lines("p0") == rig.lines("p1") and len(rig.lines("p0")) == 29
-    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.keepers["p0"].view.etag
+    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.agents["p0"].view.etag
 
 
-def test_a_slow_proxy_delays_no_one_and_is_given_up() -> None:
+def test_slow_proxy_delays_no_other_and_is_disconnected() -> None:
     rig = Rig(proxies=4)
     rig.run(2)
-    rig.slow.add("p1")
+    rig.stalled.add("p1")
     rig.set("b4", "draining")
     rig.run(0.5)
     assert all("b4" not in rig.lines(name) for name in ("p0", "p2", "p3"))
     rig.run(3)
     assert rig.core.proxy_number("p1") not in rig.core.joined
-    assert any(cut.name == "p1" for work in rig.works for cut in work.disconnects)
+    assert any(cut.name == "p1" for work in rig.effects for cut in work.disconnects)
 
 
-def test_an_agent_that_holds_another_view_is_given_up_and_gets_the_whole_at_its_next_join() -> None:
+def test_agent_with_an_unexpected_view_is_disconnected_and_gets_its_full_view_at_the_next_join() -> None:
     rig = Rig(proxies=2)
     rig.run(2)
-    rig.keepers["p0"].view = rig.keepers["p0"].view.with_entry(("withdrawn", "b1"), True)
+    rig.agents["p0"].view = rig.agents["p0"].view.with_entry(("withdrawn", "b1"), True)
     rig.set("b5", "draining")
     rig.run(1)
     assert rig.core.proxy_number("p0") not in rig.core.joined
@@ -328,7 +328,7 @@
     assert rig.lines("p0") == rig.lines("p1") == {f"b{n}": 1_000_000 for n in range(5)}
 
 
-def test_a_proxy_that_joins_twice_has_one_stream() -> None:
+def test_proxy_that_joins_twice_has_one_stream() -> None:
     rig = Rig(proxies=1)
     rig.step()
     rig.join("p0")
@@ -336,7 +336,7 @@
     assert len(rig.core.joined) == 1 and len(rig.lines("p0")) == 6
 
 
-def test_orders_beyond_the_limit_are_refused_and_the_proxy_joins_anew() -> None:
+def test_update_beyond_the_queue_limit_is_rejected_and_the_proxy_joins_again() -> None:
     rig = Rig(backends=6, proxies=1, max_queued_lines=40.0, lines_per_second=10_000.0)
     rig.run(1)
     number = rig.core.proxy_number("p0")
@@ -347,10 +347,10 @@
     assert number not in rig.core.joined and rig.core.counts["refused by the limit"] == 1
     rig.join("p0")
     rig.run(2)
-    assert rig.core.proxy_tables.views[number].etag == rig.keepers["p0"].view.etag
+    assert rig.core.proxy_tables.views[number].etag == rig.agents["p0"].view.etag
 
 
-def test_a_backend_that_moves_to_another_address_is_withdrawn_before_it_is_listed_anew() -> None:
+def test_backend_with_a_new_address_is_withdrawn_before_it_is_listed_again() -> None:
     rig = Rig(proxies=1)
     rig.run(2)
     rig.entries["b1"] = entry("b1", address="127.0.0.1:7777", started=rig.now / SECOND)
@@ -359,51 +359,51 @@
         "127.0.0.1:7777", ZONES[1]
     )
     rig.run(3)
-    held = rig.keepers["p0"].view
+    held = rig.agents["p0"].view
     lines = held.children("tables", "t0", "lines")
     assert lines["b1"]["address"] == "127.0.0.1:7777" and lines["b1"]["weight"] < 1_000_000
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_generated_days_keep_books_and_agents_alike(seed: int) -> None:
+def test_tables_and_agents_agree_after_random_faults(seed: int) -> None:
     """Streams break, agents stall, backends come and go; whenever all is quiet, books and agents agree."""
     rig = Rig(backends=8, proxies=6, seed=seed)
     for _ in range(40):
-        luck = rig.chance.random()
-        name = f"p{rig.chance.randrange(6)}"
+        luck = rig.random.random()
+        name = f"p{rig.random.randrange(6)}"
         if luck < 0.25:
-            rig.lose(name)
+            rig.disconnect(name)
         elif luck < 0.5:
             rig.join(name)
         elif luck < 0.6:
-            rig.slow ^= {name}
+            rig.stalled ^= {name}
         elif luck < 0.9:
             up = [b for b, e in rig.entries.items() if e.state == "ready"]
-            backend = f"b{rig.chance.randrange(8)}"
-            rig.set(backend, "ready" if len(up) < 4 else rig.chance.choice(["ready", "draining", "gone"]))
-        rig.run(rig.chance.uniform(0.01, 0.6))
-    rig.slow.clear()
-    for name in rig.keepers:
+            backend = f"b{rig.random.randrange(8)}"
+            rig.set(backend, "ready" if len(up) < 4 else rig.random.choice(["ready", "draining", "gone"]))
+        rig.run(rig.random.uniform(0.01, 0.6))
+    rig.stalled.clear()
+    for name in rig.agents:
         rig.join(name)
     rig.run(25)
     up = {b for b, e in rig.entries.items() if e.state == "ready"}
-    for name, keeper in rig.keepers.items():
+    for name, keeper in rig.agents.items():
         assert keeper.view.etag == rig.core.proxy_tables.views[rig.core.proxy_number(name)].etag
         assert set(rig.lines(name)) == up
-    assert rig.most <= rig.start.channel.max_queued_lines
+    assert rig.peak_queued_lines <= rig.start.channel.max_queued_lines
 
 
-def test_a_withdrawal_goes_only_to_who_may_hold_the_backend_and_only_once() -> None:
+def test_withdrawal_is_sent_once_and_only_to_proxies_that_may_hold_the_backend() -> None:
     rig = Rig(backends=6, proxies=4)
     rig.run(3)
     rig.set("b2", "draining")
     rig.run(3)
-    assert all(("withdrawn", "b2") in keeper.view.entries for keeper in rig.keepers.values())
-    before = {name: keeper.view.etag for name, keeper in rig.keepers.items()}
+    assert all(("withdrawn", "b2") in keeper.view.entries for keeper in rig.agents.values())
+    before = {name: keeper.view.etag for name, keeper in rig.agents.items()}
     told = rig.core.proxy_tables.apply_decisions(99, [Withdrawal("b2", True)])
-    assert told == [] and before == {name: keeper.view.etag for name, keeper in rig.keepers.items()}
+    assert told == [] and before == {name: keeper.view.etag for name, keeper in rig.agents.items()}
     # A line of a withdrawn backend, as held tables might bring it, never comes without its withdrawal.
-    for keeper in rig.keepers.values():
+    for keeper in rig.agents.values():
         assert "b2" not in keeper.view.children("tables", "t0", "lines")
     rig.join("p9")
     messages = rig.core.proxy_tables.apply_decisions(100, [TableChange(0, (("b2", 1.0),))])
--- a/tests/test_controller_server.py
+++ b/tests/test_controller_server.py
@@ -1,4 +1,4 @@
-"""The daemons on loopback sockets, against peers that misbehave in every way that an agent or a controller can."""
+"""A controller and its agents over loopback sockets, also against peers that break the protocol."""
 
 from __future__ import annotations
 
@@ -107,7 +107,7 @@
     return {end["endpoint"]["address"]["socket_address"]["port_value"] for end in good}
 
 
-def test_a_list_change_reaches_the_swapped_file(tmp_path: Path) -> None:
+def test_endpoint_list_change_reaches_the_swapped_file(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         await running.agent("p1", port_of(await running.controller()))
         await until(lambda: shown(tmp_path, "p1") == {9001, 9002, 9003})
@@ -117,7 +117,7 @@
     play(tmp_path, work)
 
 
-def test_a_list_half_written_is_read_again_when_it_is_whole(tmp_path: Path) -> None:
+def test_half_written_endpoint_list_is_read_again_when_complete(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         await running.agent("p1", port_of(await running.controller()))
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
@@ -131,7 +131,7 @@
     play(tmp_path, work)
 
 
-def test_an_agent_keeps_its_files_when_the_controller_dies_and_joins_the_next_life(tmp_path: Path) -> None:
+def test_agent_keeps_its_files_when_the_controller_dies_and_joins_the_next_incarnation(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         first = await running.controller()
         port = port_of(first)
@@ -150,7 +150,7 @@
     play(tmp_path, work)
 
 
-def test_half_a_push_changes_nothing_and_the_next_controller_starts_from_what_is_held(tmp_path: Path) -> None:
+def test_incomplete_push_changes_nothing_and_the_next_controller_starts_from_the_agents_view(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
@@ -169,7 +169,7 @@
     play(tmp_path, work)
 
 
-def test_an_older_stream_still_open_is_refused_once_the_new_one_has_joined(tmp_path: Path) -> None:
+def test_older_stream_is_rejected_once_a_newer_one_has_joined(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
@@ -184,7 +184,7 @@
     play(tmp_path, work)
 
 
-def test_two_publications_racing_for_one_table_leave_one_of_them_whole(tmp_path: Path) -> None:
+def test_racing_updates_of_one_table_leave_one_of_them_complete(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
@@ -249,7 +249,7 @@
         (_say(b"SSH-2.0-x\r\n\r\n"), Refused),
     ],
 )
-def test_an_agent_that_does_not_answer_as_agreed_is_refused_in_time(reply: Reply, kind: type[Exception]) -> None:
+def test_agent_that_breaks_the_push_protocol_is_rejected_in_time(reply: Reply, kind: type[Exception]) -> None:
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
@@ -267,7 +267,7 @@
     asyncio.run(main())
 
 
-def test_a_body_beyond_the_limit_is_refused_and_not_kept(tmp_path: Path) -> None:
+def test_too_large_body_is_rejected_and_not_stored(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         agent = await running.agent("p1", 1)
         await until(lambda: agent.server.listener)
@@ -278,7 +278,7 @@
     play(tmp_path, work)
 
 
-def test_an_agent_that_lies_about_its_view_does_not_join(tmp_path: Path) -> None:
+def test_agent_that_misstates_its_view_does_not_join(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
 
@@ -310,7 +310,7 @@
 
 
 @pytest.mark.parametrize("told", [[], "x", {"stream": 1}, {"stream": "s", "token": "x", "report_every": []}, None])
-def test_an_agent_outlives_whatever_a_controller_answers_to_its_join(tmp_path: Path, told: Any) -> None:
+def test_agent_survives_any_answer_to_its_join(tmp_path: Path, told: Any) -> None:
     async def work(running: Running) -> None:
         asked: list[int] = []
 
@@ -330,7 +330,7 @@
     play(tmp_path, work)
 
 
-def test_a_discovery_that_must_be_asked_is_asked_again_after_it_failed(tmp_path: Path) -> None:
+def test_discovery_on_demand_is_asked_again_after_a_failure(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         asked: list[int] = []
 
@@ -354,7 +354,7 @@
     play(tmp_path, work)
 
 
-def test_a_stream_that_fails_in_an_unforeseen_way_ends_alone(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unexpected_failure_of_one_stream_ends_no_other(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
         for name in ("p1", "p2"):
@@ -380,7 +380,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b'{"zone": "moon"}', b'{"zone": "north", "usual": "x", "standing": 1, "held": {}}']
 )
-def test_a_join_that_is_none_is_answered_plainly(tmp_path: Path, body: bytes) -> None:
+def test_malformed_join_is_rejected(tmp_path: Path, body: bytes) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
         request = Request("PUT", "/v1/proxies/x", {}, body)
--- a/tests/test_fleet_servers.py
+++ b/tests/test_fleet_servers.py
@@ -57,7 +57,7 @@
         tokens = {agent.settings.name: agent.keeper.fence.current for agent in agents}
         # One dies; the others take its proxies, under higher tokens.
         lost = served(controllers)[0]
-        controllers[0].stopping.set()
+        controllers[0].supervisor.stopping.set()
         await until(lambda: set().union(*served(controllers[1:])) == names, 10.0)
         assert all(a.keeper.fence.current > tokens[a.settings.name] for a in agents if a.settings.name in lost)
         # A member is put in and taken out while all run, and it is on disk.
--- a/tests/test_load_report_ingest.py
+++ b/tests/test_load_report_ingest.py
@@ -1,4 +1,4 @@
-"""Load reports on sockets: decoded in the controller or by receivers, beside orders; courses on disk."""
+"""Load reports over sockets, decoded in the controller or by ingest workers; time series on disk."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return controller.core.load_estimator.utilization(controller.clock.now(), backend) or 0.0
 
 
-def test_reports_reach_the_picture_and_a_flood_holds_up_no_withdrawal(tmp_path: Path) -> None:
+def test_load_reports_reach_the_estimator_and_a_flood_delays_no_withdrawal(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         running.more = "intake: {budget: 200000, series: false}\n"
         controller = await running.controller()
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 3])
-def test_receivers_hand_sums_to_one_judge_and_one_that_dies_is_started_again(tmp_path: Path, count: int) -> None:
+def test_ingest_workers_send_sums_to_one_estimator_and_a_dead_worker_is_restarted(tmp_path: Path, count: int) -> None:
     async def work(running: Running) -> None:
         (listen,) = free_ports(1)
         running.more = f'intake: {{processes: {count}, listen: "127.0.0.1:{listen}", series: false}}\n'
@@ -107,7 +107,7 @@
     return [pid for pid in set(found) if "ingest_worker" in Path(f"/proc/{pid}/cmdline").read_bytes().decode()]
 
 
-def test_courses_keep_gaps_as_gaps_and_stay_bounded(tmp_path: Path) -> None:
+def test_time_series_keep_gaps_and_stay_bounded(tmp_path: Path) -> None:
     own = TimeSeriesStore(tmp_path / "series", max_series=3)
     now = time.time() // 10 * 10
     for n in range(30):
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("name", ["busy.../../etc", "a/b.c d", "busy." + "x" * 500, "busy.\x00", "flows.p1/read"])
-def test_a_courses_name_is_never_a_way_out_of_its_folder(tmp_path: Path, name: str) -> None:
+def test_time_series_name_can_not_leave_its_folder(tmp_path: Path, name: str) -> None:
     own = TimeSeriesStore(tmp_path / "series")
     own.write(time.time(), {name: 1.0})
     assert (
@@ -138,7 +138,7 @@
     assert any(each is not None for each in own.read(name, time.time() - 60, time.time()).values)
 
 
-def test_a_broken_course_is_put_aside_and_begun_anew(tmp_path: Path) -> None:
+def test_damaged_time_series_is_moved_aside_and_started_again(tmp_path: Path) -> None:
     own = TimeSeriesStore(tmp_path)
     own.write(time.time(), {"busy.b1": 1.0})
     (tmp_path / "busy.b1.wsp").write_bytes(b"\xff" * 10)
@@ -148,7 +148,7 @@
     assert not own.last_error and list(tmp_path.glob("*.broken"))
 
 
-def test_a_burst_of_years_old_reports_is_no_news(tmp_path: Path) -> None:
+def test_burst_of_very_old_reports_is_ignored(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         running.more = "intake: {series: false}\n"
         controller = await running.controller()
--- a/tests/test_rollback.py
+++ b/tests/test_rollback.py
@@ -54,12 +54,12 @@
     rig = rig_with_wrong_table()
     roll_back(rig)
     rig.run(1)
-    assert all(rig.lines(name) == {f"b{n}": FULL for n in range(6)} for name in rig.keepers)
+    assert all(rig.lines(name) == {f"b{n}": FULL for n in range(6)} for name in rig.agents)
     with pytest.raises(RollbackRejectedError, match="already"):
         roll_back(rig)
     rig.set("b3", "draining")
     rig.run(1)
-    assert all(set(rig.lines(name)) == {"b0", "b1", "b2", "b4", "b5"} for name in rig.keepers)
+    assert all(set(rig.lines(name)) == {"b0", "b1", "b2", "b4", "b5"} for name in rig.agents)
     assert rig.core.versions.release("test") and not rig.core.versions.release("again")
     rig.run(1)
     assert rig.lines("p0")["b1"] == 1000 and "b3" not in rig.lines("p0")
@@ -100,9 +100,9 @@
         rig.core._enqueue(rig.now, message)
     rig.run(2)
     roll_back(rig, str(first))
-    rig.most = 0.0
+    rig.peak_queued_lines = 0.0
     rig.run(3)
-    assert rig.most <= 0.5 * 3000 and all(rig.lines(n)["b1"] == FULL for n in rig.keepers)
+    assert rig.peak_queued_lines <= 0.5 * 3000 and all(rig.lines(n)["b1"] == FULL for n in rig.agents)
 
 
 def test_frozen_tables_change_only_as_safety_rules_demand() -> None:
@@ -128,12 +128,12 @@
     assert one.number == two.number and one.digest_hex != two.digest_hex
     # The proxy is handed over; a late update of the first controller's version finds another view.
     late = first.core.proxy_tables.apply_decisions(77, [TableChange(0, (("b2", 0.5),))])[0]
-    second.keepers = {"p0": first.keepers["p0"]}
+    second.agents = {"p0": first.agents["p0"]}
     second.join("p0")
     second.run(2)
-    held = second.keepers["p0"].view.etag
-    refused = second.keepers["p0"].take(request_of(late, "p0", second.now))
-    assert not isinstance(refused, Taken) and refused.status == 412 and second.keepers["p0"].view.etag == held
+    held = second.agents["p0"].view.etag
+    refused = second.agents["p0"].take(request_of(late, "p0", second.now))
+    assert not isinstance(refused, Taken) and refused.status == 412 and second.agents["p0"].view.etag == held
     # By that number each controller finds its own version, and what a rollback to it would bring back.
     assert second.core.versions.history.find(str(two.number)).digest_hex == two.digest_hex
     with pytest.raises(RollbackRejectedError, match="already"):
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -221,7 +221,7 @@
     """The weight of the warming backend's line at all proxies of this controller together."""
     return sum(
         keeper.view.entries.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"]
-        for keeper in rig.keepers.values()
+        for keeper in rig.agents.values()
     )
 
 
