--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -14,9 +14,9 @@
 from onyxhead.fleet.assignment import Member
 from onyxhead.fleet.membership import MalformedPacketError, Membership, Packet, read
 from onyxhead.fleet.ownership import OwnershipCoordinator, PeerReport
-from onyxhead.http.client import ask_once
-from onyxhead.http.messages import Fault, Request, Response, answer, problem
-from onyxhead.settings.load import Fellow, Fleet
+from onyxhead.http.client import fetch_once
+from onyxhead.http.messages import HttpError, Request, Response, json_response, problem_response
+from onyxhead.settings.model import FleetMember, FleetSettings
 from onyxhead.store.errors import StoreUnavailableError
 from onyxhead.store.value_names import BUDGET_GRANTS, FLEET_MEMBERS
 from onyxhead.tables.addresses import parse_address
@@ -31,7 +31,7 @@
 
 
 class FleetTransport:
-    def __init__(self, daemon: ControllerServer, settings: Fleet) -> None:
+    def __init__(self, daemon: ControllerServer, settings: FleetSettings) -> None:
         self.daemon, self.settings = daemon, settings
         now = daemon.clock.now()
         # A later start must win over an earlier one of the same name, also on an empty or a restored disk.
@@ -42,12 +42,12 @@
             tuple(settings.members),
             Random(boot),
             now,
-            settings.period,
-            settings.timeout,
-            settings.suspicion,
+            settings.probe_period,
+            settings.probe_timeout,
+            settings.suspicion_timeout,
         )
-        members = {name: Member(name, each.zone, each.pace) for name, each in settings.members.items()}
-        self.coalition = OwnershipCoordinator(membership, members, now, settings.settle)
+        members = {name: Member(name, each.zone, each.lines_per_second) for name, each in settings.members.items()}
+        self.coalition = OwnershipCoordinator(membership, members, now, settings.settle_time)
         self.logged_errors: set[str] = set()
         # A disk that knows of an earlier life would know its loans; an empty one proves nothing.
         kept = daemon.store.get(BUDGET_GRANTS) or ([] if daemon.core.epoch > 1 else None)
@@ -67,11 +67,11 @@
             coalition.peer_reports.pop(name, None)
             coalition.membership.remove(name)
             return
-        fellow = Fellow(parse_address(given["address"]), str(given["zone"]), float(given["pace"]))
-        if not name or not 0 < fellow.pace < 1e9:
+        fellow = FleetMember(parse_address(given["address"]), str(given["zone"]), float(given["pace"]))
+        if not name or not 0 < fellow.lines_per_second < 1e9:
             raise ValueError("name or pace out of range")
         members[name] = fellow
-        coalition.members[name] = Member(name, fellow.zone, fellow.pace)
+        coalition.members[name] = Member(name, fellow.zone, fellow.lines_per_second)
         coalition.membership.add(name, now)
 
     def joined_zones(self) -> dict[str, str]:
@@ -102,7 +102,7 @@
                 proxy, to = move
                 log.info("handed over", proxy=proxy, to=to)
                 self.daemon.end_stream(proxy, f"handed over to {to}")
-            await asyncio.sleep(self.settings.timeout / TENTHS / 2)
+            await asyncio.sleep(self.settings.probe_timeout / TENTHS / 2)
 
     def _share(self, now: int) -> None:
         if now < self.lend_at:
@@ -126,18 +126,18 @@
         if member is None:
             return
         keys = self.daemon.keys
-        request = answer(200, {"packet": packet.plain(), "news": self._news()})
-        seconds = 2 * self.settings.timeout / TENTHS
+        request = json_response(200, {"packet": packet.plain(), "news": self._news()})
+        seconds = 2 * self.settings.probe_timeout / TENTHS
         try:
-            told = await ask_once(
+            told = await fetch_once(
                 member.address,
                 Request("POST", PATH, request.headers, request.body),
                 seconds,
-                keys.client if keys is not None else None,
+                keys.client_context if keys is not None else None,
             )
             given = told.json()
             self._receive(given["packets"], given.get("news"), packet.to)
-        except (OSError, Fault, TimeoutError, ValueError, KeyError, TypeError):
+        except (OSError, HttpError, TimeoutError, ValueError, KeyError, TypeError):
             return
 
     def _receive(self, packets: list[Any], news: Any, sender: str) -> list[Packet]:  # noqa: ANN401
@@ -164,14 +164,14 @@
             if str(error) not in self.logged_errors and len(self.logged_errors) < 100:
                 self.logged_errors.add(str(error))
                 log.warning("fleet", refused=str(error))
-            return problem(422, str(error))
+            return problem_response(422, str(error))
         except (ValueError, KeyError, TypeError) as error:
-            return problem(400, f"not a packet: {error}")
+            return problem_response(400, f"not a packet: {error}")
         back = [packet for packet in replies if packet.to == sender]
         for packet in replies:
             if packet.to != sender:
                 self.daemon.start(self._send(packet), vital=False)
-        return answer(200, {"packets": [packet.plain() for packet in back], "news": self._news()})
+        return json_response(200, {"packets": [packet.plain() for packet in back], "news": self._news()})
 
     def _news(self) -> dict[str, Any]:
         last = self.daemon.follower.last
@@ -190,31 +190,31 @@
         if what == "handover":
             coalition.membership.leave()
             log.info("fleet", said="leaving: all proxies are handed over")
-            return answer(200, {"proxies": len(self.joined_zones())})
+            return json_response(200, {"proxies": len(self.joined_zones())})
         if what == "move":
             proxy, to = str(given.get("proxy")), str(given.get("to"))
             if to not in coalition.serving():
-                return problem(409, f"{to} is not known to serve now")
+                return problem_response(409, f"{to} is not known to serve now")
             coalition.sticky[proxy] = to
-            return answer(200, {"proxy": proxy, "to": to, "here": proxy in self.joined_zones()})
+            return json_response(200, {"proxy": proxy, "to": to, "here": proxy in self.joined_zones()})
         if what == "members":
             name, each = str(given.get("name")), given.get("member")
             if name == coalition.own_name and each is None:
-                return problem(409, "a controller leaves by handover, not by removing itself")
+                return problem_response(409, "a controller leaves by handover, not by removing itself")
             try:
                 self._set_member(name, each, now)
             except (ValueError, KeyError, TypeError) as error:
-                return problem(422, f"not a member: {error}")
+                return problem_response(422, f"not a member: {error}")
             # Over the settings, and on disk before it is answered.
             kept = self.daemon.store.get(FLEET_MEMBERS) or {}
             self.daemon.store.put(FLEET_MEMBERS, kept | {name: each})
             log.info("fleet", said=f"{name} {'removed' if each is None else 'put in'} by command")
-            return answer(200, {"members": sorted(self.settings.members)})
+            return json_response(200, {"members": sorted(self.settings.members)})
         if what == "who":
             proxy = str(given.get("proxy"))
             # A member that is gone serves nobody, whatever it said last; of the others the newest word counts.
             heard = sorted(coalition.peer_reports.items(), key=lambda item: -item[1].received_at)
             told: list[str | None] = [n for n, news in heard if n in coalition.alive and proxy in news.proxies]
             found = coalition.own_name if proxy in self.joined_zones() else (told or [None])[0]
-            return answer(200, {"proxy": proxy, "served_by": found})
-        return answer(200, coalition.state(now) | {"budget": self.budget.status()})
+            return json_response(200, {"proxy": proxy, "served_by": found})
+        return json_response(200, coalition.state(now) | {"budget": self.budget.status()})
