--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -21,7 +21,7 @@
 
 from benchmarks.figures import quantiles
 from benchmarks.intake import send
-from onyxhead.agent.daemon import Daemon as Agent
+from onyxhead.agent.server import AgentServer
 from onyxhead.controller.server import ControllerServer
 from onyxhead.settings.load import read_settings
 from onyxhead.settings.model import AgentSettings as AgentSettings
@@ -52,7 +52,7 @@
             path.write_text(AGENT % (name, name, name, port))
             settings = read_settings(path)
             assert isinstance(settings, AgentSettings)
-            tasks.append(asyncio.create_task(Agent(settings).run()))
+            tasks.append(asyncio.create_task(AgentServer(settings).run()))
         while not over.poll() and os.getppid() == parent:
             await asyncio.sleep(0.05)
         for task in tasks:
--- a/benchmarks/swaps.py
+++ b/benchmarks/swaps.py
@@ -9,8 +9,9 @@
 from typing import Any
 
 from benchmarks.figures import ratio
-from onyxhead.agent.daemon import Tree
-from onyxhead.agent.keeper import Keeper, Taken, state_of
+from onyxhead.agent.proxy_files import ProxyFiles
+from onyxhead.agent.state_file import encode_state
+from onyxhead.agent.table_replica import AcceptedUpdate, TableReplica
 from onyxhead.http.messages import JSON_MEDIA_TYPE, MERGE_PATCH_MEDIA_TYPE, STREAM_HEADER, Request, content_digest
 from onyxhead.settings.model import AgentSettings, GroupRoute, LogSettings
 from onyxhead.tables.view import View, canonical_json
@@ -41,19 +42,21 @@
             None,
             LogSettings("error", "json"),
         )
-        tree = Tree(settings)
-        keeper = Keeper(View.EMPTY)
-        keeper.listen_to("s")
+        files = ProxyFiles(settings)
+        replica = TableReplica(View.EMPTY)
+        replica.follow("s")
         leaves: dict[Any, Any] = {("bindings", route.group): "1.0" for route in ROUTES}
         for number in range(backends):
             leaves["tables", "1.0", "lines", f"b{number}"] = line(number, 1000)
-        apply(tree, keeper, View.from_entries(leaves).to_document(), whole=True)
+        apply(files, replica, View.from_entries(leaves).to_document(), whole=True)
         ours, bare = [], []
         for turn in range(rounds):
             base = turn * 1000
-            ours.append(rate(lambda n: step(tree, keeper, base + n, backends)))
-            files = [(tree.state, state_of(keeper.view)), *tree.files(keeper.view)]
-            changed = [(path, body) for path, body in files if path.name in ("view.json", "eds.json", "upstreams.conf")]
+            ours.append(rate(lambda n: step(files, replica, base + n, backends)))
+            expected = [(files.state_path, encode_state(replica.view)), *files.render(replica.view)]
+            changed = [
+                (path, body) for path, body in expected if path.name in ("view.json", "eds.json", "upstreams.conf")
+            ]
             bare.append(rate(lambda _: plain(changed)))
     made = ratio(ours, bare)
     return {"backends": backends, "swaps a second": round(max(ours)), "bare": round(max(bare)), "ours/bare": made}
@@ -63,23 +66,23 @@
     return {"address": f"127.0.0.1:{9000 + number}", "weight": weight, "zone": "z"}
 
 
-def step(tree: Tree, keeper: Keeper, number: int, backends: int) -> None:
+def step(files: ProxyFiles, replica: TableReplica, number: int, backends: int) -> None:
     lines = {f"b{number % backends}": line(number % backends, 1 + number)}
-    apply(tree, keeper, {"tables": {"1.0": {"lines": lines}}}, whole=False)
+    apply(files, replica, {"tables": {"1.0": {"lines": lines}}}, whole=False)
 
 
-def apply(tree: Tree, keeper: Keeper, document: Any, whole: bool) -> None:
+def apply(files: ProxyFiles, replica: TableReplica, document: Any, whole: bool) -> None:
     body = canonical_json(document)
     headers = {
         STREAM_HEADER: "s",
-        "if-match": keeper.view.etag,
+        "if-match": replica.view.etag,
         "content-digest": content_digest(body),
         "content-type": JSON_MEDIA_TYPE if whole else MERGE_PATCH_MEDIA_TYPE,
     }
-    taken = keeper.take(Request("PUT" if whole else "PATCH", "/v1/view", headers, body))
-    assert isinstance(taken, Taken), taken
-    tree.put(taken.view)
-    keeper.applied(taken)
+    taken = replica.check_update(Request("PUT" if whole else "PATCH", "/v1/view", headers, body))
+    assert isinstance(taken, AcceptedUpdate), taken
+    files.install(taken.view)
+    replica.commit(taken)
 
 
 def plain(files: list[tuple[Path, bytes]]) -> None:
--- a/onyxhead/agent/__init__.py
+++ b/onyxhead/agent/__init__.py
@@ -1,1 +1,1 @@
-"""Beside each plain proxy: takes pushes, checks each whole, swaps files atomically, says what was applied."""
+"""The agent beside each plain proxy: takes table updates, checks them, swaps the proxy's files, acknowledges."""
--- /dev/null
+++ b/onyxhead/agent/proxy_files.py
@@ -0,0 +1,90 @@
+"""The files that a proxy reads, and the agent's state file, which is always replaced first."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+
+import structlog
+
+from onyxhead.agent.errors import CorruptStateError
+from onyxhead.agent.state_file import STATE_FILE_NAME, decode_state, encode_state
+from onyxhead.atomic_files import remove_temporary_files, replace_files
+from onyxhead.fronts.files import envoy, nginx
+from onyxhead.settings.model import AgentSettings
+from onyxhead.tables.view import View
+
+ENVOY_ENDPOINTS = "eds.json"
+ENVOY_ROUTES = "rds.json"
+NGINX_UPSTREAMS = "upstreams.conf"
+
+log = structlog.get_logger()
+
+
+class ProxyFiles:
+    """The folders of one agent: its state and the files of its proxy."""
+
+    def __init__(self, settings: AgentSettings) -> None:
+        """Make the folders where needed. Raises OSError."""
+        self.settings = settings
+        self.state_path = settings.state_directory / STATE_FILE_NAME
+        self.installed: dict[Path, bytes] = {}
+        """Contents that are known to be in place."""
+        for folder in (settings.state_directory, settings.output_directory):
+            folder.mkdir(parents=True, exist_ok=True)
+            if removed := remove_temporary_files(folder):
+                log.info("temporary files removed", files=removed)
+
+    def load_state(self) -> tuple[View, int] | None:
+        """Return the stored view and fencing token, None if there are none that can be used."""
+        try:
+            return decode_state(self.state_path.read_bytes())
+        except FileNotFoundError:
+            return None
+        except CorruptStateError as error:
+            log.error("state file rejected", file=self.state_path.name, error=str(error))
+            return None
+
+    def render(self, view: View) -> list[tuple[Path, bytes]]:
+        """Return the proxy's files for a view."""
+        folder, routes = self.settings.output_directory, self.settings.routes
+        files = {
+            ENVOY_ENDPOINTS: envoy.endpoint_assignments(view, routes),
+            ENVOY_ROUTES: envoy.route_configuration(view, routes, self.settings.attempt_timeout_factor),
+            NGINX_UPSTREAMS: nginx.upstream_blocks(view, routes),
+        }
+        files |= {f"location-{route.group}.conf": nginx.location_directives(view, route) for route in routes}
+        return [(folder / name, body) for name, body in files.items()]
+
+    def save_state(self, view: View, token: int) -> None:
+        """Replace the state file alone. Raises OSError."""
+        replace_files([(self.state_path, encode_state(view, token))])
+
+    def install(self, view: View, token: int = 0) -> None:
+        """Replace the state file and each of the proxy's files that changes. Raises SwapError, OSError."""
+        changed = [
+            (path, body) for path, body in self.render(view) if _payload(self.installed.get(path)) != _payload(body)
+        ]
+        replace_files([(self.state_path, encode_state(view, token)), *changed])
+        self.installed.update(changed)
+
+    def forget_installed(self) -> None:
+        """Replace all files next time, since it is no longer known for sure which contents are in place."""
+        self.installed.clear()
+
+    def installed_etag(self) -> str | None:
+        """Return the entity tag of the view that the proxy's files were made of, by the files themselves."""
+        try:
+            document = json.loads((self.settings.output_directory / ENVOY_ENDPOINTS).read_bytes())
+            return f'"{document["version_info"]}"'
+        except (OSError, ValueError, KeyError, TypeError):
+            return None
+
+
+def _payload(body: bytes | None) -> bytes | None:
+    """Return a file's content without the view's tag: one that differs by the tag alone need not be replaced."""
+    if body is None:
+        return None
+    if body.startswith(b"{"):
+        return body[body.index(b'"type_url"') :]
+    return body.partition(b"\n")[2] if body.startswith(b"# view") else body
--- /dev/null
+++ b/onyxhead/agent/routes.py
@@ -0,0 +1,71 @@
+"""The agent's HTTP routes: updates and looks of the controller's stream, and what operators ask."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+from onyxhead.agent.controller_client import CONTROLLER_ROLE
+from onyxhead.agent.controller_session import ControllerSession
+from onyxhead.fronts.files import envoy
+from onyxhead.fronts.files.agent_stream import VIEW_PATH
+from onyxhead.http.messages import STREAM_HEADER, Request, Response, json_response, problem_response
+from onyxhead.keys.credentials import peer_identity
+
+AGE_DIGITS = 3
+
+
+class AgentRoutes:
+    """Answers the requests to one agent; `authenticated` demands a certificate of the fleet."""
+
+    def __init__(self, session: ControllerSession, authenticated: bool) -> None:
+        self.session, self.authenticated = session, authenticated
+        self.replica, self.updater = session.replica, session.updater
+
+    async def respond(self, request: Request, writer: asyncio.StreamWriter) -> Response:
+        """Return the response to a request that came on the connection of `writer`."""
+        if not self._authorized(request, writer):
+            return problem_response(403, "this certificate may not ask that")
+        await self.session.settle(request)
+        match request.method, request.target:
+            case (("HEAD" | "GET"), path) if path == VIEW_PATH:
+                return self._show_view(request, writer)
+            case (("PUT" | "PATCH"), path) if path == VIEW_PATH:
+                self.session.on_request(request, writer)
+                return await self.updater.apply(request)
+            case "GET", "/v1/health":
+                return json_response(200, {"name": self.session.settings.name, "joined": self.session.joined})
+            case "GET", "/v1/state":
+                return json_response(200, self.state())
+        return problem_response(404, "nothing here")
+
+    def _authorized(self, request: Request, writer: asyncio.StreamWriter) -> bool:
+        """Only a controller may speak for a stream; any holder of a certificate of the fleet may look."""
+        if not self.authenticated:
+            return True
+        peer = peer_identity(writer.get_extra_info("peercert"))
+        return peer is not None and (STREAM_HEADER not in request.headers or peer.role == CONTROLLER_ROLE)
+
+    def _show_view(self, request: Request, writer: asyncio.StreamWriter) -> Response:
+        """Acknowledge the current view to the stream; show it in full to anyone else."""
+        if STREAM_HEADER not in request.headers:
+            return json_response(200, self.replica.view.to_document(), etag=self.replica.view.etag)
+        if not self.session.on_request(request, writer):
+            return problem_response(409, "another stream is listened to")
+        return self.replica.check_token(request) or self.replica.acknowledgement()
+
+    def state(self) -> dict[str, Any]:
+        """Return the members of `/v1/state`."""
+        session, view = self.session, self.replica.view
+        silence = session.silence_s
+        return {
+            "name": session.settings.name,
+            "controller": "{}:{}".format(*session.controller) if session.controller else None,
+            "heard_s_ago": None if silence is None else round(silence, AGE_DIGITS),
+            "turn": self.replica.round_number,
+            "tag": view.etag,
+            "swaps": self.updater.swaps,
+            "files": self.updater.files.installed_etag(),
+            "lines": {route.group: len(envoy.group_endpoints(view, route.group)) for route in session.settings.routes},
+            "withdrawn": sorted(view.children("withdrawn")),
+        }
--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -107,9 +107,9 @@
 @click.argument("settings", type=EXISTING)
 def agent(settings: Path) -> None:
     """Run the agent beside a proxy."""
-    from onyxhead.agent.daemon import Daemon
+    from onyxhead.agent.server import AgentServer
 
-    run_daemon(settings, model.AgentSettings, "a controller's", Daemon)
+    run_daemon(settings, model.AgentSettings, "a controller's", AgentServer)
 
 
 @main.command()
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -27,7 +27,7 @@
 from onyxhead.controller.health_check import look
 from onyxhead.controller.load_report_ingest import LoadReportIngest
 from onyxhead.fleet.fencing import StaleTokenError, next_token
-from onyxhead.fronts.files.push import Encoder, Refused, Stream
+from onyxhead.fronts.files.agent_stream import AgentFaultError, AgentStream, UpdateEncoder
 from onyxhead.http.messages import Request, Response, json_response, problem_response
 from onyxhead.http.server import Server
 from onyxhead.keys.credentials import PeerIdentity, TlsCredentials, peer_identity, watch_key_files
@@ -95,7 +95,7 @@
         history.labels = {k: v for k, v in (self.store.get(TABLE_LABELS) or {}).items() if v in history.versions}
         self.core = self._house(start, known.epoch, known.proxy_numbers, history)
         self.follower = endpoint_list.EndpointListFollower(settings.zones, self.clock.from_wall_time, self.clock.now)
-        self.encoder = Encoder()
+        self.encoder = UpdateEncoder()
         self.streams: dict[int, ProxyStream] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.wake = asyncio.Event()
@@ -437,7 +437,7 @@
     async def _proxy(self, who: JoinRequest, address: tuple[str, int], token: str, fence: int, beat: float) -> None:
         """One stream from its opening to its end."""
         patience = self.settings.acknowledgement_timeout / TENTHS
-        stream = Stream(address, token, self.encoder, patience, fence)
+        stream = AgentStream(address, token, self.encoder, patience, fence)
         me = asyncio.current_task()
         assert me is not None
         number = -1
@@ -445,9 +445,9 @@
             generation = self.keys.generation if self.keys is not None else 0
             tag = await stream.open(self.keys.client_context if self.keys is not None else None)
             if self.keys is not None and stream.peer != PeerIdentity("agent", who.name):
-                raise Refused(f"its certificate is of {stream.peer}")
+                raise AgentFaultError(f"its certificate is of {stream.peer}")
             if tag != who.view.etag:
-                raise Refused("it holds another view than it said")
+                raise AgentFaultError("it holds another view than it said")
             if (old := self.streams.get(self.core.proxy_number(who.name))) is not None and old.token != token:
                 old.task.cancel()
             number = self.core.on_proxy_joined(self.clock.now(), who)
@@ -460,7 +460,7 @@
                 await self._deliver_next(stream, number, orders, beat)
         except OSError as error:
             self._on_stream_closed(number, token, str(error) or type(error).__name__)
-        except Refused as error:
+        except AgentFaultError as error:
             log.warning("refused by its agent", proxy=who.name, why=str(error))
             if number >= 0 and self._owns(number, token):
                 self.core.on_stream_fault(self.clock.now(), number, str(error))
@@ -477,15 +477,15 @@
             stream.close()
 
     async def _deliver_next(
-        self, stream: Stream, number: int, orders: asyncio.Queue[tuple[ProxyUpdate, int]], beat: float
+        self, stream: AgentStream, number: int, orders: asyncio.Queue[tuple[ProxyUpdate, int]], beat: float
     ) -> None:
         try:
             async with asyncio.timeout(beat):
                 message, ordered = await orders.get()
         except TimeoutError:
-            held = stream.held
-            if await stream.look() != held:
-                raise Refused("its view has changed by itself") from None
+            held = stream.etag
+            if await stream.probe() != held:
+                raise AgentFaultError("its view has changed by itself") from None
             return
         run, ordered_last = [message], ordered
         while not orders.empty():
@@ -495,13 +495,13 @@
         # A process that stood still past its lease may have lost the proxy; it looks before it acts.
         if (
             self.clock.now() - ordered > self.settings.acknowledgement_timeout
-            and await stream.look() != message.base_etag
+            and await stream.probe() != message.base_etag
         ):
-            raise Refused("its view has changed by itself")
+            raise AgentFaultError("its view has changed by itself")
         await stream.send(message, ordered_last)
         for _ in run:
             self.core.delivery_queue.on_written(number)
-        tag = await stream.answer()
+        tag = await stream.receive_acknowledgement()
         now = self.clock.now()
         self.core.on_acknowledgement(now, number, message, tag, ordered)
         known = self.core.joined.get(number)
--- a/onyxhead/fronts/files/envoy.py
+++ b/onyxhead/fronts/files/envoy.py
@@ -1,8 +1,9 @@
-"""A view in the documents that Envoy's v3 file subscription reads: endpoints and routes, in the JSON mapping.
+"""A table view as the documents that Envoy's v3 file subscription reads: endpoints and routes, in the JSON mapping.
 
-The cluster of a traffic group has the group's name, so which table serves it is seen in the endpoints alone, and no
+The cluster of a traffic group has the group's name, so which table serves it is told by the endpoints alone, and no
 proxy ever has to read two files that must agree. Clusters must have `common_lb_config.healthy_panic_threshold` at 0:
-above it, Envoy sends to endpoints that are marked as draining when too few others are left."""
+above it, Envoy sends to endpoints that are marked as draining when too few others are left.
+"""
 
 from __future__ import annotations
 
@@ -13,90 +14,126 @@
 from onyxhead.tables.addresses import parse_address
 from onyxhead.tables.view import Document, View, ViewValue
 
-TYPES = "type.googleapis.com/"
-ENDPOINTS = f"{TYPES}envoy.config.endpoint.v3.ClusterLoadAssignment"
-ROUTES = f"{TYPES}envoy.config.route.v3.RouteConfiguration"
-RATE_LIMIT = "envoy.filters.http.local_ratelimit"
+TYPE_PREFIX = "type.googleapis.com/"
+ENDPOINTS_TYPE = f"{TYPE_PREFIX}envoy.config.endpoint.v3.ClusterLoadAssignment"
+ROUTES_TYPE = f"{TYPE_PREFIX}envoy.config.route.v3.RouteConfiguration"
+RATE_LIMIT_TYPE = f"{TYPE_PREFIX}envoy.extensions.filters.http.local_ratelimit.v3.LocalRateLimit"
+RATE_LIMIT_FILTER = "envoy.filters.http.local_ratelimit"
+ROUTE_CONFIGURATION_NAME = "onyxhead"
 MILLION = 1_000_000
-NEVER_RAN = "connect-failure,refused-stream"
-ANY_FAILURE = "5xx,reset,connect-failure,refused-stream"
-
-
-def endpoints(view: View, routes: Sequence[GroupRoute]) -> bytes:
-    """The endpoint subscription's file: one assignment for each traffic group."""
-    return _response(view, ENDPOINTS, [_assignment(view, route.group) for route in routes])
-
-
-def route_table(view: View, routes: Sequence[GroupRoute], stretch: float) -> bytes:
-    """The route subscription's file: prefixes, further tries and rates."""
-    found = [_route(view, route, stretch) for route in sorted(routes, key=lambda r: (-len(r.prefix), r.prefix))]
-    hosts = [{"name": "onyxhead", "domains": ["*"], "routes": found}]
-    return _response(view, ROUTES, [{"@type": ROUTES, "name": "onyxhead", "virtual_hosts": hosts}])
+RETRY_ON_UNSENT = "connect-failure,refused-stream"
+"""Failures after which the attempt has surely not been executed."""
+RETRY_ON_ANY_FAILURE = "5xx,reset,connect-failure,refused-stream"
+RETRY_UNSENT_MODE = 1
+"""Retry mode of a single retry, only of what has surely not been executed; n above it are n - 1 retries of anything."""
+RATE_LIMIT_FILLS_PER_SECOND = 10
+"""A bucket of a tenth of a second: small enough that a burst is cut, large enough that rounding is not felt."""
+MAX_FILL_INTERVAL_S = 3600.0
+
+
+def endpoint_assignments(view: View, routes: Sequence[GroupRoute]) -> bytes:
+    """Return the endpoint subscription's file: one assignment for each traffic group."""
+    return _discovery_response(view, ENDPOINTS_TYPE, [_assignment(view, route.group) for route in routes])
+
+
+def route_configuration(view: View, routes: Sequence[GroupRoute], attempt_timeout_factor: float) -> bytes:
+    """Return the route subscription's file: prefixes, retries and rate limits.
+
+    An attempt may take `attempt_timeout_factor` times the latency budget of its group.
+    """
+    longest_prefix_first = sorted(routes, key=lambda route: (-len(route.prefix), route.prefix))
+    hosts = [
+        {
+            "name": ROUTE_CONFIGURATION_NAME,
+            "domains": ["*"],
+            "routes": [_route(view, route, attempt_timeout_factor) for route in longest_prefix_first],
+        }
+    ]
+    resource = {"@type": ROUTES_TYPE, "name": ROUTE_CONFIGURATION_NAME, "virtual_hosts": hosts}
+    return _discovery_response(view, ROUTES_TYPE, [resource])
 
 
-def _response(view: View, kind: str, resources: list[Document]) -> bytes:
-    document = {"version_info": view.etag.strip('"'), "type_url": kind, "resources": resources}
+def _discovery_response(view: View, type_url: str, resources: list[Document]) -> bytes:
+    document = {"version_info": view.etag.strip('"'), "type_url": type_url, "resources": resources}
     return json.dumps(document, separators=(",", ":")).encode() + b"\n"
 
 
-def lines_of(view: View, group: str) -> dict[str, ViewValue]:
-    """The lines that serve a group: its table's, or the standing ones where no controller has bound it."""
+def group_endpoints(view: View, group: str) -> dict[str, ViewValue]:
+    """Return the endpoints of a group: its table's, or the static ones if no controller has bound it to a table."""
     table = view.entries.get(("bindings", group))
     return view.children("standing") if table is None else view.children("tables", table, "lines")
 
 
-def level_of(view: View, group: str) -> ViewValue | None:
+def admission_level(view: View, group: str) -> ViewValue | None:
+    """Return a group's admission level with its retry mode, None if no controller has set one."""
     table = view.entries.get(("bindings", group))
     return None if table is None else view.entries.get(("tables", table, "levels", group))
 
 
+def admitted_share(level: ViewValue | None) -> float | None:
+    """Return the share of requests that a level admits, None if it admits all."""
+    if level is None or level.get("share", 1) >= 1:
+        return None
+    share: float = level["share"]
+    return share
+
+
 def _assignment(view: View, group: str) -> Document:
     zones: dict[str, list[Document]] = {}
-    for backend, line in sorted(lines_of(view, group).items()):
+    for backend, line in sorted(group_endpoints(view, group).items()):
         host, port = parse_address(line["address"])
-        shut = ("withdrawn", backend) in view.entries
+        withdrawn = ("withdrawn", backend) in view.entries
         zones.setdefault(line["zone"], []).append(
             {
                 "endpoint": {"address": {"socket_address": {"address": host, "port_value": port}}},
-                "health_status": "DRAINING" if shut else "HEALTHY",
+                "health_status": "DRAINING" if withdrawn else "HEALTHY",
                 "load_balancing_weight": line["weight"],
             }
         )
-    found: Document = {"@type": ENDPOINTS, "cluster_name": group}
-    found["endpoints"] = [{"locality": {"zone": zone}, "lb_endpoints": zones[zone]} for zone in sorted(zones)]
-    level = level_of(view, group)
-    if level is not None and level.get("share", 1) < 1:
-        part = {"numerator": round((1 - level["share"]) * MILLION), "denominator": "MILLION"}
-        found["policy"] = {"drop_overloads": [{"category": "admission", "drop_percentage": part}]}
-    return found
+    assignment: Document = {"@type": ENDPOINTS_TYPE, "cluster_name": group}
+    assignment["endpoints"] = [{"locality": {"zone": zone}, "lb_endpoints": zones[zone]} for zone in sorted(zones)]
+    if (share := admitted_share(admission_level(view, group))) is not None:
+        dropped = {"numerator": round((1 - share) * MILLION), "denominator": "MILLION"}
+        assignment["policy"] = {"drop_overloads": [{"category": "admission", "drop_percentage": dropped}]}
+    return assignment
 
 
-def _route(view: View, route: GroupRoute, stretch: float) -> Document:
-    level = level_of(view, route.group)
+def _route(view: View, route: GroupRoute, attempt_timeout_factor: float) -> Document:
+    level = admission_level(view, route.group)
     action: Document = {"cluster": route.group}
-    tries = route.retry_mode if level is None else level["tries"]
-    if tries:
-        policy: Document = {
-            "retry_on": NEVER_RAN if tries == 1 else ANY_FAILURE,
-            "num_retries": max(1, tries - 1),
-            "retry_host_predicate": [{"name": "envoy.retry_host_predicates.previous_hosts"}],
-        }
-        if tries > 1:
-            policy["per_try_timeout"] = f"{route.latency_budget * stretch:.4f}s"
-        action["retry_policy"] = policy
-    found: Document = {"match": {"prefix": route.prefix}, "name": route.group, "route": action}
+    retry_mode = route.retry_mode if level is None else level["tries"]
+    if retry_mode:
+        action["retry_policy"] = _retry_policy(retry_mode, route.latency_budget * attempt_timeout_factor)
+    document: Document = {"match": {"prefix": route.prefix}, "name": route.group, "route": action}
     if level is not None and "rate" in level and level["rate"] < MILLION:
-        # A bucket of a tenth of a second: small enough that a burst is cut, large enough that rounding is not.
-        fill = max(1, round(level["rate"] / 10)) if level["rate"] >= 10 else 1
-        interval = fill / level["rate"] if level["rate"] > 0 else 3600.0
-        bucket = {"max_tokens": fill, "tokens_per_fill": fill, "fill_interval": f"{interval:.6f}s"}
-        always = {"default_value": {"numerator": 100, "denominator": "HUNDRED"}}
-        limit = {
-            "@type": f"{TYPES}envoy.extensions.filters.http.local_ratelimit.v3.LocalRateLimit",
-            "stat_prefix": route.group,
-            "token_bucket": bucket,
-            "filter_enabled": always,
-            "filter_enforced": always,
-        }
-        found["typed_per_filter_config"] = {RATE_LIMIT: limit}
-    return found
+        document["typed_per_filter_config"] = {RATE_LIMIT_FILTER: _rate_limit(route.group, level["rate"])}
+    return document
+
+
+def _retry_policy(retry_mode: int, attempt_timeout_s: float) -> Document:
+    policy: Document = {
+        "retry_on": RETRY_ON_UNSENT if retry_mode == RETRY_UNSENT_MODE else RETRY_ON_ANY_FAILURE,
+        "num_retries": max(1, retry_mode - 1),
+        "retry_host_predicate": [{"name": "envoy.retry_host_predicates.previous_hosts"}],
+    }
+    if retry_mode > RETRY_UNSENT_MODE:
+        policy["per_try_timeout"] = f"{attempt_timeout_s:.4f}s"
+    return policy
+
+
+def _rate_limit(group: str, rate: float) -> Document:
+    """Return the filter's configuration that admits `rate` requests a second."""
+    per_fill = max(1, round(rate / RATE_LIMIT_FILLS_PER_SECOND)) if rate >= RATE_LIMIT_FILLS_PER_SECOND else 1
+    interval_s = per_fill / rate if rate > 0 else MAX_FILL_INTERVAL_S
+    always = {"default_value": {"numerator": 100, "denominator": "HUNDRED"}}
+    return {
+        "@type": RATE_LIMIT_TYPE,
+        "stat_prefix": group,
+        "token_bucket": {
+            "max_tokens": per_fill,
+            "tokens_per_fill": per_fill,
+            "fill_interval": f"{interval_s:.6f}s",
+        },
+        "filter_enabled": always,
+        "filter_enforced": always,
+    }
--- a/onyxhead/keys/authority.py
+++ b/onyxhead/keys/authority.py
@@ -17,7 +17,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from onyxhead.agent.swap import swap
+from onyxhead.atomic_files import replace_files
 from onyxhead.keys.errors import IssuanceError
 
 ROLES = ("controller", "agent", "operator")
@@ -46,7 +46,7 @@
 
     def _write(self, files: dict[str, bytes]) -> None:
         for name, body in files.items():
-            swap([(self._path(name), body)])
+            replace_files([(self._path(name), body)])
             if name.endswith(".key"):
                 os.chmod(self._path(name), 0o600)
 
--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -1,15 +1,15 @@
-"""A house with agents' keepers round it, no sockets: what leaves the channel reaches a keeper, or is lost."""
+"""A house with agents' replicas round it, no sockets: what leaves the channel reaches a replica, or is lost."""
 
 from __future__ import annotations
 
 import json
 import random
 
-from onyxhead.agent.keeper import Keeper, Taken
+from onyxhead.agent.table_replica import AcceptedUpdate, TableReplica
 from onyxhead.controller.core import ControllerCore, Effects, JoinRequest
 from onyxhead.controller.delivery_queue import QueuedMessage
 from onyxhead.controller.endpoint_list import EndpointEntry, EndpointList, EndpointListFollower
-from onyxhead.fronts.files.push import Encoder, Stream
+from onyxhead.fronts.files.agent_stream import AgentStream, UpdateEncoder
 from onyxhead.http.messages import (
     JSON_MEDIA_TYPE,
     MERGE_PATCH_MEDIA_TYPE,
@@ -40,7 +40,7 @@
 
 def request_of(message: ProxyUpdate, stream: str, at: int) -> Request:
     """What goes over the wire for a message, and nothing else of it."""
-    body, digest = Encoder().body(message)
+    body, digest = UpdateEncoder().encode(message)
     headers = {
         STREAM_HEADER: stream,
         ORDER_HEADER: format_order_header(message.round_number, message.line_cost, at),
@@ -61,7 +61,7 @@
         self.core = ControllerCore(self.start, GROUPS, ZONES, seed, 1, 2 * SECOND, self.now)
         self.follower = EndpointListFollower(ZONES, lambda s: min(self.now, int(s * SECOND)), lambda: self.now)
         self.entries = {f"b{n}": entry(f"b{n}") for n in range(backends)}
-        self.keepers: dict[str, Keeper] = {}
+        self.replicas: dict[str, TableReplica] = {}
         self.slow: set[str] = set()
         self.version, self.works = 0, list[Effects]()
         self.most = 0.0
@@ -83,10 +83,10 @@
         self.publish()
 
     def join(self, name: str) -> None:
-        keeper = self.keepers.setdefault(name, Keeper(View.from_entries({("standing", "b0"): line("b0")})))
-        keeper.listen_to(name)
-        bound = any(path[0] == "bindings" for path in keeper.view.entries)
-        held = View.from_document(json.loads(json.dumps(keeper.view.to_document())))
+        replica = self.replicas.setdefault(name, TableReplica(View.from_entries({("standing", "b0"): line("b0")})))
+        replica.follow(name)
+        bound = any(path[0] == "bindings" for path in replica.view.entries)
+        held = View.from_document(json.loads(json.dumps(replica.view.to_document())))
         self.core.on_proxy_joined(self.now, JoinRequest(name, ZONES[len(name) % 2], 10.0, not bound, held))
 
     def lose(self, name: str) -> None:
@@ -107,11 +107,11 @@
 
     def deliver(self, sent: QueuedMessage[ProxyUpdate]) -> None:
         name = self.name(sent)
-        keeper = self.keepers[name]
+        replica = self.replicas[name]
         self.core.delivery_queue.on_written(sent.proxy)
-        taken = keeper.take(request_of(sent.message, name, sent.queued_at))
-        if isinstance(taken, Taken):
-            answer = keeper.applied(taken)
+        taken = replica.check_update(request_of(sent.message, name, sent.queued_at))
+        if isinstance(taken, AcceptedUpdate):
+            answer = replica.commit(taken)
             self.core.on_acknowledgement(self.now, sent.proxy, sent.message, answer.headers["etag"], sent.queued_at)
         else:
             self.core.on_stream_fault(self.now, sent.proxy, f"{taken.status}")
@@ -122,7 +122,7 @@
 
     def lines(self, name: str, group: str = "read") -> dict[str, int]:
         """What the proxy may pick, with weights."""
-        view = self.keepers[name].view
+        view = self.replicas[name].view
         table = view.entries.get(("bindings", group))
         held = view.children("standing") if table is None else view.children("tables", table, "lines")
         return {b: at["weight"] for b, at in held.items() if ("withdrawn", b) not in view.entries}
@@ -132,5 +132,5 @@
     return {"address": entry(name).address, "weight": weight, "zone": entry(name).zone}
 
 
-def stream_of(port: int, patience: float = 0.5) -> Stream:
-    return Stream(("127.0.0.1", port), "t", Encoder(), patience)
+def stream_of(port: int, patience: float = 0.5) -> AgentStream:
+    return AgentStream(("127.0.0.1", port), "t", UpdateEncoder(), patience)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent: what it takes, swaps cut at every step, readers at every moment, and the files that proxies read."""
+"""The agent: accepted updates, replacements interrupted at every step, concurrent readers, and the proxy's files."""
 
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 
 import pytest
 
-from onyxhead.agent import counters
-from onyxhead.agent.daemon import Tree
-from onyxhead.agent.keeper import Keeper, Taken, Torn, read_state, state_of
-from onyxhead.agent.swap import PASSING, NotSwapped, clear, swap
+from onyxhead.agent import proxy_counters
+from onyxhead.agent.errors import CorruptStateError
+from onyxhead.agent.proxy_files import ProxyFiles
+from onyxhead.agent.state_file import decode_state, encode_state
+from onyxhead.agent.table_replica import AcceptedUpdate, TableReplica
+from onyxhead.atomic_files import TEMPORARY_PREFIX, SwapError, remove_temporary_files, replace_files
 from onyxhead.controller import request_statistics
 from onyxhead.fronts.files import envoy, nginx
 from onyxhead.http.messages import Request, Response
@@ -29,25 +31,25 @@
 ROUTES = (GroupRoute("read", "/r", 0.5, 1), GroupRoute("write", "/w", 1.0, 0))
 
 
-def orders() -> tuple[Keeper, list[Request]]:
-    """A keeper that listens to stream "s", and two orders that build on each other."""
+def replica_and_updates() -> tuple[TableReplica, list[Request]]:
+    """A replica that follows stream "s", and two updates that build on each other."""
     own = TableState(("read", "write"), AdmissionMode.FRACTION, 6.0)
     own.addresses = {f"b{n}": EndpointAddress(f"127.0.0.1:{9000 + n}", "north") for n in range(4)}
-    keeper = Keeper(View.from_entries({("standing", "b9"): line("b9")}))
-    keeper.listen_to("s")
-    own.join(1, keeper.view)
+    replica = TableReplica(View.from_entries({("standing", "b9"): line("b9")}))
+    replica.follow("s")
+    own.join(1, replica.view)
     whole = own.apply_decisions(1, [TableChange(0, (("b0", 1.0), ("b1", 1.0))), TableAssignment(1, 0, ())])
     change = own.apply_decisions(2, [Withdrawal("b1", True), TableChange(0, (("b2", 0.1),))])
-    return keeper, [request_of(message, "s", 0) for message in (*whole, *change)]
+    return replica, [request_of(message, "s", 0) for message in (*whole, *change)]
 
 
-def test_orders_that_build_on_each_other_are_taken_and_answered_with_the_new_tag() -> None:
-    keeper, made = orders()
-    for turn, request in enumerate(made, 1):
-        taken = keeper.take(request)
-        assert isinstance(taken, Taken) and taken.turn == turn
-        assert keeper.applied(taken).headers["etag"] == taken.view.etag
-    assert set(keeper.view.children("tables", "t0", "lines")) == {"b0", "b1", "b2"}
+def test_consecutive_updates_are_accepted_and_acknowledged_with_the_new_tag() -> None:
+    replica, requests = replica_and_updates()
+    for round_number, request in enumerate(requests, 1):
+        update = replica.check_update(request)
+        assert isinstance(update, AcceptedUpdate) and update.round_number == round_number
+        assert replica.commit(update).headers["etag"] == update.view.etag
+    assert set(replica.view.children("tables", "t0", "lines")) == {"b0", "b1", "b2"}
 
 
 def changed(request: Request, **headers: str) -> Request:
@@ -67,52 +69,55 @@
         (lambda r: r._replace(body=b"\0" + r.body), 400),
     ],
 )
-def test_an_order_that_does_not_fit_is_refused_and_nothing_changes(how: Any, status: int) -> None:
-    keeper, made = orders()
-    before = keeper.view
-    answer = keeper.take(how(made[0]))
-    assert isinstance(answer, Response) and answer.status == status and keeper.view is before
+def test_an_unsuitable_update_is_rejected_and_changes_nothing(how: Any, status: int) -> None:
+    replica, requests = replica_and_updates()
+    before = replica.view
+    answer = replica.check_update(how(requests[0]))
+    assert isinstance(answer, Response) and answer.status == status and replica.view is before
 
 
-def test_a_change_that_leads_elsewhere_than_it_says_is_refused() -> None:
-    keeper, made = orders()
-    answer = keeper.take(changed(made[0], onyxhead_result='"0"'))
+def test_an_update_with_another_result_than_announced_is_rejected() -> None:
+    replica, requests = replica_and_updates()
+    answer = replica.check_update(changed(requests[0], onyxhead_result='"0"'))
     assert isinstance(answer, Response) and answer.status == 422
-    assert isinstance(keeper.take(changed(made[0], onyxhead_result=made[0].headers["onyxhead-result"])), Taken)
+    assert isinstance(
+        replica.check_update(changed(requests[0], onyxhead_result=requests[0].headers["onyxhead-result"])),
+        AcceptedUpdate,
+    )
 
 
-def test_every_flipped_byte_of_an_order_is_refused() -> None:
-    keeper, made = orders()
-    taken = keeper.take(made[0])
-    assert isinstance(taken, Taken)
-    keeper.applied(taken)
-    body = made[1].body
+def test_every_flipped_byte_of_an_update_is_rejected() -> None:
+    replica, requests = replica_and_updates()
+    update = replica.check_update(requests[0])
+    assert isinstance(update, AcceptedUpdate)
+    replica.commit(update)
+    body = requests[1].body
     for place in range(len(body)):
-        torn = body[:place] + bytes([body[place] ^ 1]) + body[place + 1 :]
-        assert isinstance(keeper.take(made[1]._replace(body=torn)), Response)
+        corrupt = body[:place] + bytes([body[place] ^ 1]) + body[place + 1 :]
+        assert isinstance(replica.check_update(requests[1]._replace(body=corrupt)), Response)
 
 
-def test_the_same_order_twice_is_done_once() -> None:
-    keeper, made = orders()
-    taken = keeper.take(made[0])
-    assert isinstance(taken, Taken)
-    keeper.applied(taken)
-    again = keeper.take(made[0])
-    assert isinstance(again, Response) and again.status == 412 and again.headers["etag"] == keeper.view.etag
+def test_a_repeated_update_is_applied_once() -> None:
+    replica, requests = replica_and_updates()
+    update = replica.check_update(requests[0])
+    assert isinstance(update, AcceptedUpdate)
+    replica.commit(update)
+    again = replica.check_update(requests[0])
+    assert isinstance(again, Response) and again.status == 412 and again.headers["etag"] == replica.view.etag
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"tag": "x", "view": {}}', b'{"view": {}}', b"[" * 100_000])
-def test_a_state_that_is_not_whole_is_never_used(body: bytes) -> None:
-    with pytest.raises(Torn):
-        read_state(body)
-    assert read_state(state_of(View.EMPTY, 7)) == (View.EMPTY, 7)
+def test_an_incomplete_state_file_is_never_used(body: bytes) -> None:
+    with pytest.raises(CorruptStateError):
+        decode_state(body)
+    assert decode_state(encode_state(View.EMPTY, 7)) == (View.EMPTY, 7)
 
 
-# Swaps
+# Replacement of files
 
 
 class Killed(BaseException):
-    """Stands for a kill: nothing after it runs, not even what cleans up after errors."""
+    """Simulates SIGKILL: nothing after it runs, not even the clean-up after errors."""
 
 
 def settings(folder: Path) -> AgentSettings:
@@ -141,12 +146,12 @@
 
 
 @pytest.mark.parametrize("cut", range(60))
-def test_an_agent_killed_at_any_call_starts_again_on_a_whole_state(
+def test_an_agent_killed_at_any_system_call_restarts_from_a_consistent_state(
     cut: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old, new = (View.from_entries({("standing", name): line(name)}) for name in ("b1", "b2"))
-    Tree(settings(tmp_path)).put(old)
-    tree, count, lock = Tree(settings(tmp_path)), [0], threading.Lock()
+    ProxyFiles(settings(tmp_path)).install(old)
+    files, count, lock = ProxyFiles(settings(tmp_path)), [0], threading.Lock()
 
     def cutting(name: str) -> Any:
         real = getattr(os, name)
@@ -165,46 +170,48 @@
             patched.setattr(os, name, cutting(name))
         finished = False
         try:
-            tree.put(new)
+            files.install(new)
             finished = True
         except Killed:
             pass
-    shown = {path.name: path.read_bytes() for path in (tmp_path / "files").iterdir() if path.name[0] != "."}
-    assert all(body in (dict(_named(tree, old))[name], dict(_named(tree, new))[name]) for name, body in shown.items())
-    again = Tree(settings(tmp_path))
-    loaded = again.load()
+    visible = {path.name: path.read_bytes() for path in (tmp_path / "files").iterdir() if path.name[0] != "."}
+    assert all(
+        body in (dict(_named(files, old))[name], dict(_named(files, new))[name]) for name, body in visible.items()
+    )
+    again = ProxyFiles(settings(tmp_path))
+    loaded = again.load_state()
     assert loaded is not None
     held = loaded[0]
     assert held in (old, new) and (held == new or not finished)
-    again.put(held)
+    again.install(held)
     left = {path.name: path.read_bytes() for path in (tmp_path / "files").iterdir()}
-    assert left == dict(_named(again, held)) and not list((tmp_path / "state").glob(f"{PASSING}*"))
+    assert left == dict(_named(again, held)) and not list((tmp_path / "state").glob(f"{TEMPORARY_PREFIX}*"))
 
 
-def _named(tree: Tree, view: View) -> list[tuple[str, bytes]]:
-    return [(path.name, body) for path, body in tree.files(view)]
+def _named(files: ProxyFiles, view: View) -> list[tuple[str, bytes]]:
+    return [(path.name, body) for path, body in files.render(view)]
 
 
 @pytest.mark.parametrize("fault", [errno.ENOSPC, errno.EROFS, errno.EDQUOT])
-def test_with_a_full_or_read_only_disk_the_old_files_stand(
+def test_a_full_or_read_only_disk_leaves_the_old_files_unchanged(
     fault: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    swap([(tmp_path / "a", b"old"), (tmp_path / "b", b"old")])
+    replace_files([(tmp_path / "a", b"old"), (tmp_path / "b", b"old")])
 
     def full(*_: object) -> int:
         raise OSError(fault, os.strerror(fault))
 
     monkeypatch.setattr(os, "write", full)
-    with pytest.raises(NotSwapped) as caught:
-        swap([(tmp_path / "a", b"new"), (tmp_path / "b", b"new")])
+    with pytest.raises(SwapError) as caught:
+        replace_files([(tmp_path / "a", b"new"), (tmp_path / "b", b"new")])
     assert caught.value.errno == fault
     assert sorted(path.name for path in tmp_path.iterdir()) == ["a", "b"]
     assert {path.read_bytes() for path in tmp_path.iterdir()} == {b"old"}
 
 
-def test_a_reader_at_any_moment_of_many_swaps_sees_no_mixture(tmp_path: Path) -> None:
+def test_a_concurrent_reader_never_sees_a_partial_file(tmp_path: Path) -> None:
     path, over, torn, seen = tmp_path / "f", threading.Event(), list[bytes](), set[bytes]()
-    swap([(path, b"0" * 40_000)])
+    replace_files([(path, b"0" * 40_000)])
 
     def read() -> None:
         while not over.is_set():
@@ -217,14 +224,14 @@
     for reader in readers:
         reader.start()
     for number in range(400):
-        swap([(path, str(number % 10).encode() * 40_000)])
+        replace_files([(path, str(number % 10).encode() * 40_000)])
     over.set()
     for reader in readers:
         reader.join()
     assert not torn and len(seen) == 10
 
 
-def test_a_writer_with_no_rename_would_be_caught(tmp_path: Path) -> None:
+def test_a_writer_without_rename_would_be_detected(tmp_path: Path) -> None:
     path, over, torn = tmp_path / "f", threading.Event(), list[int]()
     path.write_bytes(b"0" * 400_000)
 
@@ -245,14 +252,14 @@
     assert torn
 
 
-def test_leftovers_of_a_killed_swap_are_cleared_and_nothing_else(tmp_path: Path) -> None:
-    for name in (f"{PASSING}x", "x", "swap-y"):
+def test_only_temporary_files_of_an_interrupted_replacement_are_removed(tmp_path: Path) -> None:
+    for name in (f"{TEMPORARY_PREFIX}x", "x", "swap-y"):
         (tmp_path / name).write_text("")
-    assert clear(tmp_path) == [f"{PASSING}x"]
+    assert remove_temporary_files(tmp_path) == [f"{TEMPORARY_PREFIX}x"]
     assert sorted(path.name for path in tmp_path.iterdir()) == ["swap-y", "x"]
 
 
-# What proxies read
+# The proxy's files
 
 
 def view(share: float = 1.0, tries: int = 1, rate: float | None = None) -> View:
@@ -269,8 +276,8 @@
     )
 
 
-def test_endpoints_say_weights_withdrawals_and_levels() -> None:
-    document = json.loads(envoy.endpoints(view(share=0.25), ROUTES))
+def test_envoy_endpoints_carry_weights_withdrawals_and_admission_levels() -> None:
+    document = json.loads(envoy.endpoint_assignments(view(share=0.25), ROUTES))
     read, write = document["resources"]
     ends = [end for locality in read["endpoints"] for end in locality["lb_endpoints"]]
     assert {(e["load_balancing_weight"], e["health_status"]) for e in ends} == {
@@ -292,48 +299,52 @@
         (3, ("5xx,reset,connect-failure,refused-stream", 2, "0.6000s")),
     ],
 )
-def test_routes_say_further_tries(tries: int, policy: Any) -> None:
-    document = json.loads(envoy.route_table(view(tries=tries), ROUTES, 1.2))
+def test_envoy_routes_carry_the_retry_policy(tries: int, policy: Any) -> None:
+    document = json.loads(envoy.route_configuration(view(tries=tries), ROUTES, 1.2))
     action = document["resources"][0]["virtual_hosts"][0]["routes"][0]["route"]
     told = action.get("retry_policy")
     assert action["cluster"] == "read"
     assert (told and (told["retry_on"], told["num_retries"], told.get("per_try_timeout"))) == policy
 
 
-def test_a_rate_becomes_a_bucket_that_lets_that_many_in() -> None:
+def test_a_rate_becomes_a_token_bucket_that_admits_as_many() -> None:
     for rate in (0.5, 3.0, 120.0):
-        document = json.loads(envoy.route_table(view(rate=rate), ROUTES, 1.2))
+        document = json.loads(envoy.route_configuration(view(rate=rate), ROUTES, 1.2))
         limit = document["resources"][0]["virtual_hosts"][0]["routes"][0]["typed_per_filter_config"]
-        bucket = limit[envoy.RATE_LIMIT]["token_bucket"]
+        bucket = limit[envoy.RATE_LIMIT_FILTER]["token_bucket"]
         assert bucket["tokens_per_fill"] / float(bucket["fill_interval"][:-1]) == pytest.approx(rate, rel=0.01)
 
 
-def test_nginx_includes_say_the_same_and_name_what_they_can_not() -> None:
-    text = nginx.upstreams(view(share=0.25), ROUTES).decode()
+def test_nginx_files_carry_the_same_and_name_what_nginx_can_not_express() -> None:
+    text = nginx.upstream_blocks(view(share=0.25), ROUTES).decode()
     assert "server 127.0.0.1:9001 weight=16384 max_fails=0;" in text
     assert "server 127.0.0.1:9002 weight=65535 max_fails=0 down;" in text
     assert "25.00% 1;" in text and "upstream write {" in text
-    assert "nginx can't tell" in nginx.location(view(tries=1), ROUTES[0]).decode()
-    assert "proxy_next_upstream_tries 3;" in nginx.location(view(tries=3), ROUTES[0]).decode()
-    assert "down;" in nginx.upstreams(View.EMPTY, ROUTES).decode()
+    assert "nginx can't tell" in nginx.location_directives(view(tries=1), ROUTES[0]).decode()
+    assert "proxy_next_upstream_tries 3;" in nginx.location_directives(view(tries=3), ROUTES[0]).decode()
+    assert "down;" in nginx.upstream_blocks(View.EMPTY, ROUTES).decode()
 
 
-# Sums
+# Load reports
 
 
-def test_counts_become_sums_that_the_controller_reads() -> None:
-    before = counters.flatten(stats(good=3, bad=1, ms=30.0, flows=5))
-    after = counters.flatten(stats(good=8, bad=2, ms=80.0, flows=12))
-    made = counters.report("p1", "x", 4, 1.0, counters.difference(before, after), {"127.0.0.1:9001": 0.5})
-    read = request_statistics.read(json.loads(json.dumps(made)))
+def test_counters_become_a_load_report_that_the_controller_reads() -> None:
+    before = proxy_counters.parse_counters(stats(good=3, bad=1, ms=30.0, flows=5))
+    after = proxy_counters.parse_counters(stats(good=8, bad=2, ms=80.0, flows=12))
+    report = proxy_counters.load_report(
+        proxy_counters.ReportPeriod("p1", "x", 4, 1.0),
+        proxy_counters.counter_increments(before, after),
+        {"127.0.0.1:9001": 0.5},
+    )
+    read = request_statistics.read(json.loads(json.dumps(report)))
     assert read.backends == {"127.0.0.1:9001": request_statistics.BackendStatistics(6, 1, 500.0, 10_000, 0.5)}
     assert read.request_counts == {"read": (7, 10_000)}
 
 
-def test_a_proxy_that_started_anew_is_counted_from_there() -> None:
-    before = counters.flatten(stats(good=30, bad=1, ms=300.0, flows=50))
-    after = counters.flatten(stats(good=4, bad=2, ms=40.0, flows=6))
-    assert counters.difference(before, after) == {key: value for key, value in after.items() if value}
+def test_a_restarted_proxy_is_counted_from_its_restart() -> None:
+    before = proxy_counters.parse_counters(stats(good=30, bad=1, ms=300.0, flows=50))
+    after = proxy_counters.parse_counters(stats(good=4, bad=2, ms=40.0, flows=6))
+    assert proxy_counters.counter_increments(before, after) == {key: value for key, value in after.items() if value}
 
 
 def stats(good: int, bad: int, ms: float, flows: int) -> dict[str, Any]:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -218,8 +218,8 @@
 def brought(rig: Rig) -> float:
     """The weight of the cold backend's line that proxies here hold, in parts."""
     return sum(
-        keeper.view.entries.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"]
-        for keeper in rig.keepers.values()
+        replica.view.entries.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"]
+        for replica in rig.replicas.values()
     )
 
 
--- a/tests/test_controller_core.py
+++ b/tests/test_controller_core.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from onyxhead.agent.keeper import Keeper, Taken
+from onyxhead.agent.table_replica import AcceptedUpdate, TableReplica
 from onyxhead.controller import request_statistics
 from onyxhead.controller.clock import Clock
 from onyxhead.controller.delivery_queue import DeliveryQueue, QueueFullError
@@ -212,12 +212,12 @@
 def test_a_drain_told_while_forty_wait_for_full_tables_reaches_all_within_the_grace() -> None:
     rig = Rig(backends=30, lines_per_second=1500.0, max_queued_lines=4000.0)
     for number in range(40):
-        rig.keepers[f"p{number}"] = Keeper(View.from_entries({("standing", "b3"): line("b3")}))
+        rig.replicas[f"p{number}"] = TableReplica(View.from_entries({("standing", "b3"): line("b3")}))
         rig.join(f"p{number}")
     rig.run(0.1)
     rig.set("b3", "draining")
     rig.run(2.0)
-    assert all("b3" not in rig.lines(name) for name in rig.keepers)
+    assert all("b3" not in rig.lines(name) for name in rig.replicas)
     assert rig.most <= 4000
 
 
@@ -240,13 +240,13 @@
     rig.slow.add("p0")
     rig.set("b2", "draining")
     sent = [each for _ in range(20) for each in rig.step().deliveries if rig.name(each) == "p0"]
-    taken = rig.keepers["p0"].take(request_of(sent[0].message, "p0", sent[0].queued_at))
-    assert isinstance(taken, Taken)
-    rig.keepers["p0"].applied(taken)
+    taken = rig.replicas["p0"].check_update(request_of(sent[0].message, "p0", sent[0].queued_at))
+    assert isinstance(taken, AcceptedUpdate)
+    rig.replicas["p0"].commit(taken)
     rig.lose("p0")
     rig.slow.clear()
     rig.join("p0")
-    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.keepers["p0"].view.etag
+    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.replicas["p0"].view.etag
     rig.run(2)
     assert rig.lines("p0") == rig.lines("p1") and "b2" not in rig.lines("p0")
 
@@ -256,14 +256,14 @@
     way = {"lines_per_second": 1050.0, "max_queued_lines": 2100.0}
     first = Rig(backends=60, **way)
     for number in range(100):
-        first.keepers[f"p{number}"] = Keeper(View.from_entries({("standing", "b0"): line("b0")}))
+        first.replicas[f"p{number}"] = TableReplica(View.from_entries({("standing", "b0"): line("b0")}))
         first.join(f"p{number}")
     first.run(90)
-    assert all(len(first.lines(name)) == 60 for name in first.keepers)
+    assert all(len(first.lines(name)) == 60 for name in first.replicas)
     second = Rig(backends=60, **way)
     second.run(2)
-    second.keepers = first.keepers
-    for name in second.keepers:
+    second.replicas = first.replicas
+    for name in second.replicas:
         second.join(name)
     for number in range(10):
         second.set(f"b{number}", "draining")
@@ -273,15 +273,15 @@
     for number in range(10, 15):
         second.set(f"b{number}", "draining")
     second.run(max(0.0, grace - after - 0.05))
-    late = {name for name in second.keepers if set(second.lines(name)) & {f"b{n}" for n in range(10)}}
+    late = {name for name in second.replicas if set(second.lines(name)) & {f"b{n}" for n in range(10)}}
     assert not late and second.most <= 2100
     second.run(grace - max(0.0, grace - after - 0.05) - 0.05)
-    assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.keepers)
+    assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.replicas)
     # Bound again well before whole tables could have been sent: 100 x 69 lines take 6.6 s, beside 2.8 s of withdrawals.
     second.run(6.4 - after - grace)
     assert all(second.core.proxy_tables.tables_of(proxy) for proxy in second.core.joined)
     second.run(12)
-    assert all(len(second.lines(name)) == 45 for name in second.keepers)
+    assert all(len(second.lines(name)) == 45 for name in second.replicas)
 
 
 def test_a_proxy_that_comes_back_is_sent_only_the_lines_that_changed_meanwhile() -> None:
@@ -294,7 +294,7 @@
     sent = [each for _ in range(100) for each in rig.step().deliveries if rig.name(each) == "p0"]
     assert 0 < sum(each.lines for each in sent) < 30
     assert rig.lines("p0") == rig.lines("p1") and len(rig.lines("p0")) == 29
-    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.keepers["p0"].view.etag
+    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.replicas["p0"].view.etag
 
 
 def test_a_slow_proxy_delays_no_one_and_is_given_up() -> None:
@@ -312,7 +312,7 @@
 def test_an_agent_that_holds_another_view_is_given_up_and_gets_the_whole_at_its_next_join() -> None:
     rig = Rig(proxies=2)
     rig.run(2)
-    rig.keepers["p0"].view = rig.keepers["p0"].view.with_entry(("withdrawn", "b1"), True)
+    rig.replicas["p0"].view = rig.replicas["p0"].view.with_entry(("withdrawn", "b1"), True)
     rig.set("b5", "draining")
     rig.run(1)
     assert rig.core.proxy_number("p0") not in rig.core.joined
@@ -340,7 +340,7 @@
     assert number not in rig.core.joined and rig.core.counts["refused by the limit"] == 1
     rig.join("p0")
     rig.run(2)
-    assert rig.core.proxy_tables.views[number].etag == rig.keepers["p0"].view.etag
+    assert rig.core.proxy_tables.views[number].etag == rig.replicas["p0"].view.etag
 
 
 def test_a_backend_that_moves_to_another_address_is_withdrawn_before_it_is_listed_anew() -> None:
@@ -352,7 +352,7 @@
         "127.0.0.1:7777", ZONES[1]
     )
     rig.run(3)
-    held = rig.keepers["p0"].view
+    held = rig.replicas["p0"].view
     lines = held.children("tables", "t0", "lines")
     assert lines["b1"]["address"] == "127.0.0.1:7777" and lines["b1"]["weight"] < 1_000_000
 
@@ -376,12 +376,12 @@
             rig.set(backend, "ready" if len(up) < 4 else rig.chance.choice(["ready", "draining", "gone"]))
         rig.run(rig.chance.uniform(0.01, 0.6))
     rig.slow.clear()
-    for name in rig.keepers:
+    for name in rig.replicas:
         rig.join(name)
     rig.run(25)
     up = {b for b, e in rig.entries.items() if e.state == "ready"}
-    for name, keeper in rig.keepers.items():
-        assert keeper.view.etag == rig.core.proxy_tables.views[rig.core.proxy_number(name)].etag
+    for name, replica in rig.replicas.items():
+        assert replica.view.etag == rig.core.proxy_tables.views[rig.core.proxy_number(name)].etag
         assert set(rig.lines(name)) == up
     assert rig.most <= rig.start.channel.max_queued_lines
 
@@ -391,13 +391,13 @@
     rig.run(3)
     rig.set("b2", "draining")
     rig.run(3)
-    assert all(("withdrawn", "b2") in keeper.view.entries for keeper in rig.keepers.values())
-    before = {name: keeper.view.etag for name, keeper in rig.keepers.items()}
+    assert all(("withdrawn", "b2") in replica.view.entries for replica in rig.replicas.values())
+    before = {name: replica.view.etag for name, replica in rig.replicas.items()}
     told = rig.core.proxy_tables.apply_decisions(99, [Withdrawal("b2", True)])
-    assert told == [] and before == {name: keeper.view.etag for name, keeper in rig.keepers.items()}
+    assert told == [] and before == {name: replica.view.etag for name, replica in rig.replicas.items()}
     # A line of a withdrawn backend, as held tables might bring it, never comes without its withdrawal.
-    for keeper in rig.keepers.values():
-        assert "b2" not in keeper.view.children("tables", "t0", "lines")
+    for replica in rig.replicas.values():
+        assert "b2" not in replica.view.children("tables", "t0", "lines")
     rig.join("p9")
     messages = rig.core.proxy_tables.apply_decisions(100, [TableChange(0, (("b2", 1.0),))])
     assert messages and all(("withdrawn", "b2") in message.result.entries for message in messages)
--- a/tests/test_controller_server.py
+++ b/tests/test_controller_server.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from onyxhead.agent.daemon import Daemon as Agent
+from onyxhead.agent.server import AgentServer
 from onyxhead.controller.server import ControllerServer
-from onyxhead.fronts.files.push import Refused
+from onyxhead.fronts.files.agent_stream import AgentFaultError
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import Request, Response, json_response
 from onyxhead.http.server import Server
@@ -66,11 +66,11 @@
         await until(lambda: daemon.http_server.listener and daemon.core.endpoints)
         return daemon
 
-    async def agent(self, name: str, port: int) -> Agent:
+    async def agent(self, name: str, port: int) -> AgentServer:
         (self.folder / f"{name}.rec").write_text(AGENT % (name, name, name, port))
         settings = read_settings(self.folder / f"{name}.rec")
         assert isinstance(settings, AgentSettings)
-        daemon = Agent(settings)
+        daemon = AgentServer(settings)
         self.tasks.append(asyncio.create_task(daemon.run()))
         return daemon
 
@@ -138,14 +138,14 @@
         agent = await running.agent("p1", port)
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
         first.stopping.set()
-        await until(lambda: agent.lost.is_set())
+        await until(lambda: agent.session.disconnected.is_set())
         assert len(shown(tmp_path, "p1")) == 3
         list_of(tmp_path, 2, BACKENDS[1:])
         second = await running.controller()
         assert second.core.epoch == 2
-        agent.settings = agent.settings._replace(controllers=(("127.0.0.1", port_of(second)),))
+        agent.session.settings = agent.session.settings._replace(controllers=(("127.0.0.1", port_of(second)),))
         await until(lambda: shown(tmp_path, "p1") == {9002, 9003})
-        await until(lambda: second.core.proxy_tables.views[0].etag == agent.keeper.view.etag)
+        await until(lambda: second.core.proxy_tables.views[0].etag == agent.replica.view.etag)
 
     play(tmp_path, work)
 
@@ -154,16 +154,16 @@
     async def work(running: Running) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
-        await until(lambda: agent.swaps and len(shown(tmp_path, "p1")) == 3)
-        held, port = agent.keeper.view, agent.push[1]
+        await until(lambda: agent.updater.swaps and len(shown(tmp_path, "p1")) == 3)
+        held, port = agent.replica.view, agent.session.listen_address[1]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        stream = agent.keeper.stream
+        stream = agent.replica.stream
         head = f"PUT /v1/view HTTP/1.1\r\nhost: x\r\nonyxhead-stream: {stream}\r\ncontent-length: 500\r\n\r\n"
         writer.write(head.encode() + b'{"bindings":')
         await writer.drain()
         writer.close()
         await asyncio.sleep(0.1)
-        assert agent.keeper.view is held and len(shown(tmp_path, "p1")) == 3
+        assert agent.replica.view is held and len(shown(tmp_path, "p1")) == 3
         assert (await reader.read()) == b""
 
     play(tmp_path, work)
@@ -173,12 +173,12 @@
     async def work(running: Running) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
-        await until(lambda: agent.swaps and len(shown(tmp_path, "p1")) == 3)
-        old = agent.keeper.stream
-        agent.lost.set()
-        await until(lambda: agent.keeper.stream not in ("", old) and not agent.lost.is_set())
+        await until(lambda: agent.updater.swaps and len(shown(tmp_path, "p1")) == 3)
+        old = agent.replica.stream
+        agent.session.disconnected.set()
+        await until(lambda: agent.replica.stream not in ("", old) and not agent.session.disconnected.is_set())
         request = Request("HEAD", "/v1/view", {"onyxhead-stream": old})
-        assert (await fetch_once(("127.0.0.1", agent.push[1]), request, 1.0)).status == 409
+        assert (await fetch_once(("127.0.0.1", agent.session.listen_address[1]), request, 1.0)).status == 409
         await until(lambda: len(controller.core.joined) == 1 and len(controller.streams) == 1)
 
     play(tmp_path, work)
@@ -188,21 +188,23 @@
     async def work(running: Running) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
-        await until(lambda: agent.swaps and len(shown(tmp_path, "p1")) == 3)
+        await until(lambda: agent.updater.swaps and len(shown(tmp_path, "p1")) == 3)
         number = controller.core.proxy_number("p1")
         from onyxhead.policy.decisions import TableChange
 
         (one,) = controller.core.proxy_tables.apply_decisions(90, [TableChange(0, (("b1", 0.5),))])
-        controller.core.proxy_tables.views[number] = agent.keeper.view
+        controller.core.proxy_tables.views[number] = agent.replica.view
         (two,) = controller.core.proxy_tables.apply_decisions(91, [TableChange(0, (("b2", 0.25),))])
         from tests.controller_rig import request_of
 
-        asked = [request_of(each, agent.keeper.stream, 0) for each in (one, two)]
+        asked = [request_of(each, agent.replica.stream, 0) for each in (one, two)]
         asked = [each._replace(headers=each.headers | {"onyxhead-token": "1"}) for each in asked]
-        answers = await asyncio.gather(*(fetch_once(("127.0.0.1", agent.push[1]), each, 2.0) for each in asked))
+        answers = await asyncio.gather(
+            *(fetch_once(("127.0.0.1", agent.session.listen_address[1]), each, 2.0) for each in asked)
+        )
         assert sorted(each.status for each in answers) == [204, 412]
         won = (one, two)[[each.status for each in answers].index(204)]
-        assert agent.keeper.view == won.result
+        assert agent.replica.view == won.result
 
     play(tmp_path, work)
 
@@ -239,14 +241,14 @@
 @pytest.mark.parametrize(
     ("reply", "kind"),
     [
-        (_slowly, Refused),
-        (_silent, Refused),
+        (_slowly, AgentFaultError),
+        (_silent, AgentFaultError),
         (_hang_up, OSError),
-        (_say(b"HTTP/1.1 412 No\r\netag: x\r\ncontent-length: 0\r\n\r\n"), Refused),
-        (_say(b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"), Refused),
-        (_say(b"HTTP/1.1 200 OK\r\n" + b"x-a: " + b"y" * 200_000), Refused),
-        (_say(b"HTTP/1.1 204 OK\r\n" + b"x: y\r\n" * 20_000), Refused),
-        (_say(b"SSH-2.0-x\r\n\r\n"), Refused),
+        (_say(b"HTTP/1.1 412 No\r\netag: x\r\ncontent-length: 0\r\n\r\n"), AgentFaultError),
+        (_say(b"HTTP/1.1 503 No\r\ncontent-length: 0\r\n\r\n"), AgentFaultError),
+        (_say(b"HTTP/1.1 200 OK\r\n" + b"x-a: " + b"y" * 200_000), AgentFaultError),
+        (_say(b"HTTP/1.1 204 OK\r\n" + b"x: y\r\n" * 20_000), AgentFaultError),
+        (_say(b"SSH-2.0-x\r\n\r\n"), AgentFaultError),
     ],
 )
 def test_an_agent_that_does_not_answer_as_agreed_is_refused_in_time(reply: Reply, kind: type[Exception]) -> None:
@@ -270,9 +272,9 @@
 def test_a_body_beyond_the_limit_is_refused_and_not_kept(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         agent = await running.agent("p1", 1)
-        await until(lambda: agent.server.listener)
-        agent.server.max_body = 1000
-        response = await fetch_once(agent.push, Request("PUT", "/v1/view", {}, b"x" * 5000), 2.0)
+        await until(lambda: agent.http_server.listener)
+        agent.http_server.max_body = 1000
+        response = await fetch_once(agent.session.listen_address, Request("PUT", "/v1/view", {}, b"x" * 5000), 2.0)
         assert response.status == 413
 
     play(tmp_path, work)
@@ -324,7 +326,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         agent = await running.agent("p1", server.sockets[0].getsockname()[1])
         await until(lambda: len(asked) > 3)
-        assert not running.tasks[0].done() and agent.controller is None and shown(tmp_path, "p1") == {9001}
+        assert not running.tasks[0].done() and agent.session.controller is None and shown(tmp_path, "p1") == {9001}
         server.close()
 
     play(tmp_path, work)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -473,12 +473,12 @@
         await until(lambda: [len(own) for own in served(daemons)] == [2, 2, 2], 10.0)
         await asyncio.sleep(0.8)
         assert [len(own) for own in served(daemons)] == [2, 2, 2]
-        tokens = {agent.settings.name: agent.keeper.fence.current for agent in agents}
+        tokens = {agent.settings.name: agent.replica.token_guard.current for agent in agents}
         # One dies; the others take its proxies, under higher tokens.
         lost = served(daemons)[0]
         daemons[0].stopping.set()
         await until(lambda: set().union(*served(daemons[1:])) == names, 10.0)
-        assert all(a.keeper.fence.current > tokens[a.settings.name] for a in agents if a.settings.name in lost)
+        assert all(a.replica.token_guard.current > tokens[a.settings.name] for a in agents if a.settings.name in lost)
         # A member is put in and taken out while all run, and it is on disk.
         address = ("127.0.0.1", daemons[2].settings.listen[1])
         for member in ({"address": "127.0.0.1:9", "zone": "north", "pace": 10}, None, {"address": "x"}):
@@ -516,12 +516,12 @@
         port = int(controller.http_server.listener.sockets[0].getsockname()[1])
         first = await running.agent("p1", port)
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        first.over.set()
+        first.stopping.set()
         await until(lambda: running.tasks[-1].done())
         again = await running.agent("p1", port)
-        await until(lambda: again.keeper.fence.current == 2 and again.keeper.stream)
-        order = Request("HEAD", "/v1/view", {"onyxhead-stream": again.keeper.stream, "onyxhead-token": "1"})
-        refused = await fetch_once(again.push, order, 2.0)
+        await until(lambda: again.replica.token_guard.current == 2 and again.replica.stream)
+        order = Request("HEAD", "/v1/view", {"onyxhead-stream": again.replica.stream, "onyxhead-token": "1"})
+        refused = await fetch_once(again.session.listen_address, order, 2.0)
         assert refused.status == 409 and refused.headers["onyxhead-token"] == "2"
 
     play(tmp_path, work)
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 from immutables import Map
 
-from onyxhead.agent.keeper import Taken
+from onyxhead.agent.table_replica import AcceptedUpdate
 from onyxhead.cli.main import main
 from onyxhead.controller.version_requests import run as ask
 from onyxhead.policy.decisions import TableChange
@@ -120,12 +120,12 @@
     rig = worsened()
     rolled(rig)
     rig.run(1)
-    assert all(rig.lines(name) == {f"b{n}": FULL for n in range(6)} for name in rig.keepers)
+    assert all(rig.lines(name) == {f"b{n}": FULL for n in range(6)} for name in rig.replicas)
     with pytest.raises(RollbackRejectedError, match="already"):
         rolled(rig)
     rig.set("b3", "draining")
     rig.run(1)
-    assert all(set(rig.lines(name)) == {"b0", "b1", "b2", "b4", "b5"} for name in rig.keepers)
+    assert all(set(rig.lines(name)) == {"b0", "b1", "b2", "b4", "b5"} for name in rig.replicas)
     assert rig.core.release(rig.now, "test") and not rig.core.release(rig.now, "again")
     rig.run(1)
     assert rig.lines("p0")["b1"] == 1000 and "b3" not in rig.lines("p0")
@@ -164,14 +164,14 @@
     rolled(rig, str(first))
     rig.most = 0.0
     rig.run(3)
-    assert rig.most <= 0.5 * 3000 and all(rig.lines(n)["b1"] == FULL for n in rig.keepers)
+    assert rig.most <= 0.5 * 3000 and all(rig.lines(n)["b1"] == FULL for n in rig.replicas)
 
 
 def report(rig: Rig, number: int, **bad: int) -> None:
     """Every proxy tells of 40 tries, of which so many failed."""
     from onyxhead.controller import request_statistics
 
-    for name in rig.keepers:
+    for name in rig.replicas:
         met = {"127.0.0.1:9001": request_statistics.BackendStatistics(40, bad.get(name, 1), 400.0, SECOND)}
         rig.core.on_request_statistics(rig.now, name, "x", number, request_statistics.RequestStatistics(met, {}))
 
@@ -182,7 +182,7 @@
     _, canary = rig.core.start_canary(rig.now, "1", 0.25, seconds)
     (name,) = canary.proxies
     rig.run(2.5)
-    return rig, name, [other for other in rig.keepers if other != name]
+    return rig, name, [other for other in rig.replicas if other != name]
 
 
 def test_a_trial_reaches_its_share_of_the_proxies_only() -> None:
@@ -190,7 +190,7 @@
     assert rig.lines(name)["b1"] == FULL and all(rig.lines(other)["b1"] == 1000 for other in others)
     rig.set("b4", "draining")
     rig.run(1)
-    assert all("b4" not in rig.lines(each) for each in rig.keepers)
+    assert all("b4" not in rig.lines(each) for each in rig.replicas)
     rig.lose(name)
     rig.join(name)
     rig.run(1)
@@ -342,12 +342,12 @@
     assert one.number == two.number and one.digest_hex != two.digest_hex
     # The proxy is handed over; an order of the first controller's version, late on its way, finds another view.
     late = first.core.proxy_tables.apply_decisions(77, [TableChange(0, (("b2", 0.5),))])[0]
-    second.keepers = {"p0": first.keepers["p0"]}
+    second.replicas = {"p0": first.replicas["p0"]}
     second.join("p0")
     second.run(2)
-    held = second.keepers["p0"].view.etag
-    refused = second.keepers["p0"].take(request_of(late, "p0", second.now))
-    assert not isinstance(refused, Taken) and refused.status == 412 and second.keepers["p0"].view.etag == held
+    held = second.replicas["p0"].view.etag
+    refused = second.replicas["p0"].check_update(request_of(late, "p0", second.now))
+    assert not isinstance(refused, AcceptedUpdate) and refused.status == 412 and second.replicas["p0"].view.etag == held
     # By that number each controller finds its own version, and what it would bring back.
     assert second.core.history.find(str(two.number)).digest_hex == two.digest_hex
     with pytest.raises(RollbackRejectedError, match="already"):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -233,9 +233,9 @@
         sockets.AGENT = AGENT + (TLS % ("p1", "p1")).replace("%", "%%")
         agent = await running.agent("p1", port_of(controller))
         sockets.AGENT = AGENT
-        await until(lambda: agent.keeper.stream)
-        order = Request("HEAD", "/v1/view", {"onyxhead-stream": agent.keeper.stream, "onyxhead-token": "1"})
-        assert (await fetch_once(agent.push, order, 2.0, own)).status == 403
+        await until(lambda: agent.replica.stream)
+        order = Request("HEAD", "/v1/view", {"onyxhead-stream": agent.replica.stream, "onyxhead-token": "1"})
+        assert (await fetch_once(agent.session.listen_address, order, 2.0, own)).status == 403
 
     play(tmp_path, work)
 
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -654,14 +654,14 @@
             out = "true" if turn % 2 == 0 else "false"
             fourth = {"id": "b4", "address": "127.0.0.1:9004", "zone": "north", "state": "ready"}
             list_of(tmp_path, 2 + turn, [*BACKENDS, fourth] if turn % 3 else BACKENDS)
-            agent.lost.set()
+            agent.session.disconnected.set()
             text = backend("b2", "", f"<drained>{out}</drained>")
             desk.datastores.put(1, "candidate", after(text, tree=desk.datastores.running))
             await asyncio.sleep(0.02 * turn)
             desk.commit("u", 1)
         await until(lambda: shown(tmp_path, "p1") == {9001, 9002, 9003, 9004}, 12.0)
         number = controller.core.proxy_number("p1")
-        await until(lambda: controller.core.proxy_tables.views[number].etag == agent.keeper.view.etag)
+        await until(lambda: controller.core.proxy_tables.views[number].etag == agent.replica.view.etag)
 
     play(tmp_path, work)
 
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -231,9 +231,9 @@
     async def work(running: Running) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
-        await until(lambda: len(shown(tmp_path, "p1")) == 3 and agent.server.listener)
-        assert agent.server.listener is not None
-        address, own = f"127.0.0.1:{port_of(controller)}", agent.server.listener.sockets[0].getsockname()[1]
+        await until(lambda: len(shown(tmp_path, "p1")) == 3 and agent.http_server.listener)
+        assert agent.http_server.listener is not None
+        address, own = f"127.0.0.1:{port_of(controller)}", agent.http_server.listener.sockets[0].getsockname()[1]
         (tmp_path / "fleet.rec").write_text(f'controllers: {{c1: "{address}"}}, agents: {{p1: "127.0.0.1:{own}"}}')
 
         async def command(*words: str) -> tuple[int, str]:
