--- a/onyxhead/fronts/files/envoy.py
+++ b/onyxhead/fronts/files/envoy.py
@@ -12,7 +12,8 @@
 
 from onyxhead.settings.model import GroupRoute
 from onyxhead.tables.addresses import parse_address
-from onyxhead.tables.view import Document, View, ViewValue
+from onyxhead.tables.view import View
+from onyxhead.tables.view_format import Document, ViewValue
 
 TYPE_PREFIX = "type.googleapis.com/"
 ENDPOINTS_TYPE = f"{TYPE_PREFIX}envoy.config.endpoint.v3.ClusterLoadAssignment"
--- a/onyxhead/settings/agent.py
+++ b/onyxhead/settings/agent.py
@@ -4,7 +4,7 @@
 
 from onyxhead.settings.fields import RecordReader, ticks_to_seconds
 from onyxhead.settings.model import AgentSettings, GroupRoute, ReloadSettings
-from onyxhead.tables.view import ViewValue
+from onyxhead.tables.view_format import ViewValue
 
 STATIC_ENDPOINT_WEIGHT = 1_000_000
 """Full weight, in millionths."""
