--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -169,9 +169,9 @@
         ask(port, "POST", "/v1/fleet/members", {"name": "c9", "member": None})
         (folder / "agent.rec").write_text(AGENT % port)
         agent = Program(folder, *COMMAND, "agent", "agent.rec")
-        made.answers["agent started"] = agent.logged("serving")
-        made.answers["agent joined"] = agent.logged("joined")
-        agent.logged("applied", turn=1)
+        made.answers["agent started"] = agent.logged("agent started")
+        made.answers["agent joined"] = agent.logged("controller joined")
+        agent.logged("table update applied", round=1)
         (folder / "list.tmp").write_text(LIST_9)
         (folder / "list.tmp").rename(folder / "list.json")
         until(lambda: '"withdrawn":{"b6":true}' in (folder / "agent" / "view.json").read_text())
@@ -451,7 +451,7 @@
 
 
 def test_an_agent_starts_from_its_stored_view_and_fencing_token(run: Run) -> None:
-    assert run.answers["agent started"]["tag"] == ('"6e61828615b6ac9d28a8e481d93e968ed5d24d6a79e1c6ae0a56fa9f4720e02f"')
+    assert run.answers["agent started"]["etag"] == ('"6e61828615b6ac9d28a8e481d93e968ed5d24d6a79e1c6ae0a56fa9f4720e02f"')
     assert run.answers["agent joined"]["token"] == 7
 
 
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -323,10 +323,10 @@
 
 def play_agent(talk: Talk, agent: Program, controller: AnsweringController, folder: Path) -> Line:
     """All but the load report, which comes a second after the start. The stream must stay open until then."""
-    port = int(agent.logged("serving")["port"])
+    port = int(agent.logged("agent started")["port"])
     for number in (1, 2, 3):
         talk.asked[f"join {number}"] = controller.peer.asked("PUT", "/", number)
-    agent.logged("joined")
+    agent.logged("controller joined")
     stream = Line(port)
 
     def files() -> dict[str, str]:
