--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -451,7 +451,9 @@
 
 
 def test_an_agent_starts_from_its_stored_view_and_fencing_token(run: Run) -> None:
-    assert run.answers["agent started"]["etag"] == ('"6e61828615b6ac9d28a8e481d93e968ed5d24d6a79e1c6ae0a56fa9f4720e02f"')
+    assert run.answers["agent started"]["etag"] == (
+        '"6e61828615b6ac9d28a8e481d93e968ed5d24d6a79e1c6ae0a56fa9f4720e02f"'
+    )
     assert run.answers["agent joined"]["token"] == 7
 
 
