--- a/onyxhead/settings/controller.py
+++ b/onyxhead/settings/controller.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from onyxhead.configuration_language.evaluator import PlainRecord
 from onyxhead.policy.inputs import AdmissionMode, ChannelLimits, Deployment, RetrySafety, SafetyLimits, TrafficGroup
-from onyxhead.records.meaning import Found
 from onyxhead.settings.fields import RecordReader, ticks_to_seconds
 from onyxhead.settings.model import (
     AccessRule,
@@ -87,7 +87,7 @@
     )
 
 
-def _check_group(reader: RecordReader, name: str, group: Found, zones: tuple[str, ...]) -> None:
+def _check_group(reader: RecordReader, name: str, group: PlainRecord, zones: tuple[str, ...]) -> None:
     for zone in group.get("zones") or ():
         if zone not in zones:
             reader.add_fault(f"zone {zone!r} of {name} is not one of zones", "groups", name, "zones")
@@ -104,7 +104,7 @@
         reader.add_fault(text, "channel", "most_waiting")
 
 
-def _traffic_group(name: str, group: Found, zones: tuple[str, ...]) -> TrafficGroup:
+def _traffic_group(name: str, group: PlainRecord, zones: tuple[str, ...]) -> TrafficGroup:
     return TrafficGroup(
         name=name,
         utility=group["utility"],
@@ -118,7 +118,7 @@
     )
 
 
-def _channel_limits(channel: Found) -> ChannelLimits:
+def _channel_limits(channel: PlainRecord) -> ChannelLimits:
     return ChannelLimits(
         lines_per_second=channel["pace"],
         message_overhead=float(channel["head"]),
@@ -130,7 +130,7 @@
     )
 
 
-def _safety_limits(guards: Found) -> SafetyLimits:
+def _safety_limits(guards: PlainRecord) -> SafetyLimits:
     return SafetyLimits(
         unserved_limit=guards["unserved_limit"],
         drain_grace=guards["drain_grace"],
@@ -153,11 +153,11 @@
     )
 
 
-def _health_checks(probes: Found) -> HealthCheckSettings:
+def _health_checks(probes: PlainRecord) -> HealthCheckSettings:
     return HealthCheckSettings(probes["path"], ticks_to_seconds(probes["timeout"]), probes["at_once"])
 
 
-def _overrides(backends: Found) -> dict[str, ConfiguredBackend]:
+def _overrides(backends: PlainRecord) -> dict[str, ConfiguredBackend]:
     return {name: ConfiguredBackend(own.get("weight", 0.0), own["drained"]) for name, own in backends.items()}
 
 
@@ -174,7 +174,7 @@
     return NetconfSettings(ssh, host_key, tls, users, tuple(_access_rule(rule) for rule in netconf["rules"]))
 
 
-def _access_rule(rule: Found) -> AccessRule:
+def _access_rule(rule: PlainRecord) -> AccessRule:
     return AccessRule(
         name=rule["name"],
         groups=tuple(rule["groups"]),
--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -6,9 +6,11 @@
 import random
 
 from onyxhead.agent.table_replica import AcceptedUpdate, TableReplica
-from onyxhead.controller.core import ControllerCore, Effects, JoinRequest
+from onyxhead.controller.core import ControllerCore
 from onyxhead.controller.delivery_queue import QueuedMessage
+from onyxhead.controller.effects import Effects
 from onyxhead.controller.endpoint_list import EndpointEntry, EndpointList, EndpointListFollower
+from onyxhead.controller.proxies import JoinRequest
 from onyxhead.fronts.files.agent_stream import AgentStream, UpdateEncoder
 from onyxhead.http.messages import (
     JSON_MEDIA_TYPE,
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -17,7 +17,8 @@
 from onyxhead.agent.state_file import decode_state, encode_state
 from onyxhead.agent.table_replica import AcceptedUpdate, TableReplica
 from onyxhead.atomic_files import TEMPORARY_PREFIX, SwapError, remove_temporary_files, replace_files
-from onyxhead.controller import request_statistics
+from onyxhead.controller.load_stats import parse_load_stats
+from onyxhead.controller.request_statistics import BackendStatistics
 from onyxhead.fronts.files import envoy, nginx
 from onyxhead.http.messages import Request, Response
 from onyxhead.policy.decisions import TableAssignment, TableChange, Withdrawal
@@ -336,8 +337,8 @@
         proxy_counters.counter_increments(before, after),
         {"127.0.0.1:9001": 0.5},
     )
-    read = request_statistics.read(json.loads(json.dumps(report)))
-    assert read.backends == {"127.0.0.1:9001": request_statistics.BackendStatistics(6, 1, 500.0, 10_000, 0.5)}
+    read = parse_load_stats(json.loads(json.dumps(report)))
+    assert read.backends == {"127.0.0.1:9001": BackendStatistics(6, 1, 500.0, 10_000, 0.5)}
     assert read.request_counts == {"read": (7, 10_000)}
 
 
