--- a/onyxhead/tables/table_state.py
+++ b/onyxhead/tables/table_state.py
@@ -17,9 +17,6 @@
 from onyxhead.tables.view import View
 from onyxhead.tables.view_format import WEIGHT_SCALE, Path, ViewValue
 
-SharedResults = dict[tuple[object, ...], View]
-"""Views after a change, by the view before and the change: proxies that share tables mostly share both."""
-
 
 class TableState:
     """Tables, admission levels and withdrawals of one controller, and the view of each joined proxy.
@@ -100,7 +97,7 @@
                     self._apply_admission_level(decision, updates)
                 case TableAssignment(proxy) if proxy in self.views:
                     self._apply_assignment(decision, updates.pending(proxy))
-        return self._finish_round(round_number, updates)
+        return updates.finish(round_number, self.views, self._snapshot)
 
     def reconcile(self, capacity: float) -> list[ProxyUpdate]:
         """Updates that bring frozen or released lines to what they should be, as far as they fit into the capacity.
@@ -118,7 +115,7 @@
             self._set_line(tables, table, backend, weight, updates)
         for pending in updates.by_proxy.values():
             pending.line_cost = self.message_overhead + len(pending.changes)
-        return self._finish_round(0, updates)
+        return updates.finish(0, self.views, self._snapshot)
 
     def _apply_withdrawal(self, decision: Withdrawal, updates: RoundUpdates) -> None:
         backend, withdrawn = decision
@@ -151,7 +148,7 @@
     def _apply_admission_level(self, decision: AdmissionLevel, updates: RoundUpdates) -> None:
         for group in decision.groups:
             value = self.admission_levels[decision.table, group] = self._level_value(decision)
-            path = view_format.level_path(self._table_name(decision.table), self.groups[group])
+            path = view_format.level_path(view_format.table_name(decision.table), self.groups[group])
             updates.write(self.proxies_by_table.get(decision.table, ()), path, value)
 
     def _apply_assignment(self, decision: TableAssignment, update: PendingUpdate) -> None:
@@ -161,7 +158,7 @@
             self._unbind(proxy)
         self.proxies_by_table.setdefault(table, set()).add(proxy)
         for group in groups or range(len(self.groups)):
-            update.changes[view_format.binding_path(self.groups[group])] = self._table_name(table)
+            update.changes[view_format.binding_path(self.groups[group])] = view_format.table_name(table)
         lines = self._table_set_of(proxy).lines_by_table.get(table, {})
         levels = sum(1 for level_table, _ in self.admission_levels if level_table == table)
         update.line_cost += 1 + len(lines) + levels + len(set(lines) & set(self.withdrawn))
@@ -170,37 +167,12 @@
         self.revision += 1
         tables.set_line(table, backend, weight)
         proxies = self._proxies_of(tables, table)
-        path = view_format.line_path(self._table_name(table), backend)
-        updates.write(proxies, path, self._line_value(backend, weight) if weight else None)
+        path = view_format.line_path(view_format.table_name(table), backend)
+        updates.write(proxies, path, view_format.line_value(self.addresses[backend], weight) if weight else None)
         if weight and backend in self.withdrawn:
             # Proxies that had no line of the backend were not told of its withdrawal.
             updates.write(proxies, view_format.withdrawal_path(backend), True)
 
-    def _finish_round(self, round_number: int, updates: RoundUpdates) -> list[ProxyUpdate]:
-        shared: SharedResults = {}
-        return [
-            self._finish_update(round_number, proxy, pending, proxy in updates.urgent_proxies, shared)
-            for proxy, pending in updates.by_proxy.items()
-        ]
-
-    def _finish_update(
-        self, round_number: int, proxy: int, pending: PendingUpdate, urgent: bool, shared: SharedResults
-    ) -> ProxyUpdate:
-        base, changes, full, line_cost = self.views[proxy], pending.changes, pending.full, pending.line_cost
-        if full:
-            result = self._snapshot(proxy, changes)
-            # Each line halts the proxy. What it holds already, from whichever controller, need not be sent again: it
-            # told its view at the join, and the digest of the result proves that nothing else is in it.
-            delta = base.changes_to(result)
-            if len(delta) < len(result.entries):
-                full, changes = False, delta
-                line_cost = min(line_cost, self.message_overhead + len(delta))
-        else:
-            key = (id(base), *((path, id(value)) for path, value in changes.items()))
-            result = shared.get(key) or shared.setdefault(key, base.apply(changes))
-        self.views[proxy] = result
-        return ProxyUpdate(proxy, round_number, full, base.etag, result, changes, line_cost + 1, urgent)
-
     def _snapshot(self, proxy: int, changes: dict[Path, ViewValue | None]) -> View:
         """The complete view of a proxy with the bindings among the changes."""
         bindings = {path: table for path, table in changes.items() if path[0] == view_format.BINDINGS}
@@ -209,9 +181,9 @@
             return cached
         entries: dict[Path, ViewValue] = dict(bindings)
         for table in self.tables_of(proxy):
-            name = self._table_name(table)
+            name = view_format.table_name(table)
             for backend, weight in self._table_set_of(proxy).lines_by_table.get(table, {}).items():
-                entries[view_format.line_path(name, backend)] = self._line_value(backend, weight)
+                entries[view_format.line_path(name, backend)] = view_format.line_value(self.addresses[backend], weight)
                 if backend in self.withdrawn:
                     entries[view_format.withdrawal_path(backend)] = True
             for (level_table, group), level in self.admission_levels.items():
@@ -241,12 +213,6 @@
         held = self._table_set_of(proxy).lines_by_table
         return not tables or any(backend in held.get(table, {}) for table in tables)
 
-    def _table_name(self, table: int) -> str:
-        return f"t{table}"
-
-    def _line_value(self, backend: str, weight: int) -> ViewValue:
-        return view_format.line_value(self.addresses[backend], weight)
-
     def _level_value(self, decision: AdmissionLevel) -> ViewValue:
         if self.admission_mode is AdmissionMode.RATE:
             return view_format.rate_value(decision.level, decision.retry_mode)
