--- a/onyxhead/policy/balancer.py
+++ b/onyxhead/policy/balancer.py
@@ -117,7 +117,10 @@
         window: int,
         load: LoadReport,
     ) -> None:
-        """Takes the attempts of the proxies of one zone at a backend in the last `window` ticks."""
+        """Takes the attempts of the proxies of one zone at a backend in the last `window` ticks.
+
+        No decision depends on the zone.
+        """
         known = self.endpoints.by_id.get(backend)
         if known is None:
             return
@@ -161,7 +164,10 @@
         self.channel.forget_proxy(proxy)
 
     def on_acknowledgement(self, now: int, proxy: int, round_number: int, elapsed: int) -> None:
-        """Takes that a proxy has applied its message of a round, `elapsed` ticks after it was sent."""
+        """Takes that a proxy has applied its message of a round, `elapsed` ticks after it was sent.
+
+        No decision depends on the time: the order of acknowledgements tells what has left the channel.
+        """
         self.channel.acknowledge(now, proxy, round_number)
 
     # What hosts read
