--- a/onyxhead/cli/daemons.py
+++ b/onyxhead/cli/daemons.py
@@ -13,7 +13,7 @@
 
 from onyxhead.cli.exits import FaultyInputError, RefusedError
 from onyxhead.cli.options import PATH
-from onyxhead.records.syntax import Faulty
+from onyxhead.configuration_language.terms import InvalidConfigurationError
 from onyxhead.settings import load
 from onyxhead.settings.model import AgentSettings, ControllerSettings, LogSettings
 
@@ -77,8 +77,8 @@
     """Return settings of this kind. Raises FaultyInputError for faulty files, and for settings of the other kind."""
     try:
         settings = load.read_settings(path)
-    except Faulty as error:
-        raise FaultyInputError(*error.faults) from error
+    except InvalidConfigurationError as error:
+        raise FaultyInputError(*error.diagnostics) from error
     if not isinstance(settings, kind):
         raise FaultyInputError(f"{path}:1:1: these are {other_kind} settings")
     return settings
--- a/onyxhead/cli/requests.py
+++ b/onyxhead/cli/requests.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from onyxhead.cli.exits import FaultyInputError, NoAnswerError, RefusedError
+from onyxhead.configuration_language.terms import InvalidConfigurationError
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import HttpError, Request
-from onyxhead.records.syntax import Faulty
 from onyxhead.settings import load
 from onyxhead.settings.model import Address, TlsSettings
 from onyxhead.tables.addresses import parse_address
@@ -64,8 +64,8 @@
         if fleet_file is not None:
             controllers, agents = load.read_operators(fleet_file)
         controllers |= {address: parse_address(address) for address in addresses}
-    except Faulty as error:
-        raise FaultyInputError(*error.faults) from error
+    except InvalidConfigurationError as error:
+        raise FaultyInputError(*error.diagnostics) from error
     except MalformedViewError as error:
         raise FaultyInputError(error) from error
     if not controllers:
--- a/onyxhead/cli/routing.py
+++ b/onyxhead/cli/routing.py
@@ -11,7 +11,7 @@
 from onyxhead.cli.exits import ExitCode, FaultyInputError, RefusedError
 from onyxhead.cli.files import replace_file
 from onyxhead.cli.options import PATH
-from onyxhead.records.syntax import Faulty
+from onyxhead.configuration_language.terms import InvalidConfigurationError
 
 if TYPE_CHECKING:
     from onyxhead.routing.model import Routing
@@ -102,5 +102,5 @@
 
     try:
         return read(file)
-    except Faulty as error:
-        raise FaultyInputError(*error.faults) from error
+    except InvalidConfigurationError as error:
+        raise FaultyInputError(*error.diagnostics) from error
--- a/onyxhead/cli/settings_files.py
+++ b/onyxhead/cli/settings_files.py
@@ -11,7 +11,7 @@
 from onyxhead.cli.files import replace_file
 from onyxhead.cli.options import PATH, json_option
 from onyxhead.cli.output import print_json
-from onyxhead.records.syntax import Fault, Faulty
+from onyxhead.configuration_language.terms import Diagnostic, InvalidConfigurationError
 from onyxhead.settings import load
 
 
@@ -19,14 +19,14 @@
 @click.argument("files", nargs=-1, required=True, type=PATH)
 def check(files: tuple[Path, ...]) -> None:
     """Check settings files; every fault is named with its place."""
-    faults: list[Fault] = []
+    diagnostics: list[Diagnostic] = []
     for path in files:
         try:
             load.read_settings(path)
-        except Faulty as error:
-            faults += error.faults
-    if faults:
-        raise FaultyInputError(*faults)
+        except InvalidConfigurationError as error:
+            diagnostics += error.diagnostics
+    if diagnostics:
+        raise FaultyInputError(*diagnostics)
     click.echo(f"{len(files)} sound")
 
 
@@ -35,30 +35,30 @@
 @click.option("--check", "only_check", is_flag=True, help="Change nothing; exit with 1 if a file is not laid out so.")
 def fmt(files: tuple[Path, ...], only_check: bool) -> None:
     """Lay settings files out evenly. Comments stay, the meaning can't change, and a file with faults is left alone."""
-    from onyxhead.records.layout import laid_out
-    from onyxhead.records.syntax import parse
+    from onyxhead.configuration_language.formatter import format_text
+    from onyxhead.configuration_language.parser import parse
 
-    faults: list[object] = []
+    diagnostics: list[object] = []
     differing: list[Path] = []
     for path in files:
         try:
             text = path.read_bytes().decode()
             parse(text, str(path))
         except (OSError, UnicodeDecodeError) as error:
-            faults.append(f"{path}:1:1: cannot read it: {error}")
+            diagnostics.append(f"{path}:1:1: cannot read it: {error}")
             continue
-        except Faulty as error:
-            faults += error.faults
+        except InvalidConfigurationError as error:
+            diagnostics += error.diagnostics
             continue
-        formatted = laid_out(text)
+        formatted = format_text(text)
         if formatted != text:
             differing.append(path)
             if not only_check:
                 replace_file(path, formatted)
     for path in differing:
         click.echo(f"{path}: {'is not laid out so' if only_check else 'laid out'}")
-    if faults:
-        raise FaultyInputError(*faults)
+    if diagnostics:
+        raise FaultyInputError(*diagnostics)
     sys.exit(ExitCode.REFUSED if only_check and differing else 0)
 
 
@@ -68,28 +68,27 @@
 @json_option
 def diff(one: Path, two: Path, as_json: bool) -> None:
     """Tell what differs in meaning between settings ONE and TWO, and which rules each change presses on."""
-    from onyxhead.records.changes import changes, kinds
-    from onyxhead.records.files import check as check_files
-    from onyxhead.records.files import gather
+    from onyxhead.configuration_language.differences import field_kinds, find_differences
+    from onyxhead.configuration_language.loader import evaluate_files, load_files
 
     records, definitions = [], []
-    faults: list[Fault] = []
+    diagnostics: list[Diagnostic] = []
     for path in (one, two):
         try:
-            files = gather(path)
+            files = load_files(path)
             definition = load.definition_of(files)
             definitions.append(definition)
-            records.append(check_files(files, *definition))
-        except Faulty as error:
-            faults += error.faults
-    if faults:
-        raise FaultyInputError(*faults)
+            records.append(evaluate_files(files, *definition))
+        except InvalidConfigurationError as error:
+            diagnostics += error.diagnostics
+    if diagnostics:
+        raise FaultyInputError(*diagnostics)
     (schema_text, kind), (_, other_kind) = definitions
     if kind != other_kind:
         raise FaultyInputError(f"{one} holds a {kind}, {two} a {other_kind}")
-    differences = changes(records[0], records[1], kinds(schema_text))
+    differences = find_differences(records[0], records[1], field_kinds(schema_text))
     if as_json:
-        print_json([each._asdict() for each in differences])
+        print_json([each.to_json() for each in differences])
     else:
         for each in differences:
             rules = f"  (rule {', '.join(each.rules.split())})" if each.rules else ""
@@ -101,8 +100,8 @@
 @click.argument("kind", type=click.Choice(["controller", "agent", "operators", "routing"]))
 def json_schema(kind: str) -> None:
     """Write the JSON Schema of a kind of settings, for editors."""
-    from onyxhead.records.json_schema import schema
+    from onyxhead.configuration_language.json_schema import json_schema as write_json_schema
     from onyxhead.routing.files import schema as routing_schema
 
     text = routing_schema() if kind == "routing" else load.schema()
-    print_json(schema(text, f"#{kind.capitalize()}"))
+    print_json(write_json_schema(text, f"#{kind.capitalize()}"))
