--- a/onyxhead/keys/authority.py
+++ b/onyxhead/keys/authority.py
@@ -1,13 +1,13 @@
-"""A private authority in a folder: it issues, renews and revokes (RFC 5280). Keys never leave the folder but as files.
+"""A private certificate authority in a folder: it issues, renews and revokes certificates (RFC 5280).
 
-`authorities.pem` holds every authority that is still trusted, the newest first; `revoked.pem` its list of revocations.
+`authorities.pem` holds every authority that is still trusted, the newest first; `revoked.pem` holds the revocation list
+of each. Private keys leave the folder only as files that someone copies.
 """
 
 from __future__ import annotations
 
 import datetime
 import ipaddress
-import json
 import os
 from pathlib import Path
 from typing import Any
@@ -19,158 +19,165 @@
 
 from onyxhead.agent.swap import swap
 from onyxhead.keys.errors import IssuanceError
+from onyxhead.keys.index import CertificateIndex, IssuedCertificate
 
 ROLES = ("controller", "agent", "operator")
-DAY = datetime.timedelta(days=1)
-EARLIER = datetime.timedelta(minutes=5)
-"""Certificates hold from a little before they are made, since clocks are apart."""
+RESERVED_NAMES = ("authority", "authorities", "index", "revoked")
+"""Names of the authority's own files."""
+CLOCK_SKEW = datetime.timedelta(minutes=5)
+"""Certificates are valid from a little before they are made, since clocks differ."""
+REVOCATION_LIST_VALIDITY = datetime.timedelta(days=365)
+AUTHORITY_VALIDITY_DAYS = 3650
+CERTIFICATE_VALIDITY_DAYS = 90
+PRIVATE_FILE_MODE = 0o600
 
 
 class CertificateAuthority:
+    """The authority whose files are in `folder`; `now` is the time that it signs for."""
+
     def __init__(self, folder: Path, now: datetime.datetime | None = None) -> None:
         self.folder = folder
         self.now = now or datetime.datetime.now(datetime.UTC)
 
-    # Files
-
-    def _path(self, name: str) -> Path:
-        return self.folder / name
-
-    def _index(self) -> dict[str, Any]:
-        try:
-            found = json.loads(self._path("index.json").read_text())
-        except (OSError, ValueError) as error:
-            raise IssuanceError(f"{self.folder}: no authority here ({error})") from None
-        assert isinstance(found, dict)
-        return found
-
-    def _write(self, files: dict[str, bytes]) -> None:
-        for name, body in files.items():
-            swap([(self._path(name), body)])
-            if name.endswith(".key"):
-                os.chmod(self._path(name), 0o600)
-
-    def _own(self) -> tuple[ec.EllipticCurvePrivateKey, x509.Certificate]:
-        key = serialization.load_pem_private_key(self._path("authority.key").read_bytes(), None)
-        assert isinstance(key, ec.EllipticCurvePrivateKey)
-        return key, x509.load_pem_x509_certificate(self._path("authority.crt").read_bytes())
-
-    # What it does
-
-    def create(self, name: str, days: int = 3650) -> None:
-        """Makes the authority, or replaces it: the one before stays trusted until `forget`. Raises IssuanceError."""
+    def create(self, name: str, days: int = AUTHORITY_VALIDITY_DAYS) -> None:
+        """Make the authority, or replace it: the one before stays trusted until `forget`. Raises IssuanceError."""
         self.folder.mkdir(parents=True, exist_ok=True)
-        before = self._path("authorities.pem").read_bytes() if self._path("authorities.pem").exists() else b""
-        index: dict[str, Any] = {"issued": {}, "revoked": {}, "number": 0}
-        index = self._index() if before else index
-        index["number"] += 1
+        trusted = self._path("authorities.pem").read_bytes() if self._path("authorities.pem").exists() else b""
+        index = self._read_index() if trusted else CertificateIndex()
+        index.number += 1
         key = ec.generate_private_key(ec.SECP256R1())
-        subject = _name(f"{name} {index['number']}", "authority")
-        made = (
+        subject = _distinguished_name(f"{name} {index.number}", "authority")
+        certificate = (
             self._builder(subject, subject, key, days)
             .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
-            .add_extension(_usage(authority=True), critical=True)
+            .add_extension(_key_usage(authority=True), critical=True)
             .sign(key, hashes.SHA256())
         )
-        pem = made.public_bytes(serialization.Encoding.PEM)
-        files = {"authority.key": _private(key), "authority.crt": pem, "authorities.pem": pem + before}
-        self._write(files | {"index.json": _json(index)})
-        self._revocations(index)
+        pem = certificate.public_bytes(serialization.Encoding.PEM)
+        self._write("authority.key", _private_bytes(key))
+        self._write("authority.crt", pem)
+        self._write("authorities.pem", pem + trusted)
+        self._write("index.json", index.to_json())
+        self._write_revocation_lists(index)
 
     def forget(self) -> None:
-        """Trusts only the newest authority from now on."""
-        self._write({"authorities.pem": self._path("authority.crt").read_bytes()})
-        self._revocations(self._index())
-
-    def issue(self, name: str, role: str, hosts: tuple[str, ...] = (), days: int = 90) -> x509.Certificate:
-        """A new key and certificate in `NAME.key` and `NAME.crt`; renewing is the same. Raises IssuanceError."""
+        """Trust only the newest authority from now on. Raises IssuanceError."""
+        self._write("authorities.pem", self._path("authority.crt").read_bytes())
+        self._write_revocation_lists(self._read_index())
+
+    def issue(
+        self, name: str, role: str, hosts: tuple[str, ...] = (), days: int = CERTIFICATE_VALIDITY_DAYS
+    ) -> x509.Certificate:
+        """Write a new key and certificate to `NAME.key` and `NAME.crt`. Raises IssuanceError."""
         if role not in ROLES:
             raise IssuanceError(f"{role!r} is none of {', '.join(ROLES)}")
-        if not name or "/" in name or name in ("authority", "authorities", "index", "revoked"):
+        if not name or "/" in name or name in RESERVED_NAMES:
             raise IssuanceError(f"{name!r} can't be a name")
-        index, (signer, own) = self._index(), self._own()
+        index, (signing_key, authority) = self._read_index(), self._read_authority()
         key = ec.generate_private_key(ec.SECP256R1())
-        names = [x509.DNSName(name), *map(_host, hosts)]
-        made = (
-            self._builder(_name(name, role), own.subject, key, days)
+        host_names = [x509.DNSName(name), *map(_host_name, hosts)]
+        usages = [ExtendedKeyUsageOID.CLIENT_AUTH, ExtendedKeyUsageOID.SERVER_AUTH]
+        certificate = (
+            self._builder(_distinguished_name(name, role), authority.subject, key, days)
             .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
-            .add_extension(x509.SubjectAlternativeName(names), critical=False)
-            .add_extension(_usage(authority=False), critical=True)
-            .add_extension(
-                x509.ExtendedKeyUsage([ExtendedKeyUsageOID.CLIENT_AUTH, ExtendedKeyUsageOID.SERVER_AUTH]),
-                critical=False,
-            )
-            .sign(signer, hashes.SHA256())
+            .add_extension(x509.SubjectAlternativeName(host_names), critical=False)
+            .add_extension(_key_usage(authority=False), critical=True)
+            .add_extension(x509.ExtendedKeyUsage(usages), critical=False)
+            .sign(signing_key, hashes.SHA256())
         )
-        kept = {"serial": str(made.serial_number), "role": role, "hosts": list(hosts)}
-        index["issued"].setdefault(name, []).append(kept | {"until": made.not_valid_after_utc.isoformat()})
+        until = certificate.not_valid_after_utc.isoformat()
+        issued = IssuedCertificate(list(hosts), role, str(certificate.serial_number), until)
+        index.issued.setdefault(name, []).append(issued)
         # The index first: a certificate that nobody could revoke must not be anywhere.
-        self._write({"index.json": _json(index)})
-        self._write({f"{name}.key": _private(key), f"{name}.crt": made.public_bytes(serialization.Encoding.PEM)})
-        return made
-
-    def renew(self, name: str, days: int = 90) -> x509.Certificate:
-        """A new key and certificate like the last. Raises IssuanceError for a name never issued."""
-        issued = self._index()["issued"].get(name)
-        if not issued:
+        self._write("index.json", index.to_json())
+        self._write(f"{name}.key", _private_bytes(key))
+        self._write(f"{name}.crt", certificate.public_bytes(serialization.Encoding.PEM))
+        return certificate
+
+    def renew(self, name: str, days: int = CERTIFICATE_VALIDITY_DAYS) -> x509.Certificate:
+        """Issue a new key and certificate like the last. Raises IssuanceError for a name that has none."""
+        certificates = self._read_index().issued.get(name)
+        if not certificates:
             raise IssuanceError(f"nothing was issued to {name!r}")
-        return self.issue(name, issued[-1]["role"], tuple(issued[-1]["hosts"]), days)
+        return self.issue(name, certificates[-1].role, tuple(certificates[-1].hosts), days)
 
     def revoke(self, name: str) -> int:
-        """Revokes all that was issued to a name; returns how many were not so yet. Raises IssuanceError."""
-        index = self._index()
-        if name not in index["issued"]:
+        """Revoke all that was issued to a name and return how many were not revoked yet. Raises IssuanceError."""
+        index = self._read_index()
+        if name not in index.issued:
             raise IssuanceError(f"nothing was issued to {name!r}")
-        serials = {each["serial"] for each in index["issued"][name]} - set(index["revoked"])
-        index["revoked"] |= {serial: self.now.isoformat() for serial in sorted(serials)}
-        self._write({"index.json": _json(index)})
-        self._revocations(index)
+        serials = {each.serial for each in index.issued[name]} - set(index.revoked)
+        index.revoked |= {serial: self.now.isoformat() for serial in sorted(serials)}
+        self._write("index.json", index.to_json())
+        self._write_revocation_lists(index)
         return len(serials)
 
     def issued(self) -> list[dict[str, Any]]:
-        index = self._index()
+        """Return all certificates that were issued, by name, as they are shown. Raises IssuanceError."""
+        index = self._read_index()
         return [
-            {"name": name, **each, "revoked": each["serial"] in index["revoked"]}
-            for name, every in sorted(index["issued"].items())
-            for each in every
+            {"name": name, **certificate.to_json(), "revoked": certificate.serial in index.revoked}
+            for name, certificates in sorted(index.issued.items())
+            for certificate in certificates
         ]
 
-    def _revocations(self, index: dict[str, Any]) -> None:
-        key, own = self._own()
-        made = x509.CertificateRevocationListBuilder().issuer_name(own.subject)
-        made = made.last_update(self.now - EARLIER).next_update(self.now + 365 * DAY)
-        for serial, at in index["revoked"].items():
+    def _path(self, name: str) -> Path:
+        return self.folder / name
+
+    def _read_index(self) -> CertificateIndex:
+        try:
+            return CertificateIndex.from_json(self._path("index.json").read_text())
+        except (OSError, ValueError) as error:
+            raise IssuanceError(f"{self.folder}: no authority here ({error})") from error
+
+    def _write(self, name: str, body: bytes) -> None:
+        swap([(self._path(name), body)])
+        if name.endswith(".key"):
+            os.chmod(self._path(name), PRIVATE_FILE_MODE)
+
+    def _read_authority(self) -> tuple[ec.EllipticCurvePrivateKey, x509.Certificate]:
+        """Return the key and the certificate of the newest authority."""
+        key = serialization.load_pem_private_key(self._path("authority.key").read_bytes(), None)
+        assert isinstance(key, ec.EllipticCurvePrivateKey)
+        return key, x509.load_pem_x509_certificate(self._path("authority.crt").read_bytes())
+
+    def _write_revocation_lists(self, index: CertificateIndex) -> None:
+        key, authority = self._read_authority()
+        builder = x509.CertificateRevocationListBuilder().issuer_name(authority.subject)
+        builder = builder.last_update(self.now - CLOCK_SKEW).next_update(self.now + REVOCATION_LIST_VALIDITY)
+        for serial, revoked_at in index.revoked.items():
             entry = x509.RevokedCertificateBuilder().serial_number(int(serial))
-            made = made.add_revoked_certificate(entry.revocation_date(datetime.datetime.fromisoformat(at)).build())
-        body = made.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
-        # Each trusted authority needs its own list, or nothing that it signed would be taken.
-        name = f"revoked-{index['number']}.pem"
-        self._write({name: body})
+            entry = entry.revocation_date(datetime.datetime.fromisoformat(revoked_at))
+            builder = builder.add_revoked_certificate(entry.build())
+        body = builder.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
+        self._write(f"revoked-{index.number}.pem", body)
+        # Each trusted authority needs a list of its own, or none of its certificates would be accepted.
         trusted = self._path("authorities.pem").read_bytes().count(b"BEGIN CERTIFICATE")
-        numbers = range(index["number"], index["number"] - trusted, -1)
-        self._write({"revoked.pem": b"".join(self._path(f"revoked-{n}.pem").read_bytes() for n in numbers)})
+        numbers = range(index.number, index.number - trusted, -1)
+        self._write("revoked.pem", b"".join(self._path(f"revoked-{n}.pem").read_bytes() for n in numbers))
 
     def _builder(
         self, subject: x509.Name, issuer: x509.Name, key: ec.EllipticCurvePrivateKey, days: int
     ) -> x509.CertificateBuilder:
         builder = x509.CertificateBuilder().subject_name(subject).issuer_name(issuer).public_key(key.public_key())
         builder = builder.serial_number(x509.random_serial_number())
-        return builder.not_valid_before(self.now - EARLIER).not_valid_after(self.now + days * DAY)
+        expires = self.now + datetime.timedelta(days=days)
+        return builder.not_valid_before(self.now - CLOCK_SKEW).not_valid_after(expires)
 
 
-def _name(name: str, role: str) -> x509.Name:
+def _distinguished_name(name: str, role: str) -> x509.Name:
     parts = ((NameOID.ORGANIZATIONAL_UNIT_NAME, role), (NameOID.COMMON_NAME, name))
     return x509.Name([x509.NameAttribute(oid, value) for oid, value in parts])
 
 
-def _host(host: str) -> x509.GeneralName:
+def _host_name(host: str) -> x509.GeneralName:
     try:
         return x509.IPAddress(ipaddress.ip_address(host))
     except ValueError:
         return x509.DNSName(host)
 
 
-def _usage(authority: bool) -> x509.KeyUsage:
+def _key_usage(authority: bool) -> x509.KeyUsage:
     return x509.KeyUsage(
         digital_signature=not authority,
         content_commitment=False,
@@ -184,11 +191,7 @@
     )
 
 
-def _private(key: ec.EllipticCurvePrivateKey) -> bytes:
+def _private_bytes(key: ec.EllipticCurvePrivateKey) -> bytes:
     return key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
-
-
-def _json(value: object) -> bytes:
-    return json.dumps(value, indent=1, sort_keys=True).encode()
--- a/onyxhead/operate/drift.py
+++ b/onyxhead/operate/drift.py
@@ -1,5 +1,6 @@
-"""Where the members of a fleet differ: between controllers, between books and proxies, between views and files. No
-I/O."""
+"""Where the members of a fleet differ: between controllers, between controllers and proxies, between a proxy's table
+and its files. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +9,11 @@
 from typing import Any, NamedTuple
 
 State = Mapping[str, Any]
+"""A member's answer to `/v1/state`."""
+
+COMPARED_FIELDS = ("address", "ready", "draining", "withdrawn")
+"""What controllers should agree on for each backend."""
+SHORT_TAG_LENGTH = 13
 
 
 class Difference(NamedTuple):
@@ -27,22 +33,22 @@
 
 
 def find_differences(controllers: Mapping[str, State | None], agents: Mapping[str, State | None]) -> list[Difference]:
-    """What differs, by the members' own states; None stands for one that gave none."""
-    found = [
+    """Return what differs by the members' own states, in order; None stands for a member that gave none."""
+    differences = [
         Difference("silent", name, "gave no state", False)
         for name, state in {**controllers, **agents}.items()
         if state is None
     ]
-    known = {name: state for name, state in controllers.items() if state is not None}
-    spoke = {name: state for name, state in agents.items() if state is not None}
-    found += _lists(known)
-    found += _backends(known)
-    found += _proxies(known, spoke)
-    return sorted(found)
+    known_controllers = {name: state for name, state in controllers.items() if state is not None}
+    known_agents = {name: state for name, state in agents.items() if state is not None}
+    differences += _compare_endpoint_lists(known_controllers)
+    differences += _compare_backends(known_controllers)
+    differences += _compare_proxies(known_controllers, known_agents)
+    return sorted(differences)
 
 
-def _lists(known: Mapping[str, State]) -> list[Difference]:
-    versions = {name: state["list"]["version"] for name, state in known.items()}
+def _compare_endpoint_lists(controllers: Mapping[str, State]) -> list[Difference]:
+    versions = {name: state["list"]["version"] for name, state in controllers.items()}
     if len(set(versions.values())) <= 1:
         return []
     newest = max((version for version in versions.values() if version is not None), default=None)
@@ -53,55 +59,66 @@
     ]
 
 
-def _backends(known: Mapping[str, State]) -> list[Difference]:
-    found = []
-    names = sorted({backend for state in known.values() for backend in state["backends"]})
-    for backend in names:
-        said = {name: state["backends"].get(backend) for name, state in known.items()}
-        for key in ("address", "ready", "draining", "withdrawn"):
-            values = {name: own[key] for name, own in said.items() if own is not None}
-            if len({str(value) for value in values.values()}) > 1:
-                usual = Counter(map(str, values.values())).most_common(1)[0][0]
-                odd = {name: value for name, value in values.items() if str(value) != usual}
-                told = ", ".join(f"{name}: {value}" for name, value in sorted(odd.items()))
-                found.append(Difference("backend", backend, f"{key} is {usual}, but {told}", key != "address"))
-        missing = [name for name, own in said.items() if own is None]
-        if missing and any(own is not None and own["ready"] for own in said.values()):
-            found.append(Difference("backend", backend, f"not known to {', '.join(missing)}", True))
-    return found
-
-
-def _proxies(known: Mapping[str, State], spoke: Mapping[str, State]) -> list[Difference]:
-    found = []
-    leads: dict[str, list[str]] = {}
-    for name, state in known.items():
+def _compare_backends(controllers: Mapping[str, State]) -> list[Difference]:
+    differences = []
+    for backend in sorted({backend for state in controllers.values() for backend in state["backends"]}):
+        views = {name: state["backends"].get(backend) for name, state in controllers.items()}
+        known = {name: view for name, view in views.items() if view is not None}
+        differences += [
+            Difference("backend", backend, description, field != "address")
+            for field in COMPARED_FIELDS
+            if (description := _describe_minority(field, known)) is not None
+        ]
+        missing = [name for name, view in views.items() if view is None]
+        if missing and any(view["ready"] for view in known.values()):
+            differences.append(Difference("backend", backend, f"not known to {', '.join(missing)}", True))
+    return differences
+
+
+def _describe_minority(field: str, views: Mapping[str, State]) -> str | None:
+    """Return which controllers have another value than most, None if all have the same."""
+    values = {name: str(view[field]) for name, view in views.items()}
+    if len(set(values.values())) <= 1:
+        return None
+    majority = Counter(values.values()).most_common(1)[0][0]
+    others = ", ".join(f"{name}: {value}" for name, value in sorted(values.items()) if value != majority)
+    return f"{field} is {majority}, but {others}"
+
+
+def _compare_proxies(controllers: Mapping[str, State], agents: Mapping[str, State]) -> list[Difference]:
+    differences = []
+    owners: dict[str, list[str]] = {}
+    for name, state in controllers.items():
         for proxy in state["proxies"]:
-            leads.setdefault(proxy, []).append(name)
-    for proxy, names in sorted(leads.items()):
+            owners.setdefault(proxy, []).append(name)
+    for proxy, names in sorted(owners.items()):
         if len(names) > 1:
-            found.append(Difference("proxy", proxy, f"counted by {' and '.join(sorted(names))}", True))
-        if proxy not in spoke:
-            continue
-        agent = spoke[proxy]
-        books = [known[name]["proxies"][proxy]["tag"] for name in names]
-        if agent["tag"] not in books and any(books):
-            found.append(Difference("proxy", proxy, f"holds {agent['tag'][:13]}, the books say {books[0][:13]}", True))
-        if agent.get("files") not in (None, agent["tag"]):
-            found.append(
-                Difference(
-                    "files",
-                    proxy,
-                    f"its files are of {str(agent['files'])[:13]}, its view is {agent['tag'][:13]}",
-                    True,
-                )
-            )
-    for proxy in sorted(spoke.keys() - leads.keys()):
-        if known:
-            found.append(Difference("proxy", proxy, "no controller that answered counts it", True))
-    return found
+            differences.append(Difference("proxy", proxy, f"counted by {' and '.join(sorted(names))}", True))
+        if proxy in agents:
+            recorded_tags = [controllers[name]["proxies"][proxy]["tag"] for name in names]
+            differences += _compare_tags(proxy, agents[proxy], recorded_tags)
+    if controllers:
+        differences += [
+            Difference("proxy", proxy, "no controller that answered counts it", True)
+            for proxy in sorted(agents.keys() - owners.keys())
+        ]
+    return differences
+
+
+def _compare_tags(proxy: str, agent: State, recorded_tags: list[str]) -> list[Difference]:
+    """Compare the tag of a proxy's table with those that controllers recorded, and with that of its files."""
+    differences = []
+    tag, files_tag = agent["tag"], agent.get("files")
+    if tag not in recorded_tags and any(recorded_tags):
+        description = f"holds {tag[:SHORT_TAG_LENGTH]}, the books say {recorded_tags[0][:SHORT_TAG_LENGTH]}"
+        differences.append(Difference("proxy", proxy, description, True))
+    if files_tag not in (None, tag):
+        description = f"its files are of {str(files_tag)[:SHORT_TAG_LENGTH]}, its view is {tag[:SHORT_TAG_LENGTH]}"
+        differences.append(Difference("files", proxy, description, True))
+    return differences
 
 
 def lasting_differences(first: list[Difference], second: list[Difference]) -> list[Difference]:
-    """Of two looks a moment apart: what is in both, and what does not settle by itself."""
+    """Of two comparisons a moment apart, return those in both, and those that are not transient."""
     before = {(each.kind, each.subject) for each in first}
     return [each for each in second if not each.transient or (each.kind, each.subject) in before]
--- a/onyxhead/settings/fields.py
+++ b/onyxhead/settings/fields.py
@@ -29,7 +29,7 @@
             raise InvalidConfigurationError(self.diagnostics)
 
     def address(self, text: str, *path: str, any_port: bool = False) -> Address:
-        """Return host and port of "host:port", or add a diagnostic at `path`; port 0 is allowed with `any_port` only."""
+        """Return host and port of "host:port", or add a diagnostic at `path`; only `any_port` allows port 0."""
         if any_port and text.endswith(":0"):
             return parse_address(text[:-1] + "1")[0], 0
         try:
