--- a/onyxhead/console/__init__.py
+++ b/onyxhead/console/__init__.py
@@ -1,1 +1,1 @@
-"""A terminal console over a fleet, from the controllers' records only."""
+"""A terminal console over a fleet, from the controllers' answers only."""
--- /dev/null
+++ b/onyxhead/console/alarms.py
@@ -0,0 +1,76 @@
+"""What an operator should look at, by the members' answers. No I/O."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from onyxhead.console.snapshot import Snapshots, State
+
+MAX_LIST_AGE_S = 60.0
+MAX_QUEUE_FRACTION = 0.7
+"""Of the channel's queue; above this fraction updates may be late."""
+MAX_JOIN_S = 3.0
+"""A proxy should have its tables this long after it joined."""
+MAX_NAMES = 6
+"""Backends that an alarm names."""
+
+
+class Alarm(NamedTuple):
+    """One thing to look at; `severe` if service suffers, or one of the five rules may be broken."""
+
+    severe: bool
+    subject: str
+    text: str
+
+
+def find_alarms(snapshots: Snapshots) -> list[Alarm]:
+    """Return all alarms, the severe ones first."""
+    alarms: list[Alarm] = []
+    owners: dict[str, list[str]] = {}
+    for name, snapshot in snapshots.items():
+        state = snapshot.current_state
+        if state is None:
+            alarms.append(Alarm(True, name, "does not answer; what it does is not known"))
+            continue
+        alarms += _member_alarms(name, state)
+        for proxy in state["proxies"]:
+            owners.setdefault(proxy, []).append(name)
+    alarms += [
+        Alarm(False, proxy, f"counted by {' and '.join(names)}") for proxy, names in owners.items() if len(names) > 1
+    ]
+    return sorted(set(alarms), key=lambda alarm: (not alarm.severe, alarm.subject, alarm.text))
+
+
+def _member_alarms(name: str, state: State) -> list[Alarm]:
+    return [*_channel_and_store_alarms(name, state), *_service_alarms(name, state)]
+
+
+def _channel_and_store_alarms(name: str, state: State) -> list[Alarm]:
+    alarms = []
+    channel, list_age, store = state["channel"], state["list"]["age_s"], state["store"]
+    if channel["waiting"] > MAX_QUEUE_FRACTION * channel["most"]:
+        alarms.append(Alarm(True, name, f"{channel['waiting']:.0f} of {channel['most']:.0f} lines wait (rule 5)"))
+    if list_age is None or list_age > MAX_LIST_AGE_S:
+        when = "never" if list_age is None else f"{list_age:.0f} s ago"
+        alarms.append(Alarm(False, name, f"heard a list {when}"))
+    if store["failing"]:
+        alarms.append(Alarm(True, name, f"its store takes nothing: {store['failing']}"))
+    if store["dropped"]:
+        alarms.append(Alarm(False, name, f"{store['dropped']} records were lost"))
+    return alarms
+
+
+def _service_alarms(name: str, state: State) -> list[Alarm]:
+    alarms = []
+    if state.get("held"):
+        alarms.append(Alarm(False, name, f"tables are held as in version {state['held']}"))
+    if state["backends"] and not any(each["ready"] and each["lines"] for each in state["backends"].values()):
+        alarms.append(Alarm(True, name, "no backend is in (rule 1)"))
+    waiting = sum(not proxy["bound"] and proxy["joined_for_s"] > MAX_JOIN_S for proxy in state["proxies"].values())
+    if waiting:
+        alarms.append(Alarm(False, name, f"{waiting} proxies wait for their tables"))
+    overrides = state.get("operators") or {}
+    for kind in ("drained", "cordoned"):
+        if backends := overrides.get(kind):
+            alarms.append(Alarm(False, name, f"{kind} by an operator: {' '.join(backends[:MAX_NAMES])}"))
+    return alarms
--- a/onyxhead/console/rows.py
+++ b/onyxhead/console/rows.py
@@ -1,135 +1,141 @@
-"""What the console shows, as rows of short text; and what is wrong. No I/O.
+"""What the console shows, as rows of short text. No I/O.
 
-What a member has not told is shown as not known with its age, never as it was."""
+What a member has not told lately is shown as not known with its age, never as it was.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-from typing import Any, NamedTuple
+from typing import Any
 
-STALE = 10.0
-LIST_OLD = 60.0
-FULL = 0.7
-UNSAID = "?"
+from onyxhead.console.snapshot import Snapshots, State, current_states
 
+Row = tuple[str, ...]
 
-class Told(NamedTuple):
-    """A member's last answers, and how many seconds ago they came; None for one that never answered."""
+UNKNOWN = "?"
+FULL_WEIGHT = 1_000_000
+"""A line's weight is in millionths."""
+MIN_CREDIBILITY = 0.5
+"""Of a backend's load reports; below it the doubt is shown."""
+MAX_ROUNDS = 200
 
-    state: Mapping[str, Any] | None
-    orders: list[Mapping[str, Any]]
-    load: Mapping[str, Any] | None
-    age: float
 
-
-class Alarm(NamedTuple):
-    """`grave`: service suffers or a rule may."""
-
-    grave: bool
-    where: str
-    text: str
-
-
-def fleet(told: Mapping[str, Told]) -> list[tuple[str, ...]]:
-    """Member, age of its word, life, list, proxies, channel, version or what holds the tables."""
-    rows: list[tuple[str, ...]] = []
-    for name, own in sorted(told.items()):
-        if own.state is None or own.age > STALE:
-            since = "never heard" if own.state is None else f"silent for {own.age:.0f} s"
-            rows.append((name, since, *[UNSAID] * 5))
+def fleet_rows(snapshots: Snapshots) -> list[Row]:
+    """Return member, age of its answer, epoch, list, proxies, channel, and version or what holds the tables."""
+    rows: list[Row] = []
+    for name, snapshot in sorted(snapshots.items()):
+        state = snapshot.current_state
+        if state is None:
+            silent = "never heard" if snapshot.state is None else f"silent for {snapshot.age:.0f} s"
+            rows.append((name, silent, *[UNKNOWN] * 5))
             continue
-        state = own.state
         channel = state["channel"]
-        held = (
-            f"held at {state['held']}"
-            if state.get("held")
-            else f"trying {state['trial']}"
-            if state.get("trial")
-            else str(state["version"])
-        )
         rows.append(
             (
                 name,
-                f"{own.age:.0f} s",
+                f"{snapshot.age:.0f} s",
                 str(state["epoch"]),
                 f"{state['list']['version']}",
                 str(len(state["proxies"])),
                 f"{channel['waiting']:.0f}/{channel['most']:.0f}",
-                held,
+                _table_version(state),
             )
         )
     return rows
 
 
-def backends(told: Mapping[str, Told]) -> list[tuple[str, ...]]:
-    """Backend, zone, how each member has it, weight where they agree, busy share, whether its word is doubted."""
-    known = {name: own.state for name, own in sorted(told.items()) if own.state is not None and own.age <= STALE}
-    rows: list[tuple[str, ...]] = []
-    for backend in sorted({each for state in known.values() for each in state["backends"]}):
-        said = {name: state["backends"].get(backend) for name, state in known.items()}
-        states = {name: _state(own, state) for (name, own), state in zip(said.items(), known.values(), strict=True)}
-        one = set(states.values())
-        zone = next(own["zone"] for own in said.values() if own is not None)
-        lines = {
-            str(weight / 1_000_000) for own in said.values() if own is not None for weight in own["lines"].values()
-        }
-        weight = f"{float(lines.pop()):.2f}" if len(lines) == 1 else "-" if not lines else "varies"
-        load = next(
-            (
-                own.load["backends"].get(backend)
-                for own in told.values()
-                if own.load is not None and own.age <= STALE and backend in own.load["backends"]
-            ),
-            None,
-        )
-        busy = f"{load['busy']['value']:.0%}" if load and load.get("busy") else "-"
-        word = load["why"] if load and load["trust"] < 0.5 else ""
-        shown = one.pop() if len(one) == 1 else " ".join(f"{name}:{state}" for name, state in states.items())
-        rows.append((backend, zone, shown, weight, busy, word))
+def _table_version(state: State) -> str:
+    if state.get("held"):
+        return f"held at {state['held']}"
+    if state.get("trial"):
+        return f"trying {state['trial']}"
+    return str(state["version"])
+
+
+def backend_rows(snapshots: Snapshots) -> list[Row]:
+    """Return backend, zone, its state at each member, weight where they agree, utilization, doubt of its reports."""
+    states = current_states(snapshots)
+    rows: list[Row] = []
+    for backend in sorted({each for state in states.values() for each in state["backends"]}):
+        views = {name: state["backends"].get(backend) for name, state in states.items()}
+        known = [view for view in views.values() if view is not None]
+        load = _load_of(backend, snapshots)
+        utilization = f"{load['busy']['value']:.0%}" if load and load.get("busy") else "-"
+        doubt = load["why"] if load and load["trust"] < MIN_CREDIBILITY else ""
+        rows.append((backend, known[0]["zone"], _combined_state(views), _combined_weight(known), utilization, doubt))
     return rows
 
 
-def _state(own: Mapping[str, Any] | None, state: Mapping[str, Any]) -> str:
-    if own is None:
+def _load_of(backend: str, snapshots: Snapshots) -> State | None:
+    """Return the load of a backend by the first member that has a current estimate."""
+    for snapshot in snapshots.values():
+        if snapshot.load is not None and snapshot.current_state is not None and backend in snapshot.load["backends"]:
+            load: State | None = snapshot.load["backends"].get(backend)
+            return load
+    return None
+
+
+def _combined_state(views: dict[str, State | None]) -> str:
+    """Return the state of a backend where all members agree, or each member's."""
+    states = {name: _backend_state(view) for name, view in views.items()}
+    if len(set(states.values())) == 1:
+        return next(iter(states.values()))
+    return " ".join(f"{name}:{state}" for name, state in states.items())
+
+
+def _combined_weight(views: list[State]) -> str:
+    weights = {weight / FULL_WEIGHT for view in views for weight in view["lines"].values()}
+    if not weights:
+        return "-"
+    return f"{weights.pop():.2f}" if len(weights) == 1 else "varies"
+
+
+def _backend_state(view: State | None) -> str:
+    if view is None:
         return "unlisted"
-    if own["withdrawn"]:
+    if view["withdrawn"]:
         return "out"
-    if own["draining"]:
+    if view["draining"]:
         return "draining"
-    return "in" if own["ready"] and own["lines"] else "waiting" if own["ready"] else "gone"
+    if not view["ready"]:
+        return "gone"
+    return "in" if view["lines"] else "waiting"
+
+
+def proxy_rows(snapshots: Snapshots) -> list[Row]:
+    """Return proxy, its member, zone, time since it joined, whether it has tables, the last round it applied."""
+    rows: list[Row] = []
+    for name, state in current_states(snapshots).items():
+        for proxy, view in state["proxies"].items():
+            bound = "bound" if view["bound"] else "waits"
+            rows.append((proxy, name, view["zone"], f"{view['joined_for_s']:.0f} s", bound, str(view["turn"])))
+    return sorted(rows)
 
 
-def proxies(told: Mapping[str, Told]) -> list[tuple[str, ...]]:
-    """Proxy, who counts it, zone, since when, whether it is bound, the last turn it applied."""
-    rows: list[tuple[str, ...]] = []
-    for name, own in sorted(told.items()):
-        if own.state is None or own.age > STALE:
-            continue
-        for proxy, each in own.state["proxies"].items():
-            bound = "bound" if each["bound"] else "waits"
-            rows.append((proxy, name, each["zone"], f"{each['joined_for_s']:.0f} s", bound, str(each["turn"])))
-    return sorted(rows)
+def round_rows(snapshots: Snapshots, now: float, limit: int = MAX_ROUNDS) -> list[Row]:
+    """Return the last decision rounds of all members, newest first: age, member, causes, decisions."""
+    rounds = [(float(each["at"]), name, each) for name, snapshot in snapshots.items() for each in snapshot.rounds]
+    newest = sorted(rounds, key=lambda entry: -entry[0])[:limit]
+    return [
+        (_format_age(now - at), name, ", ".join(each["causes"]) or "time", _format_decisions(each))
+        for at, name, each in newest
+    ]
 
 
-def orders(told: Mapping[str, Told], now: float, most: int = 200) -> list[tuple[str, ...]]:
-    """The last orders of all members, newest first: how long ago, whose, why, what."""
-    found = [(float(order["at"]), name, order) for name, own in told.items() for order in own.orders]
-    rows: list[tuple[str, ...]] = []
-    for at, name, order in sorted(found, key=lambda each: -each[0])[:most]:
-        what = (
-            "damaged record"
-            if order.get("sound") is False
-            else "; ".join(_decision(each) for each in order["decisions"])
-        )
-        rows.append((f"{max(0.0, now - at):.0f} s", name, ", ".join(order["causes"]) or "time", what))
-    return rows
+def _format_age(seconds: float) -> str:
+    return f"{max(0.0, seconds):.0f} s"
+
 
+def _format_decisions(decision_round: State) -> str:
+    if decision_round.get("sound") is False:
+        return "damaged record"
+    return "; ".join(_format_decision(each) for each in decision_round["decisions"])
 
-def _decision(decision: list[Any]) -> str:
+
+def _format_decision(decision: list[Any]) -> str:
     match decision:
         case ["lines", table, changed]:
             return f"t{table}: " + " ".join(f"{backend}={weight:g}" for backend, weight in changed.items())
-        case ["level", table, groups, level, _tries]:
+        case ["level", table, groups, level, _retry_mode]:
             return f"t{table}: groups {groups} let in {level:.0%}"
         case ["assign", proxy, table, _groups]:
             return f"proxy {proxy} gets t{table}"
@@ -138,62 +144,15 @@
     return str(decision)
 
 
-def course(told: Mapping[str, Told], backend: str, now: float) -> list[tuple[str, ...]]:
-    """One backend's orders, newest first."""
-    found = []
-    for name, own in told.items():
-        for order in own.orders:
-            for decision in order["decisions"]:
-                if decision[0] in ("withdraw", "readmit") and decision[1] == backend:
-                    found.append((float(order["at"]), name, str(decision[0])))
-                elif decision[0] == "lines" and backend in decision[2]:
-                    found.append((float(order["at"]), name, f"{decision[2][backend]:g} in t{decision[1]}"))
-    return [(f"{max(0.0, now - at):.0f} s", name, what) for at, name, what in sorted(found, reverse=True)]
-
-
-def alarms(told: Mapping[str, Told]) -> list[Alarm]:
-    """What an operator should look at, the gravest first."""
-    found: list[Alarm] = []
-    known = {}
-    for name, own in told.items():
-        if own.state is None or own.age > STALE:
-            found.append(Alarm(True, name, "does not answer; what it does is not known"))
-        else:
-            known[name] = own.state
-    for name, state in known.items():
-        found += _alarms(name, state)
-    counted: dict[str, list[str]] = {}
-    for name, state in known.items():
-        for proxy in state["proxies"]:
-            counted.setdefault(proxy, []).append(name)
-    found += [
-        Alarm(False, proxy, f"counted by {' and '.join(names)}") for proxy, names in counted.items() if len(names) > 1
-    ]
-    return sorted(set(found), key=lambda alarm: (not alarm.grave, alarm.where, alarm.text))
-
-
-def _alarms(name: str, state: Mapping[str, Any]) -> list[Alarm]:
-    found = []
-    channel, listed, store = state["channel"], state["list"], state["store"]
-    if channel["waiting"] > FULL * channel["most"]:
-        found.append(Alarm(True, name, f"{channel['waiting']:.0f} of {channel['most']:.0f} lines wait (rule 5)"))
-    if listed["age_s"] is None or listed["age_s"] > LIST_OLD:
-        age = "never" if listed["age_s"] is None else f"{listed['age_s']:.0f} s ago"
-        found.append(Alarm(False, name, f"heard a list {age}"))
-    if store["failing"]:
-        found.append(Alarm(True, name, f"its store takes nothing: {store['failing']}"))
-    if store["dropped"]:
-        found.append(Alarm(False, name, f"{store['dropped']} records were lost"))
-    if state.get("held"):
-        found.append(Alarm(False, name, f"tables are held as in version {state['held']}"))
-    ready = [own for own in state["backends"].values() if own["ready"] and own["lines"]]
-    if state["backends"] and not ready:
-        found.append(Alarm(True, name, "no backend is in (rule 1)"))
-    waits = sum(not own["bound"] and own["joined_for_s"] > 3 for own in state["proxies"].values())
-    if waits:
-        found.append(Alarm(False, name, f"{waits} proxies wait for their tables"))
-    orders = state.get("operators") or {}
-    for what in ("drained", "cordoned"):
-        if orders.get(what):
-            found.append(Alarm(False, name, f"{what} by an operator: {' '.join(orders[what][:6])}"))
-    return found
+def backend_history_rows(snapshots: Snapshots, backend: str, now: float) -> list[Row]:
+    """Return the decisions on one backend, newest first: age, member, decision."""
+    entries = []
+    for name, snapshot in snapshots.items():
+        for each in snapshot.rounds:
+            for decision in each["decisions"]:
+                match decision:
+                    case ["withdraw" | "readmit" as verb, subject] if subject == backend:
+                        entries.append((float(each["at"]), name, str(verb)))
+                    case ["lines", table, changed] if backend in changed:
+                        entries.append((float(each["at"]), name, f"{changed[backend]:g} in t{table}"))
+    return [(_format_age(now - at), name, text) for at, name, text in sorted(entries, reverse=True)]
--- a/onyxhead/incident/backend_states.py
+++ b/onyxhead/incident/backend_states.py
@@ -44,12 +44,12 @@
 
     In a gap it is not known.
     """
-    kept = list(periods)
+    stored = list(periods)
     gaps: dict[str, list[Gap]] = defaultdict(list)
-    for gap in find_gaps(kept, since, until):
+    for gap in find_gaps(stored, since, until):
         gaps[gap.controller].append(gap)
     history: StateHistory = defaultdict(dict)
-    for period in kept:
+    for period in stored:
         for backend, changes in _state_changes(period).items():
             history[backend][period.name] = _intervals(changes, gaps[period.name], since, until)
     return dict(sorted(history.items()))
--- a/onyxhead/settings/controller.py
+++ b/onyxhead/settings/controller.py
@@ -68,7 +68,7 @@
         _check_group(reader, name, group, zones)
     _check_channel(reader)
     reader.raise_diagnostics()
-    tries = record["tries"]
+    retries = record["tries"]
     return Deployment(
         zone=zones.index(record["zone"]),
         zone_count=len(zones),
@@ -78,9 +78,9 @@
         channel=_channel_limits(record["channel"]),
         safety=_safety_limits(record["guards"]),
         admission_mode=ADMISSION_MODES[record["throttle"]],
-        default_retry_mode=tries["usual"],
-        attempt_timeout_factor=tries["stretch"],
-        proxy_ejection_failures=tries["avoided_after"],
+        default_retry_mode=retries["usual"],
+        attempt_timeout_factor=retries["stretch"],
+        proxy_ejection_failures=retries["avoided_after"],
         report_interval=record["report_every"],
         health_checks_allowed=record["probes"]["allowed"],
         subscription_required=record["discovery"]["subscribe"],
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,13 +1,14 @@
-"""The console: what its rows say of members that are silent, differ or are in trouble, and that it fits a small terminal."""
+"""The console: rows and alarms for members that are silent, differ or have faults, and a small terminal."""
 
 from __future__ import annotations
 
 import asyncio
 from typing import Any
 
-from onyxhead.console import rows
+from onyxhead.console.alarms import find_alarms
 from onyxhead.console.app import TABS, Console
-from onyxhead.console.rows import Told
+from onyxhead.console.rows import backend_history_rows, backend_rows, fleet_rows, proxy_rows, round_rows
+from onyxhead.console.snapshot import MemberSnapshot
 
 LINE = {
     "address": "a:1",
@@ -35,7 +36,7 @@
     return usual | more
 
 
-ORDER = {
+ROUND = {
     "at": 990.0,
     "causes": ["list: 1 changes"],
     "decisions": [["withdraw", "b2"], ["lines", 0, {"b1": 0.5}], ["level", 0, [1], 0.25, 1]],
@@ -48,42 +49,49 @@
 }
 
 
-def told(**members: Told) -> dict[str, Told]:
+def snapshots(**members: MemberSnapshot) -> dict[str, MemberSnapshot]:
     return members
 
 
-def test_a_member_that_does_not_answer_is_not_known_and_never_as_it_was() -> None:
-    shown = rows.fleet(
-        told(c1=Told(state(), [], None, 1.0), c2=Told(None, [], None, 0.0), c3=Told(state(), [], None, 60.0))
+def test_the_state_of_a_silent_member_is_shown_as_unknown() -> None:
+    shown = fleet_rows(
+        snapshots(
+            c1=MemberSnapshot(state(), [], None, 1.0),
+            c2=MemberSnapshot(None, [], None, 0.0),
+            c3=MemberSnapshot(state(), [], None, 60.0),
+        )
     )
     assert shown[0] == ("c1", "1 s", "2", "7", "1", "10/2000", "12")
     assert shown[1] == ("c2", "never heard", *"?????") and shown[2] == ("c3", "silent for 60 s", *"?????")
-    gone = told(c3=Told(state(), [], LOAD, 60.0))
-    assert (
-        rows.backends(gone) == [] and rows.proxies(gone) == [] and [each.grave for each in rows.alarms(gone)] == [True]
-    )
+    gone = snapshots(c3=MemberSnapshot(state(), [], LOAD, 60.0))
+    assert backend_rows(gone) == [] and proxy_rows(gone) == [] and [each.severe for each in find_alarms(gone)] == [True]
 
 
-def test_backends_show_where_members_differ_and_whose_word_is_doubted() -> None:
+def test_backend_rows_show_where_members_differ_and_whose_reports_are_doubted() -> None:
     other = state(backends={"b1": LINE | {"draining": True, "ready": False, "lines": {}}, "b3": LINE | {"lines": {}}})
     shown = {
-        row[0]: row[1:] for row in rows.backends(told(c1=Told(state(), [], LOAD, 1.0), c2=Told(other, [], None, 1.0)))
+        row[0]: row[1:]
+        for row in backend_rows(
+            snapshots(c1=MemberSnapshot(state(), [], LOAD, 1.0), c2=MemberSnapshot(other, [], None, 1.0))
+        )
     }
     assert shown["b1"] == ("north", "c1:in c2:draining", "1.00", "42%", "answers are later than its word allows")
     assert shown["b2"][1] == "c1:out c2:unlisted" and shown["b3"][1] == "c1:unlisted c2:waiting"
 
 
-def test_orders_and_a_backends_course_are_told_newest_first() -> None:
-    late = ORDER | {"at": 995.0, "sound": False}
-    shown = rows.orders(told(c1=Told(state(), [ORDER, late], None, 1.0)), 1000.0)
+def test_decision_rounds_and_a_backends_history_are_shown_newest_first() -> None:
+    late = ROUND | {"at": 995.0, "sound": False}
+    shown = round_rows(snapshots(c1=MemberSnapshot(state(), [ROUND, late], None, 1.0)), 1000.0)
     assert (
         shown[0] == ("5 s", "c1", "list: 1 changes", "damaged record")
         and shown[1][3] == "withdraw b2; t0: b1=0.5; t0: groups [1] let in 25%"
     )
-    assert rows.course(told(c1=Told(state(), [ORDER], None, 1.0)), "b1", 1000.0) == [("10 s", "c1", "0.5 in t0")]
+    assert backend_history_rows(snapshots(c1=MemberSnapshot(state(), [ROUND], None, 1.0)), "b1", 1000.0) == [
+        ("10 s", "c1", "0.5 in t0")
+    ]
 
 
-def test_alarms_name_what_presses_on_a_rule() -> None:
+def test_alarms_name_what_may_break_a_rule() -> None:
     bad = state(
         channel={"waiting": 1900.0, "most": 2000.0, "peak": 1900.0},
         store={"failing": "disk full", "dropped": 3},
@@ -93,8 +101,8 @@
         proxies={"p1": {"zone": "n", "joined_for_s": 9.0, "bound": False, "turn": 0, "tag": ""}},
         operators={"drained": ["b1"], "cordoned": []},
     )
-    found = rows.alarms(told(c1=Told(bad, [], None, 1.0), c2=Told(state(), [], None, 1.0)))
-    texts = " | ".join(f"{each.grave:d} {each.where} {each.text}" for each in found)
+    found = find_alarms(snapshots(c1=MemberSnapshot(bad, [], None, 1.0), c2=MemberSnapshot(state(), [], None, 1.0)))
+    texts = " | ".join(f"{each.severe:d} {each.subject} {each.text}" for each in found)
     for wanted in (
         "1 c1 1900 of 2000 lines wait (rule 5)",
         "1 c1 its store takes nothing",
@@ -107,21 +115,21 @@
         "0 c1 3 records",
     ):
         assert wanted in texts, texts
-    assert [each.grave for each in found] == sorted((each.grave for each in found), reverse=True)
+    assert [each.severe for each in found] == sorted((each.severe for each in found), reverse=True)
 
 
 def test_the_console_works_in_a_small_terminal_with_a_slow_and_a_dead_member() -> None:
-    async def ask(member: str, target: str) -> Any:
+    async def query(member: str, target: str) -> Any:
         if member == "dead":
             raise OSError("no answer")
         if member == "slow":
             await asyncio.sleep(30)
         if target == "/v1/load":
             raise OSError("404")
-        return [ORDER] if target == "/v1/orders" else state()
+        return [ROUND] if target == "/v1/orders" else state()
 
     async def work() -> None:
-        app = Console(["c1", "dead", "slow"], ask, 0.05)
+        app = Console(["c1", "dead", "slow"], query, 0.05)
         async with app.run_test(size=(80, 24)) as pilot:
             await pilot.pause(0.5)
             tables = {name: app.query_one(f"#{name}") for name in TABS}
