--- a/onyxhead/fleet/slow_start_budget.py
+++ b/onyxhead/fleet/slow_start_budget.py
@@ -137,10 +137,10 @@
             # Nothing is known of its own load yet; of whatever its capacity will be, at most so much can be lent.
             lent = any(grant.incarnation == incarnation for grant in self.granted.values())
             return 1.0 - MAX_GRANTED_FRACTION if lent or may_have_lent else 1.0
-        kept = max(0.0, 1.0 - self._lent(incarnation) / load.capacity)
+        own_share = max(0.0, 1.0 - self._lent(incarnation) / load.capacity)
         if may_have_lent:
-            kept = min(kept, 1.0 - MAX_GRANTED_FRACTION)
-        return kept + self._borrowed(incarnation) / load.capacity
+            own_share = min(own_share, 1.0 - MAX_GRANTED_FRACTION)
+        return own_share + self._borrowed(incarnation) / load.capacity
 
     def grant(self) -> list[BudgetGrant]:
         """New grants to members with a shortfall, out of what is left unused; on disk before they are returned.
