--- a/onyxhead/settings/agent.py
+++ b/onyxhead/settings/agent.py
@@ -19,7 +19,7 @@
     stats = reader.optional_address(record, "stats")
     controllers = tuple(reader.address(each, "controllers") for each in record["controllers"])
     static_endpoints = _static_endpoints(reader)
-    reader.raise_faults()
+    reader.raise_diagnostics()
     reload = record.get("reload")
     return AgentSettings(
         name=record["name"],
@@ -47,11 +47,11 @@
     routes: list[GroupRoute] = []
     for name, group in reader.record["groups"].items():
         if group["prefix"] in {route.prefix for route in routes}:
-            reader.add_fault(f"prefix of {name} is another group's too", "groups", name, "prefix")
+            reader.add_diagnostic(f"prefix of {name} is another group's too", "groups", name, "prefix")
         latency_budget = ticks_to_seconds(group["latency_budget"])
         routes.append(GroupRoute(name, group["prefix"], latency_budget, group["tries"]))
     if not routes:
-        reader.add_fault("no traffic group", "groups")
+        reader.add_diagnostic("no traffic group", "groups")
     return tuple(routes)
 
 
