--- a/tests/test_controller_core.py
+++ b/tests/test_controller_core.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from onyxhead.agent.keeper import Keeper, Taken
+from onyxhead.agent.table_replica import AcceptedUpdate, TableReplica
 from onyxhead.controller.clock import Clock
 from onyxhead.controller.delivery_queue import DeliveryQueue
 from onyxhead.controller.endpoint_list import EndpointList, EndpointListFollower, parse_endpoint_list
@@ -219,12 +219,12 @@
 def test_drain_reaches_all_proxies_within_the_grace_while_forty_wait_for_full_tables() -> None:
     rig = Rig(backends=30, lines_per_second=1500.0, max_queued_lines=4000.0)
     for number in range(40):
-        rig.agents[f"p{number}"] = Keeper(View.from_entries({("standing", "b3"): line("b3")}))
+        rig.replicas[f"p{number}"] = TableReplica(View.from_entries({("standing", "b3"): line("b3")}))
         rig.join(f"p{number}")
     rig.run(0.1)
     rig.set("b3", "draining")
     rig.run(2.0)
-    assert all("b3" not in rig.lines(name) for name in rig.agents)
+    assert all("b3" not in rig.lines(name) for name in rig.replicas)
     assert rig.peak_queued_lines <= 4000
 
 
@@ -247,13 +247,13 @@
     rig.stalled.add("p0")
     rig.set("b2", "draining")
     sent = [each for _ in range(20) for each in rig.step().deliveries if rig.name(each) == "p0"]
-    taken = rig.agents["p0"].take(request_of(sent[0].message, "p0", sent[0].queued_at))
-    assert isinstance(taken, Taken)
-    rig.agents["p0"].applied(taken)
+    taken = rig.replicas["p0"].check_update(request_of(sent[0].message, "p0", sent[0].queued_at))
+    assert isinstance(taken, AcceptedUpdate)
+    rig.replicas["p0"].commit(taken)
     rig.disconnect("p0")
     rig.stalled.clear()
     rig.join("p0")
-    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.agents["p0"].view.etag
+    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.replicas["p0"].view.etag
     rig.run(2)
     assert rig.lines("p0") == rig.lines("p1") and "b2" not in rig.lines("p0")
 
@@ -263,14 +263,14 @@
     way = {"lines_per_second": 1050.0, "max_queued_lines": 2100.0}
     first = Rig(backends=60, **way)
     for number in range(100):
-        first.agents[f"p{number}"] = Keeper(View.from_entries({("standing", "b0"): line("b0")}))
+        first.replicas[f"p{number}"] = TableReplica(View.from_entries({("standing", "b0"): line("b0")}))
         first.join(f"p{number}")
     first.run(90)
-    assert all(len(first.lines(name)) == 60 for name in first.agents)
+    assert all(len(first.lines(name)) == 60 for name in first.replicas)
     second = Rig(backends=60, **way)
     second.run(2)
-    second.agents = first.agents
-    for name in second.agents:
+    second.replicas = first.replicas
+    for name in second.replicas:
         second.join(name)
     for number in range(10):
         second.set(f"b{number}", "draining")
@@ -280,15 +280,15 @@
     for number in range(10, 15):
         second.set(f"b{number}", "draining")
     second.run(max(0.0, grace - after - 0.05))
-    late = {name for name in second.agents if set(second.lines(name)) & {f"b{n}" for n in range(10)}}
+    late = {name for name in second.replicas if set(second.lines(name)) & {f"b{n}" for n in range(10)}}
     assert not late and second.peak_queued_lines <= 2100
     second.run(grace - max(0.0, grace - after - 0.05) - 0.05)
-    assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.agents)
+    assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.replicas)
     # Bound again well before whole tables could have been sent: 100 x 69 lines take 6.6 s, beside 2.8 s of withdrawals.
     second.run(6.4 - after - grace)
     assert all(second.core.proxy_tables.tables_of(proxy) for proxy in second.core.joined)
     second.run(12)
-    assert all(len(second.lines(name)) == 45 for name in second.agents)
+    assert all(len(second.lines(name)) == 45 for name in second.replicas)
 
 
 def test_rejoining_proxy_is_sent_only_changed_lines() -> None:
@@ -301,7 +301,7 @@
     sent = [each for _ in range(100) for each in rig.step().deliveries if rig.name(each) == "p0"]
     assert 0 < sum(each.lines for each in sent) < 30
     assert rig.lines("p0") == rig.lines("p1") and len(rig.lines("p0")) == 29
-    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.agents["p0"].view.etag
+    assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.replicas["p0"].view.etag
 
 
 def test_slow_proxy_delays_no_other_and_is_disconnected() -> None:
@@ -319,7 +319,7 @@
 def test_agent_with_an_unexpected_view_is_disconnected_and_gets_its_full_view_at_the_next_join() -> None:
     rig = Rig(proxies=2)
     rig.run(2)
-    rig.agents["p0"].view = rig.agents["p0"].view.with_entry(("withdrawn", "b1"), True)
+    rig.replicas["p0"].view = rig.replicas["p0"].view.with_entry(("withdrawn", "b1"), True)
     rig.set("b5", "draining")
     rig.run(1)
     assert rig.core.proxy_number("p0") not in rig.core.joined
@@ -347,7 +347,7 @@
     assert number not in rig.core.joined and rig.core.counts["refused by the limit"] == 1
     rig.join("p0")
     rig.run(2)
-    assert rig.core.proxy_tables.views[number].etag == rig.agents["p0"].view.etag
+    assert rig.core.proxy_tables.views[number].etag == rig.replicas["p0"].view.etag
 
 
 def test_backend_with_a_new_address_is_withdrawn_before_it_is_listed_again() -> None:
@@ -359,7 +359,7 @@
         "127.0.0.1:7777", ZONES[1]
     )
     rig.run(3)
-    held = rig.agents["p0"].view
+    held = rig.replicas["p0"].view
     lines = held.children("tables", "t0", "lines")
     assert lines["b1"]["address"] == "127.0.0.1:7777" and lines["b1"]["weight"] < 1_000_000
 
@@ -383,12 +383,12 @@
             rig.set(backend, "ready" if len(up) < 4 else rig.random.choice(["ready", "draining", "gone"]))
         rig.run(rig.random.uniform(0.01, 0.6))
     rig.stalled.clear()
-    for name in rig.agents:
+    for name in rig.replicas:
         rig.join(name)
     rig.run(25)
     up = {b for b, e in rig.entries.items() if e.state == "ready"}
-    for name, keeper in rig.agents.items():
-        assert keeper.view.etag == rig.core.proxy_tables.views[rig.core.proxy_number(name)].etag
+    for name, replica in rig.replicas.items():
+        assert replica.view.etag == rig.core.proxy_tables.views[rig.core.proxy_number(name)].etag
         assert set(rig.lines(name)) == up
     assert rig.peak_queued_lines <= rig.start.channel.max_queued_lines
 
@@ -398,13 +398,13 @@
     rig.run(3)
     rig.set("b2", "draining")
     rig.run(3)
-    assert all(("withdrawn", "b2") in keeper.view.entries for keeper in rig.agents.values())
-    before = {name: keeper.view.etag for name, keeper in rig.agents.items()}
+    assert all(("withdrawn", "b2") in replica.view.entries for replica in rig.replicas.values())
+    before = {name: replica.view.etag for name, replica in rig.replicas.items()}
     told = rig.core.proxy_tables.apply_decisions(99, [Withdrawal("b2", True)])
-    assert told == [] and before == {name: keeper.view.etag for name, keeper in rig.agents.items()}
+    assert told == [] and before == {name: replica.view.etag for name, replica in rig.replicas.items()}
     # A line of a withdrawn backend, as held tables might bring it, never comes without its withdrawal.
-    for keeper in rig.agents.values():
-        assert "b2" not in keeper.view.children("tables", "t0", "lines")
+    for replica in rig.replicas.values():
+        assert "b2" not in replica.view.children("tables", "t0", "lines")
     rig.join("p9")
     messages = rig.core.proxy_tables.apply_decisions(100, [TableChange(0, (("b2", 1.0),))])
     assert messages and all(("withdrawn", "b2") in message.result.entries for message in messages)
