--- a/onyxhead/tables/updates.py
+++ b/onyxhead/tables/updates.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import NamedTuple
 
@@ -56,14 +56,25 @@
     )
 
 
+Snapshot = Callable[[int, dict[Path, ViewValue | None]], View]
+"""Gives the complete view of a proxy with the bindings among some changes."""
+SharedResults = dict[tuple[object, ...], View]
+"""Views after a change, by the view before and the change: proxies that share tables mostly share both."""
+
+
 @dataclass(slots=True)
 class PendingUpdate:
-    """What a decision round has for one proxy so far."""
+    """What a decision round has for one proxy so far; `line_cost` is without the line of the round's own mark."""
 
     changes: dict[Path, ViewValue | None]
     line_cost: float
     full: bool = False
 
+    def finish(self, proxy: int, round_number: int, base: View, result: View, urgent: bool) -> ProxyUpdate:
+        """The update that leads from one view to another."""
+        line_cost = self.line_cost + 1
+        return ProxyUpdate(proxy, round_number, self.full, base.etag, result, self.changes, line_cost, urgent)
+
 
 class RoundUpdates:
     """The changes of one decision round, gathered by proxy in the order in which the round first reached them."""
@@ -87,6 +98,39 @@
 
     def value_after(self, proxy: int, view: View, path: Path) -> ViewValue | None:
         """What the entry will be at a proxy that holds this view, after the changes so far."""
-        held = view.entries.get(path)
+        value = view.entries.get(path)
         pending = self.by_proxy.get(proxy)
-        return held if pending is None else pending.changes.get(path, held)
+        return value if pending is None else pending.changes.get(path, value)
+
+    def finish(self, round_number: int, views: dict[int, View], snapshot: Snapshot) -> list[ProxyUpdate]:
+        """The updates of the round; `views` holds the view of each proxy and gets those after the updates."""
+        shared: SharedResults = {}
+        updates = []
+        for proxy, pending in self.by_proxy.items():
+            base = views[proxy]
+            if pending.full:
+                result = snapshot(proxy, pending.changes)
+                self._send_less(pending, base, result)
+            else:
+                result = _apply_shared(base, pending.changes, shared)
+            views[proxy] = result
+            urgent = proxy in self.urgent_proxies
+            updates.append(pending.finish(proxy, round_number, base, result, urgent))
+        return updates
+
+    def _send_less(self, pending: PendingUpdate, base: View, result: View) -> None:
+        """Makes a full update one of changes if that takes fewer lines.
+
+        Each line halts the proxy. What it holds already, from whichever controller, need not be sent again: it told its
+        view at the join, and the digest of the result proves that nothing else is in it.
+        """
+        changes = base.changes_to(result)
+        if len(changes) < len(result.entries):
+            pending.full, pending.changes = False, changes
+            pending.line_cost = min(pending.line_cost, self.message_overhead + len(changes))
+
+
+def _apply_shared(base: View, changes: dict[Path, ViewValue | None], shared: SharedResults) -> View:
+    # Identities are enough of a key: the objects are alive for the whole round.
+    key = (id(base), *((path, id(value)) for path, value in changes.items()))
+    return shared.get(key) or shared.setdefault(key, base.apply(changes))
