--- a/onyxhead/controller/configuration_service.py
+++ b/onyxhead/controller/configuration_service.py
@@ -37,7 +37,9 @@
         store.save_commit(CommitRecord(*made))
         store.put(SETTINGS_TREE, given)
         commits.append(made)
-    stores = Datastores(schema.config(), commits, lambda tree: _check(daemon, tree), store.get(STARTUP_DATASTORE))
+    stores = Datastores(
+        schema.config_schema(), commits, lambda tree: _check(daemon, tree), store.get(STARTUP_DATASTORE)
+    )
     netconf = settings.netconf
     access = Access(netconf.users if netconf else {}, netconf.rules if netconf else ())
     hands = ConfigurationCallbacks(
@@ -53,7 +55,7 @@
 
 
 def _check(daemon: ControllerServer, tree: Tree) -> None:
-    schema.check(tree)
+    schema.validate_tree(tree)
     try:
         deployment(tree, daemon.settings)
     except ValueError as error:
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -63,7 +63,7 @@
 
 if TYPE_CHECKING:
     from onyxhead.controller.configuration.service import ConfigurationService
-    from onyxhead.fronts.netconf.server import Front
+    from onyxhead.fronts.netconf.server import NetconfServer
 
 log = structlog.get_logger()
 
@@ -87,7 +87,7 @@
         self.endpoint_list: endpoint_list.EndpointList | None = None
         self.tree: Tree = {}
         self.configuration: ConfigurationService | None = None
-        self.netconf: Front | None = None
+        self.netconf: NetconfServer | None = None
         start = settings.deployment
         if settings.netconf is not None:
             # Read only where it is served: its libraries take longer to load than all the rest.
@@ -165,9 +165,9 @@
             loop.add_signal_handler(name, self.stopping.set)
         log.info("serving", name=self.settings.name, host=host, port=port, epoch=self.core.epoch)
         if self.configuration is not None and self.settings.netconf is not None:
-            from onyxhead.fronts.netconf.server import Front
+            from onyxhead.fronts.netconf.server import NetconfServer
 
-            self.netconf = Front(self.settings.netconf, self.configuration)
+            self.netconf = NetconfServer(self.settings.netconf, self.configuration)
             await self.netconf.start(tls)
             self.start(self._expire_commits(self.configuration))
         if self.keys is not None and self.settings.tls is not None:
@@ -417,7 +417,7 @@
         async for _ in watch_key_files(keys, every):
             await self.http_server.start(*address, keys.server_context)
             if self.netconf is not None:
-                await self.netconf.renew(keys.server_context)
+                await self.netconf.replace_tls_context(keys.server_context)
             log.info("key files reloaded", generation=keys.generation, streams=len(self.streams))
             for number, line in list(self.streams.items()):
                 if self.streams.get(number) is line and line.generation < keys.generation:
--- /dev/null
+++ b/onyxhead/fronts/netconf/bounded_writer.py
@@ -0,0 +1,31 @@
+"""Writing to clients that may read too slowly."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+import asyncssh
+
+MAX_BUFFERED_BYTES = 4 * 1024 * 1024
+"""What may wait for a slow client; beyond it its session ends, so that no other session has to wait."""
+
+Writer = asyncio.StreamWriter | asyncssh.SSHWriter[bytes]
+
+
+class BoundedWriter:
+    """Writes to a transport without waiting, and closes it when too much is buffered."""
+
+    def __init__(self, writer: Writer, close: Callable[[], None]) -> None:
+        self._writer, self._close = writer, close
+
+    def write(self, data: bytes) -> None:
+        """Write, or close the transport if the client has fallen too far behind."""
+        if isinstance(self._writer, asyncio.StreamWriter):
+            buffered = self._writer.transport.get_write_buffer_size()
+        else:
+            buffered = self._writer.channel.get_write_buffer_size()
+        if buffered > MAX_BUFFERED_BYTES:
+            self._close()
+            return
+        self._writer.write(data)
--- a/onyxhead/fronts/netconf/schema.py
+++ b/onyxhead/fronts/netconf/schema.py
@@ -1,80 +1,87 @@
-"""The YANG module as the configuration core's schema; yangson reads it, checks values and whole trees."""
+"""The YANG module as the configuration service's schema; yangson reads it and validates data trees."""
 
 from __future__ import annotations
 
 import json
+from collections.abc import Callable
 from functools import cache
 from importlib import resources
 from pathlib import Path
 from typing import Any
 
 from yangson import DataModel
+from yangson.datatype import DataType
 from yangson.enumerations import ContentType
 from yangson.exceptions import SemanticError, ValidationError, YangTypeError
-from yangson.schemanode import ContainerNode, LeafListNode, LeafNode, ListNode
+from yangson.schemanode import ContainerNode, DataNode, LeafListNode, LeafNode, ListNode
 
 from onyxhead.controller.configuration.tree import Node, RpcError, Tree
 
 MODULE, REVISION, NAMESPACE = "onyxhead-fleet", "2026-12-01", "urn:onyxhead:fleet"
+NODE_KINDS = ((ContainerNode, "container"), (ListNode, "list"), (LeafNode, "leaf"), (LeafListNode, "leaf-list"))
 
 
 @cache
-def _folder() -> Path:
+def _yang_folder() -> Path:
     return Path(str(resources.files("onyxhead.fronts.netconf").joinpath("yang")))
 
 
-def module_text() -> str:
-    return _folder().joinpath(f"{MODULE}@{REVISION}.yang").read_text(encoding="utf-8")
+def yang_module_text() -> str:
+    """Return the text of the YANG module, which `get-schema` serves."""
+    return _yang_folder().joinpath(f"{MODULE}@{REVISION}.yang").read_text(encoding="utf-8")
 
 
 @cache
-def model() -> Any:  # noqa: ANN401
-    own = {"name": MODULE, "revision": REVISION, "namespace": NAMESPACE, "conformance-type": "implement"}
-    library = {"ietf-yang-library:modules-state": {"module-set-id": REVISION, "module": [own]}}
-    return DataModel(json.dumps(library), [str(_folder())])
+def _data_model() -> DataModel:
+    module = {"name": MODULE, "revision": REVISION, "namespace": NAMESPACE, "conformance-type": "implement"}
+    library = {"ietf-yang-library:modules-state": {"module-set-id": REVISION, "module": [module]}}
+    return DataModel(json.dumps(library), [str(_yang_folder())])
 
 
 @cache
-def config() -> Node:
-    return _node(model().get_data_node(f"/{MODULE}:fleet"))
+def config_schema() -> Node:
+    """Return the schema of the configuration, the container `fleet`."""
+    return _schema_node(_data_model().get_data_node(f"/{MODULE}:fleet"))
 
 
 @cache
-def state() -> Node:
-    return _node(model().get_data_node(f"/{MODULE}:fleet-state"))
+def state_schema() -> Node:
+    """Return the schema of the operational state, the container `fleet-state`."""
+    return _schema_node(_data_model().get_data_node(f"/{MODULE}:fleet-state"))
 
 
-def _node(given: Any) -> Node:  # noqa: ANN401
-    kinds = {ContainerNode: "container", ListNode: "list", LeafNode: "leaf", LeafListNode: "leaf-list"}
-    kind = next(name for of, name in kinds.items() if isinstance(given, of))
-    children = {child.name: _node(child) for child in getattr(given, "children", ())}
-    default = parse = None
-    if kind in ("leaf", "leaf-list"):
-        type_ = given.type
+def _schema_node(node: DataNode) -> Node:
+    kind = next(name for node_class, name in NODE_KINDS if isinstance(node, node_class))
+    children = {child.name: _schema_node(child) for child in getattr(node, "children", ())}
+    keys = tuple(name for name, _ in node.keys) if kind == "list" else ()
+    parse = _leaf_parser(node.type) if kind in ("leaf", "leaf-list") else None
+    default = node.type.to_raw(node.default) if kind == "leaf" and node.default is not None else None
+    return Node(node.name, kind, bool(node.config), keys, children, default, parse)
 
-        def parse(text: str) -> Any:  # noqa: ANN401
-            value = type_.parse_value(text)
-            try:
-                return type_.to_raw(value) if value is not None and type_.__contains__(value) else None
-            except (YangTypeError, TypeError):
-                return None
 
-        found = given.default if kind == "leaf" else None
-        default = type_.to_raw(found) if found is not None else None
-    keys = tuple(name for name, _ in given.keys) if kind == "list" else ()
-    return Node(given.name, kind, bool(given.config), keys, children, default, parse)
+def _leaf_parser(data_type: DataType) -> Callable[[str], Any]:
+    """Return a function from a leaf's text to its JSON value (RFC 7951), or None for a text that is no value."""
 
+    def parse(text: str) -> Any:  # noqa: ANN401  # a JSON value of whichever type the schema says
+        value = data_type.parse_value(text)
+        try:
+            return data_type.to_raw(value) if value is not None and value in data_type else None
+        except (YangTypeError, TypeError):
+            return None
 
-def check(tree: Tree) -> None:
-    """Raises RpcError for a tree that breaks the schema: what is missing, out of range, or fails a `must`."""
+    return parse
+
+
+def validate_tree(tree: Tree) -> None:
+    """Raise RpcError for a tree that breaks the schema: a missing node, a value out of range, a failed `must`."""
     try:
-        model().from_raw({f"{MODULE}:fleet": tree}).validate(ctype=ContentType.config)
+        _data_model().from_raw({f"{MODULE}:fleet": tree}).validate(ctype=ContentType.config)
     except SemanticError as error:
-        path = "/".join(str(part) for part in [error.instance.json_pointer()]) if error.instance else ""
-        raise RpcError("operation-failed", error.message or error.tag, path, **{"app_tag": error.tag}) from None
+        path = error.instance.json_pointer() if error.instance else ""
+        raise RpcError("operation-failed", error.message or error.tag, path, app_tag=error.tag) from error
     except (ValidationError, YangTypeError) as error:
         path = error.instance.json_pointer() if getattr(error, "instance", None) else ""
         tag = "data-missing" if getattr(error, "tag", "") == "missing-data" else "invalid-value"
-        raise RpcError(tag, str(getattr(error, "message", "") or error), path) from None
-    except Exception as error:  # yangson has no one base for what a tree may do to it
-        raise RpcError("operation-failed", f"{type(error).__name__}: {error}") from None
+        raise RpcError(tag, str(getattr(error, "message", "") or error), path) from error
+    except Exception as error:  # yangson's exceptions have no common base
+        raise RpcError("operation-failed", f"{type(error).__name__}: {error}") from error
--- a/onyxhead/fronts/netconf/server.py
+++ b/onyxhead/fronts/netconf/server.py
@@ -4,147 +4,105 @@
 
 import asyncio
 import ssl
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 
 import asyncssh
 import structlog
 
 from onyxhead.controller.configuration.service import ConfigurationService
-from onyxhead.fronts.netconf.session import MOST_UNSENT, Session
+from onyxhead.fronts.netconf.authentication import PublicKeyAuthenticator, user_of_certificate
+from onyxhead.fronts.netconf.bounded_writer import BoundedWriter, Writer
+from onyxhead.fronts.netconf.session import NetconfSession
 from onyxhead.settings.model import NetconfSettings
 
-CHUNK = 65_536
-MOST_SESSIONS = 256
+READ_BYTES = 65_536
+MAX_SESSIONS = 256
+SSH_SUBSYSTEM = "netconf"
 log = structlog.get_logger()
 
 
-class _Users(asyncssh.SSHServer):
-    """Users by their public keys, nothing else."""
+class NetconfServer:
+    """Accepts sessions over SSH and TLS, as far as the settings open them."""
 
-    def __init__(self, settings: NetconfSettings) -> None:
-        self.settings = settings
-
-    def begin_auth(self, username: str) -> bool:
-        return True
-
-    def public_key_auth_supported(self) -> bool:
-        return True
-
-    def password_auth_supported(self) -> bool:
-        return False
-
-    def validate_public_key(self, username: str, key: asyncssh.SSHKey) -> bool:
-        user = self.settings.users.get(username)
-        told = key.export_public_key("openssh").decode().split()[:2]
-        return user is not None and any(each.split()[:2] == told for each in user.keys)
-
-
-class Front:
-    """`rotate` gives the TLS context for new handshakes; old sessions keep theirs."""
-
-    def __init__(self, settings: NetconfSettings, desk: ConfigurationService) -> None:
-        self.settings, self.desk = settings, desk
-        self.sessions: set[Session] = set()
+    def __init__(self, settings: NetconfSettings, service: ConfigurationService) -> None:
+        self._settings, self._service = settings, service
+        self._sessions: set[NetconfSession] = set()
         self.ssh: asyncssh.SSHAcceptor | None = None
         self.tls: asyncio.Server | None = None
 
-    async def start(self, context: ssl.SSLContext | None) -> None:
-        """Raises OSError for addresses or keys that can't be had."""
-        own = self.settings
-        if own.ssh is not None and own.host_key is not None:
-            try:
-                key = asyncssh.read_private_key(own.host_key)
-            except (asyncssh.KeyImportError, ValueError) as error:
-                raise OSError(f"host_key: {error}") from None
-            self.ssh = await asyncssh.create_server(
-                lambda: _Users(own),
-                *own.ssh,
-                server_host_keys=[key],
-                process_factory=self._ssh,
-                encoding=None,
-                allow_pty=False,
-                agent_forwarding=False,
-            )
+    async def start(self, tls_context: ssl.SSLContext | None) -> None:
+        """Listen. Raises OSError for an address or a host key that can't be used."""
+        if self._settings.ssh is not None and self._settings.host_key is not None:
+            self.ssh = await self._listen_ssh(self._settings.ssh, str(self._settings.host_key))
             log.info("netconf over ssh", port=self.ssh.get_port())
-        if own.tls is not None and context is not None:
-            self.tls = await asyncio.start_server(self._tls, *own.tls, ssl=context, reuse_port=True)
+        if self._settings.tls is not None and tls_context is not None:
+            self.tls = await self._listen_tls(self._settings.tls, tls_context)
             log.info("netconf over tls", port=self.tls.sockets[0].getsockname()[1])
 
-    async def renew(self, context: ssl.SSLContext) -> None:
-        """New handshakes take other keys; sessions that are open go on."""
+    async def replace_tls_context(self, tls_context: ssl.SSLContext) -> None:
+        """Use other keys for new handshakes; open sessions go on."""
         if self.tls is not None:
             address = self.tls.sockets[0].getsockname()[:2]
-            before, self.tls = self.tls, await asyncio.start_server(self._tls, *address, ssl=context, reuse_port=True)
-            before.close()
+            previous, self.tls = self.tls, await self._listen_tls(address, tls_context)
+            previous.close()
 
     def close(self) -> None:
+        """Stop listening and end all sessions."""
         for server in (self.ssh, self.tls):
             if server is not None:
                 server.close()
-        for session in list(self.sessions):
-            session.killed()
+        for session in list(self._sessions):
+            session.terminate()
 
-    async def _ssh(self, process: asyncssh.SSHServerProcess[bytes]) -> None:
-        if process.subsystem != "netconf":
+    async def _listen_ssh(self, address: tuple[str, int], host_key_file: str) -> asyncssh.SSHAcceptor:
+        try:
+            host_key = asyncssh.read_private_key(host_key_file)
+        except (asyncssh.KeyImportError, ValueError) as error:
+            raise OSError(f"host_key: {error}") from error
+        return await asyncssh.create_server(
+            lambda: PublicKeyAuthenticator(self._settings.users),
+            *address,
+            server_host_keys=[host_key],
+            process_factory=self._serve_ssh,
+            encoding=None,
+            allow_pty=False,
+            agent_forwarding=False,
+        )
+
+    async def _listen_tls(self, address: tuple[str, int], tls_context: ssl.SSLContext) -> asyncio.Server:
+        return await asyncio.start_server(self._serve_tls, *address, ssl=tls_context, reuse_port=True)
+
+    async def _serve_ssh(self, process: asyncssh.SSHServerProcess[bytes]) -> None:
+        if process.subsystem != SSH_SUBSYSTEM:
             process.exit(1)
             return
         user = str(process.get_extra_info("username"))
         await self._serve(user, process.stdin.read, process.stdout, lambda: process.exit(0))
 
-    async def _tls(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        user = user_of(writer.get_extra_info("peercert") or {}, set(self.settings.users))
+    async def _serve_tls(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        user = user_of_certificate(writer.get_extra_info("peercert") or {}, self._settings.users)
         if user is None:
-            log.warning("netconf: a certificate of no user")
+            log.warning("netconf client rejected", error="its certificate names no user")
             writer.close()
             return
         await self._serve(user, reader.read, writer, writer.close)
 
     async def _serve(
-        self,
-        user: str,
-        read: Callable[[int], object],
-        writer: asyncio.StreamWriter | asyncssh.SSHWriter[bytes],
-        close: Callable[[], None],
+        self, user: str, read: Callable[[int], Awaitable[bytes]], writer: Writer, close: Callable[[], None]
     ) -> None:
-        if len(self.sessions) >= MOST_SESSIONS:
+        if len(self._sessions) >= MAX_SESSIONS:
             close()
             return
-        unsent = _Unsent(writer, close)
-        session = Session(self.desk, user, unsent.write, close)
-        self.sessions.add(session)
-        log.info("netconf session", number=session.number, user=user)
+        session = NetconfSession(self._service, user, BoundedWriter(writer, close).write, close)
+        self._sessions.add(session)
+        log.info("netconf session opened", session=session.session_id, user=user)
         try:
-            while not session.over and (data := await read(CHUNK)):  # type: ignore[misc]
+            while not session.is_closed and (data := await read(READ_BYTES)):
                 session.receive(data)
                 await writer.drain()
         except (OSError, asyncssh.Error, asyncio.IncompleteReadError):
-            pass
+            pass  # the client is gone
         finally:
-            self.sessions.discard(session)
-            session.ended()
+            self._sessions.discard(session)
+            session.on_transport_closed()
             close()
-
-
-class _Unsent:
-    """Writes to a transport, and gives a reader up that lets too much pile up."""
-
-    def __init__(self, writer: asyncio.StreamWriter | asyncssh.SSHWriter[bytes], close: Callable[[], None]) -> None:
-        self.writer, self.close = writer, close
-
-    def write(self, data: bytes) -> None:
-        if isinstance(self.writer, asyncio.StreamWriter):
-            waiting = self.writer.transport.get_write_buffer_size()
-        else:
-            waiting = self.writer.channel.get_write_buffer_size()
-        if waiting > MOST_UNSENT:
-            self.close()
-            return
-        self.writer.write(data)
-
-
-def user_of(certificate: dict[str, object], users: set[str]) -> str | None:
-    """The user of a peer's certificate: a name in subjectAltName first, then the common name (RFC 7589, section 7)."""
-    names = [str(value) for _, value in certificate.get("subjectAltName", ())]  # type: ignore[attr-defined]
-    for part in certificate.get("subject", ()):  # type: ignore[attr-defined]
-        names += [str(value) for name, value in part if name == "commonName"]
-    return next((name for name in names if name in users), None)
--- /dev/null
+++ b/onyxhead/fronts/netconf/session_operations.py
@@ -0,0 +1,46 @@
+"""Operations on sessions: closing them (RFC 6241, sections 7.8 and 7.9), subscribing to notifications (RFC 5277)."""
+
+from __future__ import annotations
+
+import math
+
+from onyxhead.controller.configuration.tree import RpcError
+from onyxhead.fronts.netconf.request_parameters import require_one_of, text_parameter, timestamp_parameter
+from onyxhead.fronts.netconf.session_context import SessionContext, SessionState, Subscription
+from onyxhead.fronts.netconf.xml_elements import NOTIFICATION_NAMESPACE, Element
+
+EVENT_STREAM = "NETCONF"
+
+
+def close_session(context: SessionContext, _request: Element) -> list[Element]:
+    """End this session, after the reply."""
+    context.state = SessionState.CLOSED
+    return []
+
+
+def kill_session(context: SessionContext, request: Element) -> list[Element]:
+    """End another session."""
+    session_id = text_parameter(request, "session-id")
+    if not session_id.isdigit():
+        raise RpcError("invalid-value", "no session-id", kind="protocol")
+    context.service.kill_session(context.user, int(session_id), context.session_id)
+    return []
+
+
+def create_subscription(context: SessionContext, request: Element) -> list[Element]:
+    """Send notifications from now on, and with `startTime` also those since then that are still known."""
+    service = context.service
+    if context.session_id in service.listeners:
+        raise RpcError("in-use", "this session listens already", kind="protocol")
+    stream = text_parameter(request, "stream", NOTIFICATION_NAMESPACE)
+    require_one_of(stream, ("", EVENT_STREAM), f"there is no stream {stream!r}")
+    start = timestamp_parameter(request, "startTime", NOTIFICATION_NAMESPACE)
+    stop = timestamp_parameter(request, "stopTime", NOTIFICATION_NAMESPACE)
+    if stop is not None and (start is None or stop < start):
+        raise RpcError("bad-element", "stopTime needs an earlier startTime", kind="protocol", bad_element="stopTime")
+    subscription = Subscription(stop or math.inf)
+    if start is not None:
+        subscription.replay = [event for event in service.events if start <= event.at <= subscription.stop_time]
+    context.subscription = subscription
+    service.listeners[context.session_id] = context.on_notification
+    return []
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -24,9 +24,14 @@
 from onyxhead.controller.configuration.service import ConfigurationCallbacks, ConfigurationService
 from onyxhead.controller.configuration.tree import Edit, RpcError, Tree, apply, changes, with_defaults
 from onyxhead.controller.configuration.views import as_records, deployment, tree_of
-from onyxhead.fronts.netconf import schema, xml
-from onyxhead.fronts.netconf.framing import END, Framing, Unframed
-from onyxhead.fronts.netconf.session import Session
+from onyxhead.fronts.netconf import schema
+from onyxhead.fronts.netconf.bounded_writer import BoundedWriter
+from onyxhead.fronts.netconf.data_trees import read_edits
+from onyxhead.fronts.netconf.errors import FramingError, MalformedXmlError
+from onyxhead.fronts.netconf.framing import END_OF_MESSAGE, Framing
+from onyxhead.fronts.netconf.session import NetconfSession
+from onyxhead.fronts.netconf.session_context import SessionState, Subscription
+from onyxhead.fronts.netconf.xml_elements import BASE_NAMESPACE, FLEET_NAMESPACE, NOTIFICATION_NAMESPACE, parse_message
 from onyxhead.settings.load import read_settings
 from onyxhead.settings.model import AccessRule, ControllerSettings, NetconfUser
 from tests.test_controller_server import BACKENDS, CONTROLLER, Running, list_of, play, shown, until
@@ -38,18 +43,21 @@
 # Framing and XML
 
 
-@given(st.lists(st.binary(min_size=1, max_size=60).filter(lambda b: END not in b), max_size=5), st.integers(1, 9))
+@given(
+    st.lists(st.binary(min_size=1, max_size=60).filter(lambda b: END_OF_MESSAGE not in b), max_size=5),
+    st.integers(1, 9),
+)
 def test_messages_come_back_whole_however_they_are_cut(messages: list[bytes], piece: int) -> None:
     for chunked in (False, True):
         sender, receiver = Framing(), Framing()
         sender.chunked = receiver.chunked = chunked
-        data = b"".join(sender.send(message) for message in messages)
+        data = b"".join(sender.encode(message) for message in messages)
         found: list[bytes] = []
         for place in range(0, len(data), piece):
             part = receiver.receive(data[place : place + piece])
             while part:
                 found += part
-                part = receiver.more()
+                part = receiver.receive_buffered()
         assert found == [m for m in messages] or (not chunked and any(m.endswith(b"]") for m in messages))
 
 
@@ -57,9 +65,11 @@
 @given(st.binary(max_size=300), st.booleans())
 def test_no_bytes_do_worse_than_end_the_session(data: bytes, chunked: bool) -> None:
     session, sent, over = quiet_session()
-    session.framing.chunked = session.greeted = chunked
+    session.framing.chunked = chunked
+    if chunked:
+        session.context.state = SessionState.OPEN
     session.receive(data)
-    assert over or not session.over
+    assert over or not session.is_closed
 
 
 @pytest.mark.parametrize(
@@ -78,16 +88,16 @@
 def test_chunk_heads_that_lie_end_the_session(data: bytes) -> None:
     own = Framing()
     own.chunked = True
-    with pytest.raises(Unframed):
+    with pytest.raises(FramingError):
         own.receive(data)
 
 
 def test_the_old_mark_inside_a_chunk_is_only_data() -> None:
     own = Framing()
     own.chunked = True
-    assert own.receive(own.send(b"<a>]]>]]></a>")) == [b"<a>]]>]]></a>"]
-    small = Framing(most=10)
-    with pytest.raises(Unframed):
+    assert own.receive(own.encode(b"<a>]]>]]></a>")) == [b"<a>]]>]]></a>"]
+    small = Framing(max_message_bytes=10)
+    with pytest.raises(FramingError):
         small.receive(b"x" * 20)
 
 
@@ -105,20 +115,22 @@
     ],
 )
 def test_xml_that_is_not_taken(message: bytes) -> None:
-    with pytest.raises(xml.NotXml):
-        xml.parse(message)
+    with pytest.raises(MalformedXmlError):
+        parse_message(message)
 
 
 # Edits
 
 
 def edit(text: str) -> Edit:
-    config = xml.parse(f'<config xmlns:nc="{xml.BASE}"><fleet xmlns="{xml.FLEET}">{text}</fleet></config>'.encode())
-    return xml.edit_of(config, schema.config()).children[0]
+    config = parse_message(
+        f'<config xmlns:nc="{BASE_NAMESPACE}"><fleet xmlns="{FLEET_NAMESPACE}">{text}</fleet></config>'.encode()
+    )
+    return read_edits(config, schema.config_schema())[0]
 
 
 def after(text: str, default: str = "merge", tree: Tree = TREE) -> Tree:
-    return apply(schema.config(), tree, edit(text), default)
+    return apply(schema.config_schema(), tree, edit(text), default)
 
 
 def backend(name: str, operation: str = "", more: str = "") -> str:
@@ -156,12 +168,12 @@
 )
 def test_edits_that_do_not_fit_are_told_by_the_tag_of_the_rfc(text: str, default: str, tag: str) -> None:
     with pytest.raises(RpcError) as caught:
-        schema.check(after(text, default))
+        schema.validate_tree(after(text, default))
     assert caught.value.tag == tag
 
 
 def test_defaults_are_shown_as_asked_and_state_can_not_be_edited() -> None:
-    node = schema.config()
+    node = schema.config_schema()
     shown_all = with_defaults(node, TREE, "report-all")
     assert shown_all["guards"]["cold-time"] == 150_000 and shown_all["group"][0]["dedup-reach"] == "all"
     assert "drain-grace" not in with_defaults(node, TREE, "trim")["guards"]
@@ -181,7 +193,7 @@
 
 
 def stores() -> Datastores:
-    return Datastores(schema.config(), [Commit(1, TREE, "(settings)", "settings")], schema.check)
+    return Datastores(schema.config_schema(), [Commit(1, TREE, "(settings)", "settings")], schema.validate_tree)
 
 
 class Plain:
@@ -341,7 +353,7 @@
     first = read_settings(path)
     assert isinstance(first, ControllerSettings)
     tree = tree_of(first)
-    schema.check(tree)
+    schema.validate_tree(tree)
     assert deployment(tree, first) == first.deployment
     changed = after(backend("b3", "", "<weight>0.5</weight>") + "<channel><pace>777</pace></channel>", tree=tree)
     kept = "\n".join(line for line in CONTROLLER.splitlines() if not line.startswith(("groups", "channel")))
@@ -394,7 +406,7 @@
 
         return call
 
-    hands = ConfigurationCallbacks(
+    callbacks = ConfigurationCallbacks(
         facts,
         step(disk.append),
         lambda _: None,
@@ -404,15 +416,17 @@
         lambda *_: None,
     )
     rule = AccessRule("all", ("*",), None, None, ("*",), True)
-    desk = ConfigurationService(Datastores(schema.config(), list(disk), schema.check), Access({}, (rule,)), hands)
-    desk.edit("u", 1, "candidate", edit(backend("b1", "", "<drained>true</drained>")), "merge", "set")
+    service = ConfigurationService(
+        Datastores(schema.config_schema(), list(disk), schema.validate_tree), Access({}, (rule,)), callbacks
+    )
+    service.edit("u", 1, "candidate", edit(backend("b1", "", "<drained>true</drained>")), "merge", "set")
     answered = False
     try:
-        desk.commit("u", 1)
+        service.commit("u", 1)
         answered = True
     except Cut:
         pass
-    again = Datastores(schema.config(), disk, schema.check)
+    again = Datastores(schema.config_schema(), disk, schema.validate_tree)
     assert again.running in (TREE, drain("b1")) and (again.running == drain("b1") or not answered)
     assert not acted or again.running == acted[-1]
 
@@ -422,7 +436,7 @@
     run(own, "edit", 1, 3, 0)
     commit = own.commit(1, "u", 100.0, True, 60, persist="k")
     own.committed(1, commit)
-    again = Datastores(schema.config(), [own.commits[1], commit], schema.check)
+    again = Datastores(schema.config_schema(), [own.commits[1], commit], schema.validate_tree)
     assert weight(again.running) == 3 and again.expired(159.0) is None
     back = again.expired(161.0)
     assert back is not None and back.tree == TREE
@@ -431,27 +445,27 @@
 # Sessions
 
 
-def quiet_session() -> tuple[Session, list[bytes], list[bool]]:
+def quiet_session() -> tuple[NetconfSession, list[bytes], list[bool]]:
     sent, over = list[bytes](), list[bool]()
     rule = AccessRule("all", ("*",), None, None, ("*",), True)
-    hands = ConfigurationCallbacks(
+    callbacks = ConfigurationCallbacks(
         facts, lambda _: None, lambda _: None, lambda *_: None, lambda: {"epoch": 3}, time.time, lambda *_: None
     )
-    desk = ConfigurationService(stores(), Access({}, (rule,)), hands)
-    return Session(desk, "u", sent.append, lambda: over.append(True)), sent, over
+    service = ConfigurationService(stores(), Access({}, (rule,)), callbacks)
+    return NetconfSession(service, "u", sent.append, lambda: over.append(True)), sent, over
 
 
-def greeted() -> tuple[Session, list[bytes]]:
+def greeted() -> tuple[NetconfSession, list[bytes]]:
     session, sent, _ = quiet_session()
-    hello = f'<hello xmlns="{xml.BASE}"><capabilities><capability>urn:ietf:params:netconf:base:1.0</capability></capabilities></hello>'
-    session.receive(hello.encode() + END)
+    hello = f'<hello xmlns="{BASE_NAMESPACE}"><capabilities><capability>urn:ietf:params:netconf:base:1.0</capability></capabilities></hello>'
+    session.receive(hello.encode() + END_OF_MESSAGE)
     sent.clear()
     return session, sent
 
 
-def rpc(session: Session, sent: list[bytes], body: str, head: str = 'message-id="1"') -> str:
+def rpc(session: NetconfSession, sent: list[bytes], body: str, head: str = 'message-id="1"') -> str:
     sent.clear()
-    session.receive(f'<rpc xmlns="{xml.BASE}" {head}>{body}</rpc>'.encode() + END)
+    session.receive(f'<rpc xmlns="{BASE_NAMESPACE}" {head}>{body}</rpc>'.encode() + END_OF_MESSAGE)
     return b"".join(sent).decode()
 
 
@@ -490,45 +504,43 @@
 
 def test_filters_select() -> None:
     session, sent = greeted()
-    told = rpc(session, sent, f'<get><filter><fleet-state xmlns="{xml.FLEET}"/></filter></get>')
+    told = rpc(session, sent, f'<get><filter><fleet-state xmlns="{FLEET_NAMESPACE}"/></filter></get>')
     assert "<epoch>3</epoch>" in told and "latency-budget" not in told
-    by_key = f'<fleet xmlns="{xml.FLEET}"><group><name>%s</name></group></fleet>'
+    by_key = f'<fleet xmlns="{FLEET_NAMESPACE}"><group><name>%s</name></group></fleet>'
     ask = "<get-config><source><running/></source><filter>%s</filter></get-config>"
     assert "latency-budget" in rpc(session, sent, ask % (by_key % "read"))
     assert "latency-budget" not in rpc(session, sent, ask % (by_key % "other"))
-    xpath = f'<get><filter xmlns:o="{xml.FLEET}" type="xpath" select="//o:group/o:expiry"/></get>'
+    xpath = f'<get><filter xmlns:o="{FLEET_NAMESPACE}" type="xpath" select="//o:group/o:expiry"/></get>'
     told = rpc(session, sent, xpath)
     assert "<expiry>10000</expiry>" in told and "<name>read</name>" in told and "latency-budget" not in told
 
 
 def test_notifications_come_live_and_from_before() -> None:
     session, sent = greeted()
-    session.desk.notify("orders-sent", {"turn": 1, "cause": ["x"]})
+    session.context.service.notify("orders-sent", {"turn": 1, "cause": ["x"]})
     start = "<startTime>2020-01-01T00:00:00Z</startTime>"
-    told = rpc(session, sent, f'<create-subscription xmlns="{xml.NOTIFICATION}">{start}</create-subscription>')
+    told = rpc(session, sent, f'<create-subscription xmlns="{NOTIFICATION_NAMESPACE}">{start}</create-subscription>')
     assert told.index("<ok/>") < told.index("<turn>1</turn>") < told.index("replayComplete")
     sent.clear()
-    session.desk.notify("orders-sent", {"turn": 2, "cause": []})
+    session.context.service.notify("orders-sent", {"turn": 2, "cause": []})
     assert b"<turn>2</turn>" in sent[0]
 
 
 def test_a_session_that_dies_holding_locks_in_the_middle_of_a_message_leaves_nothing() -> None:
     session, sent = greeted()
     rpc(session, sent, "<lock><target><candidate/></target></lock>")
-    config = f'<config><fleet xmlns="{xml.FLEET}">{backend("b1")}</fleet></config>'
+    config = f'<config><fleet xmlns="{FLEET_NAMESPACE}">{backend("b1")}</fleet></config>'
     rpc(session, sent, f"<edit-config><target><candidate/></target>{config}</edit-config>")
     session.receive(b"<rpc><comm")
-    session.ended()
-    own = session.desk.datastores
+    session.on_transport_closed()
+    own = session.context.service.datastores
     assert own.locks == {} and own.candidate == own.running == TREE
 
 
 def test_two_hundred_idle_sessions_and_a_reader_that_takes_nothing_hold_nobody_up() -> None:
-    from onyxhead.fronts.netconf.server import _Unsent
-
     session, sent = greeted()
-    desk, closed = session.desk, list[bool]()
-    idle = [Session(desk, "u", lambda _: None, lambda: None) for _ in range(200)]
+    service, closed = session.context.service, list[bool]()
+    idle = [NetconfSession(service, "u", lambda _: None, lambda: None) for _ in range(200)]
 
     class Stuck:
         def __init__(self) -> None:
@@ -541,15 +553,15 @@
             self.size += len(data)
 
     stuck = Stuck()
-    slow = Session(desk, "u", _Unsent(stuck, lambda: closed.append(True)).write, lambda: None)  # type: ignore[arg-type]
+    slow = NetconfSession(service, "u", BoundedWriter(stuck, lambda: closed.append(True)).write, lambda: None)  # type: ignore[arg-type]
     for each in (session, slow):
-        each.greeted, each.stream = True, (0.0, float("inf"))
-        desk.listeners[each.number] = each.notified
+        each.context.state, each.context.subscription = SessionState.OPEN, Subscription()
+        service.listeners[each.session_id] = each.on_notification
     sent.clear()
     for turn in range(60):
-        desk.notify("orders-sent", {"turn": turn, "cause": ["x" * 100_000]})
+        service.notify("orders-sent", {"turn": turn, "cause": ["x" * 100_000]})
     assert closed and stuck.size < 5 * 1024 * 1024 and len(sent) == 60
-    assert len({each.number for each in idle}) == 200 and "<ok/>" in rpc(session, sent, "<discard-changes/>")
+    assert len({each.session_id for each in idle}) == 200 and "<ok/>" in rpc(session, sent, "<discard-changes/>")
 
 
 # Whole: a client library, SSH, the controller, the push, the swapped file
@@ -565,7 +577,7 @@
 
 def drain_xml(name: str, value: str = "true") -> str:
     entry = f"<backend><id>{name}</id><drained>{value}</drained></backend>"
-    return f'<config xmlns="{xml.BASE}"><fleet xmlns="{xml.FLEET}">{entry}</fleet></config>'
+    return f'<config xmlns="{BASE_NAMESPACE}"><fleet xmlns="{FLEET_NAMESPACE}">{entry}</fleet></config>'
 
 
 def test_a_drain_edited_over_netconf_reaches_the_proxys_file_and_an_unconfirmed_commit_goes_back(
@@ -647,18 +659,18 @@
         port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
         agent = await running.agent("p1", port)
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        desk = controller.configuration
-        assert desk is not None
-        desk.access.rules = (AccessRule("all", ("*",), None, None, ("*",), True),)
+        service = controller.configuration
+        assert service is not None
+        service.access.rules = (AccessRule("all", ("*",), None, None, ("*",), True),)
         for turn in range(6):
             out = "true" if turn % 2 == 0 else "false"
             fourth = {"id": "b4", "address": "127.0.0.1:9004", "zone": "north", "state": "ready"}
             list_of(tmp_path, 2 + turn, [*BACKENDS, fourth] if turn % 3 else BACKENDS)
             agent.lost.set()
             text = backend("b2", "", f"<drained>{out}</drained>")
-            desk.datastores.put(1, "candidate", after(text, tree=desk.datastores.running))
+            service.datastores.put(1, "candidate", after(text, tree=service.datastores.running))
             await asyncio.sleep(0.02 * turn)
-            desk.commit("u", 1)
+            service.commit("u", 1)
         await until(lambda: shown(tmp_path, "p1") == {9001, 9002, 9003, 9004}, 12.0)
         number = controller.core.proxy_number("p1")
         await until(lambda: controller.core.proxy_tables.views[number].etag == agent.keeper.view.etag)
@@ -674,13 +686,13 @@
         port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
         await running.agent("p1", port)
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
-        epoch, desk = controller.core.epoch, controller.configuration
-        assert desk is not None
-        desk.datastores.put(
-            1, "candidate", after("<guards><drain-grace>9000</drain-grace></guards>", tree=desk.datastores.running)
+        epoch, service = controller.core.epoch, controller.configuration
+        assert service is not None
+        service.datastores.put(
+            1, "candidate", after("<guards><drain-grace>9000</drain-grace></guards>", tree=service.datastores.running)
         )
-        desk.access.rules = (AccessRule("all", ("*",), None, None, ("*",), True),)
-        desk.commit("u", 1)
+        service.access.rules = (AccessRule("all", ("*",), None, None, ("*",), True),)
+        service.commit("u", 1)
         assert controller.core.epoch > epoch and controller.core.deployment.safety.drain_grace == 9000
         await until(lambda: controller.core.acknowledged)
         assert json.dumps(sorted(shown(tmp_path, "p1"))) == "[9001, 9002, 9003]"
