--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -21,7 +21,7 @@
 
 from benchmarks.figures import quantiles
 from benchmarks.intake import send
-from onyxhead.agent.daemon import Daemon as Agent
+from onyxhead.agent.server import AgentServer
 from onyxhead.controller.server import ControllerServer
 from onyxhead.settings.load import read_settings
 from onyxhead.settings.model import AgentSettings as AgentSettings
@@ -52,7 +52,7 @@
             path.write_text(AGENT % (name, name, name, port))
             settings = read_settings(path)
             assert isinstance(settings, AgentSettings)
-            tasks.append(asyncio.create_task(Agent(settings).run()))
+            tasks.append(asyncio.create_task(AgentServer(settings).run()))
         while not over.poll() and os.getppid() == parent:
             await asyncio.sleep(0.05)
         for task in tasks:
@@ -119,7 +119,7 @@
     async def __aexit__(self, *_: object) -> None:
         for end in self.ends:
             end.send(True)
-        self.daemon.stopping.set()
+        self.daemon.supervisor.stopping.set()
         await self.task
         for process in self.processes:
             process.join()
@@ -140,7 +140,7 @@
         since, reports = time.perf_counter(), taken(daemon)
         for drained in range(2, 2 + rounds):
             for number in list(core.joined)[:joining]:
-                daemon.streams[number].task.cancel()
+                daemon.streams.by_proxy[number].task.cancel()
                 core.on_proxy_left(daemon.clock.now(), number, "for the measurement")
             await asyncio.sleep(0.02)
             began = time.perf_counter()
--- a/onyxhead/cli/daemons.py
+++ b/onyxhead/cli/daemons.py
@@ -46,14 +46,14 @@
 @click.argument("settings_file", metavar="SETTINGS", type=PATH)
 def agent(settings_file: Path) -> None:
     """Run the agent beside a proxy."""
-    from onyxhead.agent.daemon import Daemon
+    from onyxhead.agent.server import AgentServer
     from onyxhead.keys.errors import KeyFileError
 
     settings = _read_settings(settings_file, AgentSettings, "a controller's")
     set_up_logs(settings.log)
 
     async def run() -> None:
-        await Daemon(settings).run()
+        await AgentServer(settings).run()
 
     try:
         asyncio.run(run())
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -193,7 +193,7 @@
             and all(each.reason for each in outcomes if each.status != "applied")
             and set(came) == {"x", "late"}
         )
-        assert controller.operator_orders.drained == {"b1"}
+        assert controller.overlay.overrides.drained == {"b1"}
 
     play(tmp_path, work)
 
@@ -205,7 +205,7 @@
         address = ("127.0.0.1", port_of(first))
         given = {"id": "x", "verb": "drain", "names": ["b1"], "by": "ann"}
         assert (await send_command({"c": address}, given, 2.0))[0].status == "applied"
-        first.stopping.set()
+        first.supervisor.stopping.set()
         await until(lambda: running.tasks[0].done())
         # It is down; the command goes on being sent, and the next life answers it under the same id.
         import tests.test_controller_server as sockets
@@ -222,7 +222,7 @@
         finally:
             sockets.CONTROLLER = before
         assert (await sending)[0].status == "applied" and (await again)[0].answer["again"]
-        assert second.operator_orders.drained == {"b1", "b2"} and not second.core.endpoints["b1"].ready
+        assert second.overlay.overrides.drained == {"b1", "b2"} and not second.core.endpoints["b1"].ready
 
     play(tmp_path, work)
 
@@ -231,9 +231,9 @@
     async def work(running: Running) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
-        await until(lambda: len(shown(tmp_path, "p1")) == 3 and agent.server.listener)
-        assert agent.server.listener is not None
-        address, own = f"127.0.0.1:{port_of(controller)}", agent.server.listener.sockets[0].getsockname()[1]
+        await until(lambda: len(shown(tmp_path, "p1")) == 3 and agent.http_server.listener)
+        assert agent.http_server.listener is not None
+        address, own = f"127.0.0.1:{port_of(controller)}", agent.http_server.listener.sockets[0].getsockname()[1]
         (tmp_path / "fleet.rec").write_text(f'controllers: {{c1: "{address}"}}, agents: {{p1: "127.0.0.1:{own}"}}')
 
         async def command(*words: str) -> tuple[int, str]:
@@ -241,7 +241,7 @@
             return done.exit_code, done.output
 
         code, told = await command("drain", "b1", "--at", address, "--dry-run")
-        assert code == 0 and "only tried" in told and not controller.operator_orders.drained
+        assert code == 0 and "only tried" in told and not controller.overlay.overrides.drained
         assert (await command("drain", "*", "--at", address))[0] == 1
         assert (await command("drain", "b1", "--fleet", str(tmp_path / "fleet.rec"), "--id", "n1"))[0] == 0
         assert (await command("wait", "b1", "--at", address))[0] == 0
@@ -313,6 +313,6 @@
                 ("127.0.0.1", port_of(controller)), Request("POST", "/v1/operate", {}, body), 2.0
             )
             assert response.status == 400
-        assert not controller.operator_orders.completed
+        assert not controller.overlay.overrides.completed
 
     play(tmp_path, work)
