--- a/onyxhead/cli/routing.py
+++ b/onyxhead/cli/routing.py
@@ -30,22 +30,23 @@
 def import_nginx(file: Path, out: Path | None, report: Path | None, strict: bool) -> None:
     """Read nginx blocks from FILE and what it includes; say line by line what was carried whole, with a difference, or
     not at all."""
-    from onyxhead.fronts.nginx.carry import Carrying
-    from onyxhead.routing.files import text
+    from onyxhead.fronts.nginx.import_report import SYNTAX_ERROR, Verdict
+    from onyxhead.fronts.nginx.importer import NginxImporter
+    from onyxhead.routing.routing_file import format_routing
 
-    routing, lines = Carrying(_parse_nginx(file)).run()
+    routing, lines = NginxImporter(_parse_nginx(file)).run()
     report_text = "".join(f"{line}\n" for line in lines)
     if report is not None:
         report.write_text(report_text, encoding="utf-8")
     else:
         click.echo(report_text, err=True, nl=False)
-    if any(line.directive == "syntax" for line in lines):
+    if any(line.directive == SYNTAX_ERROR for line in lines):
         raise FaultyInputError(f"{file}: nothing is written, since not all of it could be read")
     if out is not None:
-        replace_file(out, text(routing))
+        replace_file(out, format_routing(routing))
     else:
-        click.echo(text(routing), nl=False)
-    if strict and any(line.verdict == "not" for line in lines):
+        click.echo(format_routing(routing), nl=False)
+    if strict and any(line.verdict is Verdict.NOT_CARRIED for line in lines):
         sys.exit(ExitCode.REFUSED)
 
 
@@ -70,11 +71,12 @@
 @click.argument("file", type=PATH)
 def export_nginx(file: Path) -> None:
     """Write the routing in FILE as nginx's upstream, server and location blocks."""
-    from onyxhead.fronts.nginx.write import Unsaid, blocks
+    from onyxhead.fronts.nginx.errors import ExportError
+    from onyxhead.fronts.nginx.exporter import export_blocks
 
     try:
-        click.echo(blocks(_read_routing(file)), nl=False)
-    except Unsaid as error:
+        click.echo(export_blocks(_read_routing(file)), nl=False)
+    except ExportError as error:
         raise RefusedError(f"{file}: {error}") from error
 
 
@@ -85,22 +87,22 @@
 @click.option("--known", "variables", multiple=True, metavar="NAME=VALUE", help="A variable, such as http_x_team=red.")
 def route(file: Path, host: str, path: str, variables: tuple[str, ...]) -> None:
     """Say where a flow to HOST and PATH goes by the routing in FILE, and why."""
-    from onyxhead.routing.choose import Router
+    from onyxhead.routing.router import Router
 
     values = dict(variable.partition("=")[::2] for variable in variables)
-    way = Router(_read_routing(file)).way(host, path, values)
-    location = way.location
-    click.echo(f"host      {' '.join(way.host.names) or '(default)' if way.host else '-'}")
+    decision = Router(_read_routing(file)).route(host, path, values)
+    location = decision.location
+    click.echo(f"host      {' '.join(decision.host.names) or '(default)' if decision.host else '-'}")
     click.echo(f"location  {f'{location.kind} {location.pattern}' if location else '-'}")
-    click.echo(f"pool      {way.pool or '-'}")
-    click.echo(f"asks for  {way.path}" if way.pool else f"answers   {way.status}")
-    sys.exit(0 if way.pool else ExitCode.REFUSED)
+    click.echo(f"pool      {decision.pool or '-'}")
+    click.echo(f"asks for  {decision.path}" if decision.pool else f"answers   {decision.status}")
+    sys.exit(0 if decision.pool else ExitCode.REFUSED)
 
 
 def _read_routing(file: Path) -> Routing:
-    from onyxhead.routing.files import read
+    from onyxhead.routing.routing_file import read_routing
 
     try:
-        return read(file)
+        return read_routing(file)
     except InvalidConfigurationError as error:
         raise FaultyInputError(*error.diagnostics) from error
--- a/onyxhead/controller/configuration_service.py
+++ b/onyxhead/controller/configuration_service.py
@@ -39,7 +39,7 @@
     The settings file counts as a commit whenever it differs from that at the last start. Raises OSError."""
 
     def check(tree: Tree) -> None:
-        schema.check(tree)
+        schema.validate_tree(tree)
         try:
             deployment(tree, settings)
         except ValueError as error:
@@ -49,7 +49,7 @@
         log.info(log_events.CONFIGURATION_AUDIT, user=user, session=session, action=action, result=result)
         store.append_audit_entry(user, session, action, result)
 
-    datastores = Datastores(schema.config(), _commits(settings, store), check, store.get(STARTUP_DATASTORE))
+    datastores = Datastores(schema.config_schema(), _commits(settings, store), check, store.get(STARTUP_DATASTORE))
     netconf = settings.netconf
     access = Access(netconf.users if netconf else {}, netconf.rules if netconf else ())
     callbacks = ConfigurationCallbacks(
