--- a/onyxhead/agent/controller_session.py
+++ b/onyxhead/agent/controller_session.py
@@ -97,7 +97,7 @@
                 selector.on_failed()
             else:
                 selector.on_accepted(controller)
-                await self._stay_connected(address, controller)
+                await self._follow_stream(address, controller)
                 selector.on_disconnected()
                 await asyncio.sleep(self.settings.reconnect_delay * self.random.uniform(*RECONNECT_JITTER))
 
@@ -107,7 +107,7 @@
         Raises JoinRejectedError, StaleTokenError, HttpError, OSError, and whatever a malformed answer leads to.
         """
         request = self._join_request(insist)
-        # Updates that an older stream still brings are rejected from here on: they would change what is told here.
+        # Updates that an older stream still brings are rejected from here on: they would change what is reported here.
         self.replica.follow(NO_STREAM)
         await self.updater.idle()
         if request.view is not self.replica.view:
@@ -134,7 +134,7 @@
             silence_timeout=self.settings.silence_timeout,
         )
 
-    async def _stay_connected(self, address: Address, controller: str) -> None:
+    async def _follow_stream(self, address: Address, controller: str) -> None:
         self.controller = address
         log.info("controller joined", controller=controller, token=self.replica.token_guard.current)
         await self._wait_until_disconnected()
--- a/onyxhead/agent/load_reporter.py
+++ b/onyxhead/agent/load_reporter.py
@@ -5,7 +5,6 @@
 import asyncio
 import time
 from collections import deque
-from typing import Any
 
 import structlog
 
@@ -35,7 +34,7 @@
 
     def __init__(self, stats: Address, session: ControllerSession, incarnation: str) -> None:
         self.stats, self.session, self.incarnation = stats, session, incarnation
-        self.pending: deque[dict[str, Any]] = deque(maxlen=MAX_PENDING_REPORTS)
+        self.pending: deque[dict[str, object]] = deque(maxlen=MAX_PENDING_REPORTS)
         self._counters: Counters = {}
         self._counted_at = 0.0
         self._number = 0
--- a/onyxhead/agent/proxy_counters.py
+++ b/onyxhead/agent/proxy_counters.py
@@ -70,7 +70,7 @@
     return {key: value for key, value in increments.items() if value}
 
 
-def load_report(period: ReportPeriod, increments: Counters, utilizations: dict[str, float]) -> dict[str, Any]:
+def load_report(period: ReportPeriod, increments: Counters, utilizations: dict[str, float]) -> dict[str, object]:
     """Return a load report in the JSON mapping of Envoy's `LoadStatsRequest`."""
     groups = sorted({key.group for key in increments})
     node = {"id": period.proxy, "metadata": {"boot": period.incarnation, "number": period.number}}
@@ -78,8 +78,8 @@
     return {"node": node, "cluster_stats": clusters}
 
 
-def _cluster(group: str, span_s: float, increments: Counters, utilizations: dict[str, float]) -> dict[str, Any]:
-    cluster: dict[str, Any] = {
+def _cluster(group: str, span_s: float, increments: Counters, utilizations: dict[str, float]) -> dict[str, object]:
+    cluster: dict[str, object] = {
         "cluster_name": group,
         "load_report_interval": f"{span_s:.4f}s",
         "total_dropped_requests": str(round(increments.get(CounterKey(group, DROPPED), 0.0))),
@@ -93,12 +93,12 @@
     return cluster
 
 
-def _endpoint(group: str, backend: str, increments: Counters, utilizations: dict[str, float]) -> dict[str, Any]:
+def _endpoint(group: str, backend: str, increments: Counters, utilizations: dict[str, float]) -> dict[str, object]:
     host, _, port = backend.rpartition(":")
     successes, failures, latency_sum_ms = (
         increments.get(CounterKey(group, counter, backend), 0.0) for counter in BACKEND_COUNTERS
     )
-    stats: list[dict[str, Any]] = []
+    stats: list[dict[str, object]] = []
     if successes:
         stats.append(_metric(LATENCY_METRIC, str(round(successes)), latency_sum_ms))
     if backend in utilizations:
@@ -111,5 +111,5 @@
     }
 
 
-def _metric(name: str, requests: str, total: float) -> dict[str, Any]:
+def _metric(name: str, requests: str, total: float) -> dict[str, object]:
     return {"metric_name": name, "num_requests_finished_with_metric": requests, "total_metric_value": total}
--- a/onyxhead/agent/routes.py
+++ b/onyxhead/agent/routes.py
@@ -1,16 +1,17 @@
-"""The agent's HTTP routes: updates and looks of the controller's stream, and what operators ask."""
+"""The agent's HTTP routes: updates and probes of the controller's stream, and requests of operators."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 from onyxhead.agent.controller_client import CONTROLLER_ROLE
 from onyxhead.agent.controller_session import ControllerSession
+from onyxhead.agent.table_replica import OTHER_STREAM
 from onyxhead.fronts.files import envoy
 from onyxhead.fronts.files.agent_stream import VIEW_PATH
 from onyxhead.http.messages import STREAM_HEADER, Request, Response, json_response, problem_response
 from onyxhead.keys.credentials import peer_identity
+from onyxhead.tables.view_format import WITHDRAWN
 
 AGE_DIGITS = 3
 
@@ -51,10 +52,10 @@
         if STREAM_HEADER not in request.headers:
             return json_response(200, self.replica.view.to_document(), etag=self.replica.view.etag)
         if not self.session.on_request(request, writer):
-            return problem_response(409, "another stream is listened to")
+            return problem_response(409, OTHER_STREAM)
         return self.replica.check_token(request) or self.replica.acknowledgement()
 
-    def state(self) -> dict[str, Any]:
+    def state(self) -> dict[str, object]:
         """Return the members of `/v1/state`."""
         session, view = self.session, self.replica.view
         silence = session.silence_s
@@ -67,5 +68,5 @@
             "swaps": self.updater.swaps,
             "files": self.updater.files.installed_etag(),
             "lines": {route.group: len(envoy.group_endpoints(view, route.group)) for route in session.settings.routes},
-            "withdrawn": sorted(view.children("withdrawn")),
+            "withdrawn": sorted(view.children(WITHDRAWN)),
         }
--- a/onyxhead/agent/server.py
+++ b/onyxhead/agent/server.py
@@ -20,6 +20,7 @@
 from onyxhead.keys.credentials import TlsCredentials, watch_key_files
 from onyxhead.settings.model import Address, AgentSettings
 from onyxhead.tables.view import View
+from onyxhead.tables.view_format import STANDING
 
 INCARNATION_BYTES = 6
 
@@ -85,9 +86,7 @@
     stored = files.load_state()
     if stored is not None:
         return TableReplica(*stored)
-    return TableReplica(
-        View.from_entries({("standing", name): line for name, line in settings.static_endpoints.items()})
-    )
+    return TableReplica(View.from_entries({(STANDING, name): line for name, line in settings.static_endpoints.items()}))
 
 
 async def _cancel(tasks: list[asyncio.Task[None]]) -> None:
--- a/onyxhead/agent/table_replica.py
+++ b/onyxhead/agent/table_replica.py
@@ -30,6 +30,12 @@
 NO_TOKEN = "0"
 INVALID_TOKEN = -1
 
+# Reasons of rejections, as controllers and operators see them.
+OTHER_STREAM = "another stream is listened to"
+WRONG_DIGEST = "the body does not fit its Content-Digest, or has none"
+NO_BASE = "If-Match is wanted"
+OTHER_BASE = "another view is held"
+
 
 class AcceptedUpdate(NamedTuple):
     """An update that may be applied: the view it leads to, and the decision round that it belongs to."""
@@ -72,7 +78,7 @@
 
     def _check_sender(self, request: Request) -> Response | None:
         if not self.owns(request):
-            return problem_response(409, "another stream is listened to")
+            return problem_response(409, OTHER_STREAM)
         return self.check_token(request)
 
     def _check_headers(self, request: Request) -> Response | None:
@@ -80,12 +86,12 @@
             return problem_response(405, f"{request.method} is not taken here")
         digest = request.headers.get("content-digest")
         if digest is None or not digest_matches(digest, request.body):
-            return problem_response(400, "the body does not fit its Content-Digest, or has none")
+            return problem_response(400, WRONG_DIGEST)
         base = request.headers.get("if-match", "")
         if not base:
-            return problem_response(428, "If-Match is wanted")
+            return problem_response(428, NO_BASE)
         if base != self.view.etag:
-            return _with_header(problem_response(412, "another view is held"), "etag", self.view.etag)
+            return _with_header(problem_response(412, OTHER_BASE), "etag", self.view.etag)
         media_type = request.headers.get("content-type", "")
         if media_type != (JSON_MEDIA_TYPE if request.method == "PUT" else MERGE_PATCH_MEDIA_TYPE):
             rejection = problem_response(415, f"{request.method} of {media_type or 'nothing named'} is not taken")
@@ -99,7 +105,7 @@
         return self.view.apply(parse_merge_patch(document))
 
     def check_token(self, request: Request) -> Response | None:
-        """Return the rejection of a request whose fencing token is not the current one, which it tells."""
+        """Return the rejection of a request whose fencing token is not the current one; it carries the current one."""
         text = request.headers.get(TOKEN_HEADER, NO_TOKEN)
         try:
             self.token_guard.check(int(text) if text.isascii() and text.isdigit() else INVALID_TOKEN)
@@ -113,7 +119,7 @@
         return self.acknowledgement(204)
 
     def acknowledgement(self, status: int = 200) -> Response:
-        """Return a response that tells the view and the decision round that are held."""
+        """Return a response that names the current view and decision round."""
         return Response(status, {"etag": self.view.etag, APPLIED_HEADER: str(self.round_number)})
 
 
--- a/onyxhead/agent/table_updater.py
+++ b/onyxhead/agent/table_updater.py
@@ -1,4 +1,4 @@
-"""Applies table updates: checks each, replaces the proxy's files, tells the proxy to reload, acknowledges."""
+"""Applies table updates: checks each, replaces the proxy's files, signals the proxy to reload, acknowledges."""
 
 from __future__ import annotations
 
--- a/onyxhead/fronts/files/__init__.py
+++ b/onyxhead/fronts/files/__init__.py
@@ -1,1 +1,1 @@
-"""The file front: pushes of whole and changed files to agents, and the files that proxies read."""
+"""Updates to agents, and the files that they write for proxies."""
--- a/onyxhead/fronts/files/agent_stream.py
+++ b/onyxhead/fronts/files/agent_stream.py
@@ -109,7 +109,7 @@
         return peer_identity(self.connection.certificate) if self.connection is not None else None
 
     async def probe(self) -> str:
-        """Ask for the entity tag of the agent's view, which also tells it that the stream is alive.
+        """Ask for the entity tag of the agent's view, which also shows it that the stream is alive.
 
         Raises OSError, AgentFaultError.
         """
--- a/onyxhead/intake/load_estimate.py
+++ b/onyxhead/intake/load_estimate.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from onyxhead.intake.credibility import Doubt
 from onyxhead.intake.estimators import Estimate
@@ -48,7 +48,7 @@
     doubt: Doubt
     age: int
 
-    def to_json(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, object]:
         """Return the members of the backend's object in `/v1/load`."""
         speed = self.relative_speed
         return {
--- a/onyxhead/intake/load_sums.py
+++ b/onyxhead/intake/load_sums.py
@@ -1,6 +1,6 @@
 """Weighted sums over load reports of one incarnation of a backend; they add up the same in any order. No I/O.
 
-A worker turns many reports into a few sums, and the sums of several workers are merged before they are judged.
+A worker turns many reports into a few sums, and the sums of several workers are merged before they are used.
 """
 
 from __future__ import annotations
@@ -142,7 +142,7 @@
         return too_old
 
     def sums(self) -> list[LoadSums]:
-        """Return the sums of all incarnations, in the order in which they were first met."""
+        """Return the sums of all incarnations, in the order of their first report."""
         return [accumulator.sums(*key) for key, accumulator in self.accumulators.items()]
 
 
--- a/onyxhead/intake/orca_reports.py
+++ b/onyxhead/intake/orca_reports.py
@@ -79,7 +79,7 @@
 def decode_reports(body: bytes) -> tuple[list[BackendReport], int]:
     """Return the reports of a body, and how many of its parts were faulty.
 
-    Figures out of bounds are left out of a faulty part; a part that is no report at all is left out whole. Raises
+    Figures out of bounds are left out of a faulty part; a part that is no report at all is dropped. Raises
     MalformedReportError for a body that is no list.
     """
     try:
--- a/onyxhead/intake/quantiles.py
+++ b/onyxhead/intake/quantiles.py
@@ -15,7 +15,7 @@
 
 
 class SlidingQuantiles:
-    """One sketch for each of the last `windows` windows of `window` ticks; an old window is dropped whole."""
+    """One sketch for each of the last `windows` windows of `window` ticks; an old window is dropped at once."""
 
     def __init__(self, window: int, windows: int = 3) -> None:
         self.window, self.windows = window, windows
--- a/onyxhead/series/time_series_store.py
+++ b/onyxhead/series/time_series_store.py
@@ -14,7 +14,7 @@
 import re
 from collections.abc import Mapping
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import whisper
 
@@ -46,7 +46,7 @@
     step: int
     values: list[float | None]
 
-    def to_json(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, object]:
         """Return the answer of `/v1/series`."""
         return {"name": self.name, "since": self.since, "step": self.step, "figures": self.values}
 
