--- a/onyxhead/controller/proxy_streams.py
+++ b/onyxhead/controller/proxy_streams.py
@@ -190,7 +190,10 @@
     async def _deliver_next(
         self, stream: AgentStream, number: int, messages: asyncio.Queue[QueuedUpdate], heartbeat_s: float
     ) -> None:
-        """Send what has come in as one message, or probe the stream. Raises OSError, AgentFaultError."""
+        """Send what has come in as one message, or check the stream if nothing came.
+
+        Raises OSError, AgentFaultError.
+        """
         try:
             async with asyncio.timeout(heartbeat_s):
                 first = await messages.get()
