--- a/onyxhead/cli/settings_files.py
+++ b/onyxhead/cli/settings_files.py
@@ -19,14 +19,14 @@
 @click.argument("files", nargs=-1, required=True, type=PATH)
 def check(files: tuple[Path, ...]) -> None:
     """Check settings files; every fault is named with its place."""
-    faults: list[Diagnostic] = []
+    diagnostics: list[Diagnostic] = []
     for path in files:
         try:
             load.read_settings(path)
         except InvalidConfigurationError as error:
-            faults += error.diagnostics
-    if faults:
-        raise FaultyInputError(*faults)
+            diagnostics += error.diagnostics
+    if diagnostics:
+        raise FaultyInputError(*diagnostics)
     click.echo(f"{len(files)} sound")
 
 
@@ -38,17 +38,17 @@
     from onyxhead.configuration_language.formatter import format_text
     from onyxhead.configuration_language.parser import parse
 
-    faults: list[object] = []
+    diagnostics: list[object] = []
     differing: list[Path] = []
     for path in files:
         try:
             text = path.read_bytes().decode()
             parse(text, str(path))
         except (OSError, UnicodeDecodeError) as error:
-            faults.append(f"{path}:1:1: cannot read it: {error}")
+            diagnostics.append(f"{path}:1:1: cannot read it: {error}")
             continue
         except InvalidConfigurationError as error:
-            faults += error.diagnostics
+            diagnostics += error.diagnostics
             continue
         formatted = format_text(text)
         if formatted != text:
@@ -57,8 +57,8 @@
                 replace_file(path, formatted)
     for path in differing:
         click.echo(f"{path}: {'is not laid out so' if only_check else 'laid out'}")
-    if faults:
-        raise FaultyInputError(*faults)
+    if diagnostics:
+        raise FaultyInputError(*diagnostics)
     sys.exit(ExitCode.REFUSED if only_check and differing else 0)
 
 
@@ -72,7 +72,7 @@
     from onyxhead.configuration_language.loader import evaluate_files, load_files
 
     records, definitions = [], []
-    faults: list[Diagnostic] = []
+    diagnostics: list[Diagnostic] = []
     for path in (one, two):
         try:
             files = load_files(path)
@@ -80,9 +80,9 @@
             definitions.append(definition)
             records.append(evaluate_files(files, *definition))
         except InvalidConfigurationError as error:
-            faults += error.diagnostics
-    if faults:
-        raise FaultyInputError(*faults)
+            diagnostics += error.diagnostics
+    if diagnostics:
+        raise FaultyInputError(*diagnostics)
     (schema_text, kind), (_, other_kind) = definitions
     if kind != other_kind:
         raise FaultyInputError(f"{one} holds a {kind}, {two} a {other_kind}")
@@ -100,8 +100,8 @@
 @click.argument("kind", type=click.Choice(["controller", "agent", "operators", "routing"]))
 def json_schema(kind: str) -> None:
     """Write the JSON Schema of a kind of settings, for editors."""
-    from onyxhead.configuration_language import json_schema as schemas
-    from onyxhead.routing.files import schema as routing_schema
+    from onyxhead.configuration_language.json_schema import json_schema as write_json_schema
+    from onyxhead.routing.routing_file import schema_text as routing_schema
 
     text = routing_schema() if kind == "routing" else load.schema()
-    print_json(schemas.json_schema(text, f"#{kind.capitalize()}"))
+    print_json(write_json_schema(text, f"#{kind.capitalize()}"))
