--- a/onyxhead/controller/decision_loop.py
+++ b/onyxhead/controller/decision_loop.py
@@ -11,13 +11,13 @@
 
 from onyxhead.controller import log_events
 from onyxhead.controller.core_host import CoreHost
-from onyxhead.controller.decision_journal import journal_entries
 from onyxhead.controller.effects import Disconnect, Effects, HealthCheckTarget, RoundResult
 from onyxhead.controller.health_check import check_health
 from onyxhead.controller.proxy_streams import ProxyStreams
 from onyxhead.controller.task_supervisor import TaskSupervisor
 from onyxhead.policy.decisions import Withdrawal
 from onyxhead.settings.model import HealthCheckSettings
+from onyxhead.store.decision_format import encode_decisions
 from onyxhead.store.store import Store
 from onyxhead.time_units import TICKS_PER_SECOND
 
@@ -81,7 +81,7 @@
 
     def _record_round(self, result: RoundResult) -> None:
         number, decisions, causes = result
-        entries = journal_entries(decisions)
+        entries = encode_decisions(decisions)
         log.info(log_events.DECISION_ROUND_SENT, round=number, causes=causes, decisions=entries)
         self.store.append_decisions(self.host.core.epoch, number, causes, entries)
         if self.notify is not None:
--- a/onyxhead/incident/backend_states.py
+++ b/onyxhead/incident/backend_states.py
@@ -10,6 +10,7 @@
 
 from onyxhead.incident.events import Event, EventKind
 from onyxhead.incident.gaps import Gap, find_gaps
+from onyxhead.store.decision_format import DecisionKind
 from onyxhead.store.records import StoredPeriod
 
 FULL_WEIGHT = 0.995
@@ -63,11 +64,11 @@
             continue
         for decision in record.decisions:
             match decision:
-                case ["withdraw", backend]:
+                case [DecisionKind.WITHDRAW, backend]:
                     changes[backend].append((record.at, BackendState.OUT))
-                case ["readmit", backend]:
+                case [DecisionKind.READMIT, backend]:
                     changes[backend].append((record.at, BackendState.IN))
-                case ["lines", _, weights]:
+                case [DecisionKind.LINES, _, weights]:
                     for backend, weight in weights.items():
                         # A withdrawal holds until the backend is readmitted, whatever weight its lines get.
                         withdrawn = bool(changes[backend]) and changes[backend][-1][1] is BackendState.OUT
--- a/onyxhead/incident/events.py
+++ b/onyxhead/incident/events.py
@@ -10,6 +10,7 @@
 from enum import StrEnum
 from typing import Any, NamedTuple
 
+from onyxhead.store.decision_format import DecisionKind
 from onyxhead.store.records import DecisionRecord, StoredPeriod
 
 
@@ -69,7 +70,7 @@
     lines: dict[str, list[str]] = defaultdict(list)
     for decision in record.decisions:
         match decision:
-            case ["lines", table, changed]:
+            case [DecisionKind.LINES, table, changed]:
                 for backend, weight in changed.items():
                     lines[backend].append(f"{weight:g} in table {table}")
             case _:
@@ -91,13 +92,13 @@
 
 def _decision_events(controller: str, record: DecisionRecord, decision: list[Any]) -> list[Event]:
     match decision:
-        case ["withdraw", backend]:
+        case [DecisionKind.WITHDRAW, backend]:
             causes = "; ".join(record.causes) or "time"
             text = f"{backend} withdrawn ({causes})"
             return [Event(record.at, controller, EventKind.WITHDRAWN, text, (backend,))]
-        case ["readmit", backend]:
+        case [DecisionKind.READMIT, backend]:
             return [Event(record.at, controller, EventKind.READMITTED, f"{backend} let in again", (backend,))]
-        case ["level", table, groups, level, _retry_mode]:
+        case [DecisionKind.LEVEL, table, groups, level, _retry_mode]:
             text = f"groups {', '.join(map(str, groups))} of table {table}: {level:.0%} let in"
             return [Event(record.at, controller, EventKind.ADMISSION_LEVEL, text)]
     return []
--- a/onyxhead/tables/table_state.py
+++ b/onyxhead/tables/table_state.py
@@ -137,12 +137,12 @@
             if listed_weight > 0:
                 self.desired[table, backend] = max(1, round(listed_weight * WEIGHT_SCALE))
         for tables in self._table_sets():
-            held = tables.table(table)
+            sent = tables.table(table)
             # While tables are frozen, a change goes out only as far as the freeze lets it.
             target = tables.target(self.desired)
             for backend, _ in lines:
                 weight = target.get((table, backend), 0)
-                if tables.freeze is None or weight != held.get(backend, 0):
+                if tables.freeze is None or weight != sent.get(backend, 0):
                     self._set_line(tables, table, backend, weight, updates)
 
     def _apply_admission_level(self, decision: AdmissionLevel, updates: RoundUpdates) -> None:
@@ -210,8 +210,8 @@
     def _may_use(self, proxy: int, backend: str) -> bool:
         """Whether a withdrawal concerns this proxy: tables that are not of this controller may hold any backend."""
         tables = self.tables_of(proxy)
-        held = self._table_set_of(proxy).lines_by_table
-        return not tables or any(backend in held.get(table, {}) for table in tables)
+        lines_by_table = self._table_set_of(proxy).lines_by_table
+        return not tables or any(backend in lines_by_table.get(table, {}) for table in tables)
 
     def _level_value(self, decision: AdmissionLevel) -> ViewValue:
         if self.admission_mode is AdmissionMode.RATE:
