--- a/onyxhead/controller/proxy_streams.py
+++ b/onyxhead/controller/proxy_streams.py
@@ -12,7 +12,7 @@
 from onyxhead.controller.delivery_queue import QueuedMessage
 from onyxhead.controller.proxies import JoinRequest
 from onyxhead.controller.task_supervisor import TaskSupervisor
-from onyxhead.fronts.files.push import Encoder, Refused, Stream
+from onyxhead.fronts.files.agent_stream import AgentFaultError, AgentStream, UpdateEncoder
 from onyxhead.keys.credentials import PeerIdentity, TlsCredentials
 from onyxhead.store.store import Store
 from onyxhead.tables.updates import ProxyUpdate, coalesce
@@ -68,7 +68,7 @@
     ) -> None:
         self.host, self.store, self.supervisor, self.keys = host, store, supervisor, keys
         self.zones, self.stall_timeout = zones, stall_timeout
-        self.encoder = Encoder()
+        self.encoder = UpdateEncoder()
         self.by_proxy: dict[int, ProxyStream] = {}
 
     def open(self, request: JoinRequest, parameters: StreamParameters) -> None:
@@ -126,7 +126,7 @@
     async def _run(self, request: JoinRequest, parameters: StreamParameters) -> None:
         """One stream from its opening to its end."""
         token, number = parameters.token, -1
-        stream = Stream(
+        stream = AgentStream(
             parameters.address,
             token,
             self.encoder,
@@ -142,7 +142,7 @@
                 await self._deliver_next(stream, number, messages, parameters.heartbeat_s)
         except OSError as error:
             self._on_closed(number, token, str(error) or type(error).__name__)
-        except Refused as error:
+        except AgentFaultError as error:
             self._on_rejected(number, token, request.name, str(error))
         except Exception as error:
             # Whatever one agent does may only end its own stream, and nobody else's.
@@ -152,13 +152,13 @@
         finally:
             stream.close()
 
-    async def _handshake(self, stream: Stream, request: JoinRequest) -> str:
-        """Connect, and check who answers with which view. Returns its etag. Raises OSError, Refused."""
+    async def _handshake(self, stream: AgentStream, request: JoinRequest) -> str:
+        """Connect, and check who answers with which view. Returns its etag. Raises OSError, AgentFaultError."""
         etag = await stream.open(self.keys.client_context if self.keys is not None else None)
         if self.keys is not None and stream.peer != PeerIdentity(AGENT_ROLE, request.name):
-            raise Refused(f"its certificate is of {stream.peer}")
+            raise AgentFaultError(f"its certificate is of {stream.peer}")
         if etag != request.view.etag:
-            raise Refused("it holds another view than it said")
+            raise AgentFaultError("it holds another view than it said")
         return etag
 
     def _join(self, request: JoinRequest, token: str) -> int:
@@ -188,28 +188,31 @@
         return messages
 
     async def _deliver_next(
-        self, stream: Stream, number: int, messages: asyncio.Queue[QueuedUpdate], heartbeat_s: float
+        self, stream: AgentStream, number: int, messages: asyncio.Queue[QueuedUpdate], heartbeat_s: float
     ) -> None:
-        """Send what has come in as one message, or check the stream if nothing came. Raises OSError, Refused."""
+        """Send what has come in as one message, or check the stream if nothing came.
+
+        Raises OSError, AgentFaultError.
+        """
         try:
             async with asyncio.timeout(heartbeat_s):
                 first = await messages.get()
         except TimeoutError:
-            known_etag = stream.held
-            if await stream.look() != known_etag:
-                raise Refused(VIEW_CHANGED) from None
+            known_etag = stream.etag
+            if await stream.probe() != known_etag:
+                raise AgentFaultError(VIEW_CHANGED) from None
             return
         batch = [first]
         while not messages.empty():
             batch.append(messages.get_nowait())
         update = coalesce([each.update for each in batch])
         # A process that stood still for too long may have lost the proxy to another controller; it checks first.
-        if self.host.now() - first.queued_at > self.stall_timeout and await stream.look() != update.base_etag:
-            raise Refused(VIEW_CHANGED)
+        if self.host.now() - first.queued_at > self.stall_timeout and await stream.probe() != update.base_etag:
+            raise AgentFaultError(VIEW_CHANGED)
         await stream.send(update, batch[-1].queued_at)
         for _ in batch:
             self.host.core.delivery_queue.on_written(number)
-        etag = await stream.answer()
+        etag = await stream.receive_acknowledgement()
         self._on_acknowledged(number, update, etag, first.queued_at)
 
     def _on_acknowledged(self, number: int, update: ProxyUpdate, etag: str, queued_at: int) -> None:
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -220,8 +220,8 @@
 def weight_at_warming_backend(rig: Rig) -> float:
     """The weight of the warming backend's line at all proxies of this controller together."""
     return sum(
-        keeper.view.entries.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"]
-        for keeper in rig.keepers.values()
+        replica.view.entries.get(("tables", "t0", "lines", "b9"), {"weight": 0})["weight"]
+        for replica in rig.replicas.values()
     )
 
 
