--- a/onyxhead/cli/backends.py
+++ b/onyxhead/cli/backends.py
@@ -14,6 +14,7 @@
 from onyxhead.cli.options import address_option, fleet_option, identity_option, json_option
 from onyxhead.cli.output import print_json, print_table
 from onyxhead.cli.requests import REQUEST_TIMEOUT_S, client_tls, fleet_members
+from onyxhead.operate.answers import CommandStatus
 
 if TYPE_CHECKING:
     from onyxhead.operate.fleet_client import CommandOutcome
@@ -74,7 +75,7 @@
     rows = [
         {
             "member": outcome.member,
-            "status": "not known" if outcome.status == "unknown" else outcome.status,
+            "status": "not known" if outcome.status == CommandStatus.UNKNOWN else outcome.status,
             "changed": outcome.answer.get("changed", []),
             "channel_s": outcome.answer.get("channel_s", "-"),
             "why": outcome.reason,
@@ -82,15 +83,15 @@
         for outcome in outcomes
     ]
     print_table(title, rows)
-    if any(outcome.status == "unknown" for outcome in outcomes):
+    if any(outcome.status == CommandStatus.UNKNOWN for outcome in outcomes):
         click.echo(f"not known everywhere; send it again with --id {command_id}", err=True)
 
 
 def _exit_code(outcomes: Sequence[CommandOutcome]) -> int:
     statuses = {outcome.status for outcome in outcomes}
-    if "unknown" in statuses:
+    if CommandStatus.UNKNOWN in statuses:
         return ExitCode.UNKNOWN
-    return ExitCode.REFUSED if "refused" in statuses else 0
+    return ExitCode.REFUSED if CommandStatus.REFUSED in statuses else 0
 
 
 @click.command()
--- a/onyxhead/controller/operator_commands.py
+++ b/onyxhead/controller/operator_commands.py
@@ -16,6 +16,7 @@
 from onyxhead.controller.endpoint_overlay import EndpointOverlay
 from onyxhead.controller.proxies import NEVER_ACKNOWLEDGED
 from onyxhead.http.messages import Request, Response, json_response, problem_response
+from onyxhead.operate.answers import CommandAnswer
 from onyxhead.operate.commands import Backend, Command, CommandError, select_backends
 from onyxhead.settings.model import ControllerSettings
 from onyxhead.store.errors import StoreUnavailableError
@@ -50,8 +51,8 @@
         backends = [Backend(each.id, each.zone, each.kind) for each in self.watch.endpoint_list.entries]
         tree = self.overlay.tree or tree_of(self.settings)
         try:
-            outcome = orders.execute(command, tree, backends, self.fleet_facts())
-            is_new = not command.dry_run and not outcome.get("again")
+            answer = orders.execute(command, tree, backends, self.fleet_facts())
+            is_new = not command.dry_run and not answer.repeated
             if is_new:
                 # Stored before it acts and is answered: the next incarnation knows the command, or it never ran.
                 self.store.put(OPERATOR_STATE, orders.to_record())
@@ -61,21 +62,21 @@
             return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, f"not written: {error}")
         if is_new:
             self.overlay.overrides = orders
-            self._record(command, outcome)
+            self._record(command, answer)
             self.watch.refresh()
-        return json_response(HTTPStatus.OK, outcome)
+        return json_response(HTTPStatus.OK, answer.to_json())
 
-    def _record(self, command: Command, outcome: dict[str, Any]) -> None:
+    def _record(self, command: Command, answer: CommandAnswer) -> None:
         log.info(
             log_events.OPERATOR_COMMAND,
             id=command.command_id,
             by=command.operator,
-            command=outcome["asked"],
-            status=outcome["status"],
-            reason=outcome["why"],
+            command=answer.request,
+            status=answer.effect.status.value,
+            reason=answer.effect.reason,
         )
         self.store.append_audit_entry(
-            command.operator, 0, f"{command.verb} {' '.join(command.selectors)}", outcome["status"]
+            command.operator, 0, f"{command.verb} {' '.join(command.selectors)}", answer.effect.status.value
         )
 
     def progress(self, selectors: list[str]) -> dict[str, Any]:
--- a/onyxhead/operate/fleet_client.py
+++ b/onyxhead/operate/fleet_client.py
@@ -15,6 +15,7 @@
 
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import HttpError, Request, Response
+from onyxhead.operate.answers import CommandStatus
 from onyxhead.settings.model import Address
 
 RETRY_DELAY_S = 0.2
@@ -23,7 +24,10 @@
 
 
 class CommandOutcome(NamedTuple):
-    """What one member did: `status` is applied, refused or unknown; `answer` is its answer, empty without one."""
+    """What one member did.
+
+    `status` is a CommandStatus, or what a newer member answers instead; `answer` is empty without an answer.
+    """
 
     member: str
     status: str
@@ -32,7 +36,7 @@
 
     def to_json(self) -> dict[str, Any]:
         """Return the outcome under its names in the command's JSON output."""
-        return {"member": self.member, "status": self.status, "why": self.reason, "told": self.answer}
+        return {"member": self.member, "status": str(self.status), "why": self.reason, "told": self.answer}
 
 
 class _ServerError(Exception):
@@ -68,13 +72,13 @@
         except _ServerError as error:
             reason = str(error)
             await asyncio.sleep(RETRY_DELAY_S)
-    return CommandOutcome(member, "unknown", reason, {})
+    return CommandOutcome(member, CommandStatus.UNKNOWN, reason, {})
 
 
 def _read_outcome(member: str, response: Response) -> CommandOutcome:
     """Return the outcome that a response tells. Raises _ServerError where another attempt is due."""
     if response.status == 404:
-        return CommandOutcome(member, "refused", "its program is older and knows no such command", {})
+        return CommandOutcome(member, CommandStatus.REFUSED, "its program is older and knows no such command", {})
     try:
         answer = response.json()
         if response.status == 200:
@@ -82,9 +86,9 @@
         if response.status >= 500:
             raise _ServerError(f"{response.status}: {answer.get('detail', '')}")
         reason = str(answer.get("detail") or answer.get("title") or response.status)
-        return CommandOutcome(member, "refused", reason, {})
+        return CommandOutcome(member, CommandStatus.REFUSED, reason, {})
     except (ValueError, KeyError, AttributeError, TypeError):
-        return CommandOutcome(member, "unknown", f"an answer of {response.status} that can't be read", {})
+        return CommandOutcome(member, CommandStatus.UNKNOWN, f"an answer of {response.status} that can't be read", {})
 
 
 async def query_members(
--- a/onyxhead/operate/overrides.py
+++ b/onyxhead/operate/overrides.py
@@ -11,10 +11,12 @@
 
 from collections import OrderedDict
 from collections.abc import Iterable, Mapping
+from dataclasses import replace
 from typing import Any
 
 from onyxhead.controller.configuration.commit_plan import FleetFacts, drained, plan_commit
 from onyxhead.controller.configuration.tree import RpcError, Tree
+from onyxhead.operate.answers import CommandAnswer, CommandEffect, CommandStatus
 from onyxhead.operate.commands import Backend, Command, CommandError, select_backends
 
 MAX_COMPLETED = 500
@@ -29,42 +31,44 @@
         record = record if isinstance(record, dict) else {}
         self.drained: set[str] = set(record.get("drained", ()))
         self.cordoned: set[str] = set(record.get("cordoned", ()))
-        self.completed: OrderedDict[str, dict[str, Any]] = OrderedDict(record.get("done", ()))
+        self.completed: OrderedDict[str, CommandAnswer] = OrderedDict(
+            (command_id, CommandAnswer.from_record(answer)) for command_id, answer in record.get("done", ())
+        )
 
     def to_record(self) -> dict[str, Any]:
         """Return the state to be stored."""
-        completed = list(self.completed.items())
+        completed = [(command_id, answer.to_record()) for command_id, answer in self.completed.items()]
         return {"drained": sorted(self.drained), "cordoned": sorted(self.cordoned), "done": completed}
 
     def copy(self) -> BackendOverrides:
         """Return an independent copy."""
-        return BackendOverrides(self.to_record())
+        copy = BackendOverrides()
+        copy.drained, copy.cordoned = set(self.drained), set(self.cordoned)
+        copy.completed = self.completed.copy()
+        return copy
 
-    def execute(self, command: Command, tree: Tree, backends: Iterable[Backend], facts: FleetFacts) -> dict[str, Any]:
+    def execute(self, command: Command, tree: Tree, backends: Iterable[Backend], facts: FleetFacts) -> CommandAnswer:
         """Apply a command and return its answer.
 
         Raises CommandError for an id that was already used for another command.
         """
         known = self.completed.get(command.command_id)
         if known is not None:
-            if known["asked"] != command.request():
-                earlier = " ".join(map(str, known["asked"]))
+            if known.request != command.request():
+                earlier = " ".join(map(str, known.request))
                 raise CommandError(f"id {command.command_id!r} was given to another command: {earlier}")
-            return known | {"again": True}
+            return replace(known, repeated=True)
         selected = self._select(command, backends)
-        answer: dict[str, Any] = {
-            "id": command.command_id,
-            "asked": command.request(),
-            "by": command.operator,
-            "backends": selected,
-        }
-        if not selected:
-            answer |= {"status": "refused", "why": "no backend here is called so"}
+        if selected:
+            effect = self._apply(command, tree, selected, facts)
         else:
-            answer |= self._apply(command, tree, selected, facts)
+            effect = CommandEffect(CommandStatus.REFUSED, "no backend here is called so")
+        answer = CommandAnswer(
+            command.command_id, command.request(), command.operator, selected, effect, command.dry_run
+        )
         if not command.dry_run:
-            self._remember(command.command_id, answer)
-        return answer | {"dry_run": command.dry_run}
+            self._remember(answer)
+        return answer
 
     def _select(self, command: Command, backends: Iterable[Backend]) -> list[str]:
         selected = select_backends(command.selectors, backends)
@@ -74,7 +78,7 @@
         overridden = [Backend(name, "", "") for name in self.drained | self.cordoned]
         return sorted({*selected, *select_backends(command.selectors, overridden)})
 
-    def _apply(self, command: Command, tree: Tree, selected: list[str], facts: FleetFacts) -> dict[str, Any]:
+    def _apply(self, command: Command, tree: Tree, selected: list[str], facts: FleetFacts) -> CommandEffect:
         drains, cordons = set(self.drained), set(self.cordoned)
         match command.verb:
             case "drain":
@@ -90,17 +94,17 @@
         try:
             plan = plan_commit(with_drains(tree, self.drained), with_drains(tree, drains), facts)
         except RpcError as error:
-            return {"status": "refused", "why": error.text, "changed": []}
+            return CommandEffect(CommandStatus.REFUSED, error.text, [])
         if command.verb == "restore" and (configured := sorted(set(selected) & drained(tree))):
             reason = f"{', '.join(configured)}: drained by the configuration, and only that can restore them"
-            return {"status": "refused", "why": reason, "changed": []}
+            return CommandEffect(CommandStatus.REFUSED, reason, [])
         if not command.dry_run:
             self.drained, self.cordoned = drains, cordons
         reason = "" if changed else "it was so already"
-        return {"status": "applied", "why": reason, "changed": changed, "channel_s": round(plan.seconds, 3)}
+        return CommandEffect(CommandStatus.APPLIED, reason, changed, round(plan.seconds, 3))
 
-    def _remember(self, command_id: str, answer: dict[str, Any]) -> None:
-        self.completed[command_id] = answer
+    def _remember(self, answer: CommandAnswer) -> None:
+        self.completed[answer.command_id] = answer
         while len(self.completed) > MAX_COMPLETED:
             self.completed.popitem(last=False)
 
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -34,7 +34,7 @@
 
 
 def run(standing: BackendOverrides, verb: str, *names: str, **more: Any) -> dict[str, Any]:
-    return standing.execute(asked(verb, *names, **more), TREE, ALL, FACTS)
+    return standing.execute(asked(verb, *names, **more), TREE, ALL, FACTS).to_json()
 
 
 @pytest.mark.parametrize(
@@ -99,13 +99,13 @@
     tried = run(own, "drain", "b1", number="2", dry_run=True)
     assert tried["status"] == "applied" and tried["dry_run"] and not own.drained and "2" not in own.completed
     many = FACTS._replace(proxies=2_000)
-    assert "rule 3" in own.execute(asked("drain", "b1", "b2", number="3"), TREE, ALL, many)["why"]
+    assert "rule 3" in own.execute(asked("drain", "b1", "b2", number="3"), TREE, ALL, many).effect.reason
     assert run(own, "drain", "nobody", number="4")["status"] == "refused"
 
 
 def test_what_the_configuration_drained_only_it_restores() -> None:
     tree = TREE | {"backend": [{"id": "b1", "drained": True}]}
-    told = BackendOverrides().execute(asked("restore", "b1"), tree, ALL, FACTS)
+    told = BackendOverrides().execute(asked("restore", "b1"), tree, ALL, FACTS).to_json()
     assert told["status"] == "refused" and "configuration" in told["why"]
 
 
@@ -133,7 +133,7 @@
     run(own, "drain", "b1", number="a")
     later = BackendOverrides(json.loads(json.dumps(own.to_record())))
     assert run(later, "drain", "b1", number="a")["again"] and later.drained == {"b1"}
-    told = later.execute(asked("restore", "b*", number="z"), TREE, [], FACTS)
+    told = later.execute(asked("restore", "b*", number="z"), TREE, [], FACTS).to_json()
     assert told["changed"] == ["b1"] and not later.drained
     for n in range(600):
         run(later, "drain", "b1", number=f"n{n}")
