--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -38,7 +38,7 @@
     return own
 
 
-async def met(server: TlsCredentials, client: TlsCredentials) -> tuple[PeerIdentity | None, PeerIdentity | None]:
+async def handshake(server: TlsCredentials, client: TlsCredentials) -> tuple[PeerIdentity | None, PeerIdentity | None]:
     """Who each side sees of the other. Raises OSError where a handshake fails."""
     seen: list[PeerIdentity | None] = []
 
@@ -60,14 +60,12 @@
         listener.close()
 
 
-def test_both_sides_know_each_other_by_role_and_name(authority: CertificateAuthority) -> None:
+def test_both_sides_identify_the_peer_by_role_and_name(authority: CertificateAuthority) -> None:
     server, client = (TlsCredentials(files(authority.folder, name)) for name in ("c1", "p1"))
-    assert asyncio.run(met(server, client)) == (PeerIdentity("agent", "p1"), PeerIdentity("controller", "c1"))
+    assert asyncio.run(handshake(server, client)) == (PeerIdentity("agent", "p1"), PeerIdentity("controller", "c1"))
 
 
-def test_a_revoked_and_an_expired_peer_and_a_strangers_are_refused(
-    authority: CertificateAuthority, tmp_path: Path
-) -> None:
+def test_revoked_expired_and_unknown_peers_are_rejected(authority: CertificateAuthority, tmp_path: Path) -> None:
     authority.issue("late", "agent", days=90)
     late = TlsCredentials(files(authority.folder, "late"))
     assert authority.revoke("late") == 1 and authority.revoke("late") == 0
@@ -78,14 +76,14 @@
     server = TlsCredentials(files(authority.folder, "c1"))
     for client in (late, foreign):
         with pytest.raises((OSError, ssl.SSLError)):
-            asyncio.run(met(server, client))
+            asyncio.run(handshake(server, client))
     CertificateAuthority(authority.folder, NOW - datetime.timedelta(days=30)).issue("old", "agent", days=10)
     with pytest.raises(KeyFileError, match="expired"):
         TlsCredentials(files(authority.folder, "old"))
 
 
 @pytest.mark.parametrize("what", ["other key", "half a key", "no file", "stranger", "not a certificate"])
-def test_bad_new_keys_are_refused_with_the_reason_and_the_old_ones_stay(
+def test_unusable_key_files_are_rejected_and_the_old_ones_stay(
     what: str, authority: CertificateAuthority, tmp_path: Path
 ) -> None:
     folder = authority.folder
@@ -109,28 +107,28 @@
     with pytest.raises(KeyFileError):
         server.refresh()
     assert server.generation == 0 and not server.refresh()
-    assert asyncio.run(met(server, client))[0] == PeerIdentity("agent", "p1")
+    assert asyncio.run(handshake(server, client))[0] == PeerIdentity("agent", "p1")
     for name, body in good.items():
         (folder / name).write_bytes(body)
     assert server.refresh() and server.generation == 1
 
 
-def test_the_authority_itself_is_replaced_with_both_trusted_for_a_while(authority: CertificateAuthority) -> None:
+def test_a_replaced_authority_stays_trusted_until_it_is_forgotten(authority: CertificateAuthority) -> None:
     folder = authority.folder
     server, client = TlsCredentials(files(folder, "c1")), TlsCredentials(files(folder, "p1"))
     authority.create("test")
     assert server.refresh() and client.refresh()
     authority.renew("c1")
     assert server.refresh()
-    assert asyncio.run(met(server, client)) == (PeerIdentity("agent", "p1"), PeerIdentity("controller", "c1"))
+    assert asyncio.run(handshake(server, client)) == (PeerIdentity("agent", "p1"), PeerIdentity("controller", "c1"))
     authority.renew("p1")
     assert client.refresh()
     authority.forget()
     assert server.refresh() and client.refresh()
-    assert asyncio.run(met(server, client))[0] == PeerIdentity("agent", "p1")
+    assert asyncio.run(handshake(server, client))[0] == PeerIdentity("agent", "p1")
 
 
-def test_what_the_authority_can_not_do_is_said(tmp_path: Path, authority: CertificateAuthority) -> None:
+def test_the_authority_rejects_invalid_requests(tmp_path: Path, authority: CertificateAuthority) -> None:
     for work in (
         lambda: authority.issue("a/b", "agent"),
         lambda: authority.issue("x", "king"),
@@ -143,7 +141,7 @@
     assert (authority.folder / "c1.key").stat().st_mode & 0o077 == 0
 
 
-def test_the_keys_command(tmp_path: Path) -> None:
+def test_keys_are_managed_on_the_command_line(tmp_path: Path) -> None:
     def run(*words: str) -> tuple[int, str]:
         done = CliRunner().invoke(main, ["keys", words[0], str(tmp_path / "k"), *words[1:]])
         return done.exit_code, done.output
@@ -160,7 +158,7 @@
 TLS = 'tls: {certificate: "keys/%s.crt", key: "keys/%s.key", authorities: "keys/authorities.pem", revoked: "keys/revoked.pem", every: 50ms}\n'
 
 
-def test_keys_change_in_service_with_no_order_lost_and_revoked_agents_are_kept_out(
+def test_key_rotation_loses_no_update_and_revoked_agents_are_kept_out(
     tmp_path: Path, authority: CertificateAuthority
 ) -> None:
     async def work(running: Running) -> None:
@@ -195,7 +193,7 @@
     play(tmp_path, work)
 
 
-def test_keys_replaced_in_a_join_storm_lose_nobody(tmp_path: Path, authority: CertificateAuthority) -> None:
+def test_key_rotation_while_many_proxies_join_loses_none(tmp_path: Path, authority: CertificateAuthority) -> None:
     async def work(running: Running) -> None:
         running.more = TLS % ("c1", "c1")
         controller = await running.controller()
@@ -216,7 +214,7 @@
     play(tmp_path, work)
 
 
-def test_a_certificate_speaks_for_its_own_name_and_plain_connections_for_none(
+def test_a_certificate_authorizes_its_own_name_only_and_plain_connections_are_rejected(
     tmp_path: Path, authority: CertificateAuthority
 ) -> None:
     async def work(running: Running) -> None:
@@ -241,7 +239,7 @@
     play(tmp_path, work)
 
 
-def test_netconf_over_tls_knows_the_user_by_certificate(tmp_path: Path, authority: CertificateAuthority) -> None:
+def test_netconf_over_tls_identifies_the_user_by_certificate(tmp_path: Path, authority: CertificateAuthority) -> None:
     authority.issue("olga", "operator")
     folder = authority.folder
     rule = 'rules: [{name: "all", groups: ["ops"], action: "permit"}]'
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -1,4 +1,4 @@
-"""Operators' commands: act once, end as applied, refused or not known; where members differ."""
+"""Operators' commands, which act once and end as applied, refused or unknown; differences between members."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 FACTS = FleetFacts(tuple(Known(each.id, each.zone, True, True) for each in ALL), 10, 0.0, 6.0)
 
 
-def asked(verb: str, *names: str, number: str = "1", dry_run: bool = False) -> Command:
+def make_command(verb: str, *names: str, number: str = "1", dry_run: bool = False) -> Command:
     return Command.parse({"id": number, "verb": verb, "names": list(names), "by": "ann", "dry_run": dry_run})
 
 
-def run(standing: BackendOverrides, verb: str, *names: str, **more: Any) -> dict[str, Any]:
-    return standing.execute(asked(verb, *names, **more), TREE, ALL, FACTS).to_json()
+def execute(overrides: BackendOverrides, verb: str, *names: str, **more: Any) -> dict[str, Any]:
+    return overrides.execute(make_command(verb, *names, **more), TREE, ALL, FACTS).to_json()
 
 
 @pytest.mark.parametrize(
@@ -50,7 +50,7 @@
         (["kind="], ""),
     ],
 )
-def test_selectors(selectors: list[str], found: str) -> None:
+def test_selectors_match_names_zones_and_kinds(selectors: list[str], found: str) -> None:
     assert " ".join(select_backends(selectors, ALL)) == found
 
 
@@ -68,82 +68,84 @@
         {"id": 1, "verb": "drain", "names": ["b"]},
     ],
 )
-def test_what_is_no_command_is_refused(given: Any) -> None:
+def test_an_invalid_command_is_rejected(given: Any) -> None:
     with pytest.raises(CommandError):
         Command.parse(given)
 
 
-def test_a_command_sent_twice_acts_once_also_after_something_else() -> None:
-    own = BackendOverrides()
-    first = run(own, "drain", "b1", number="a")
+def test_a_repeated_command_acts_once_even_after_another_command() -> None:
+    overrides = BackendOverrides()
+    first = execute(overrides, "drain", "b1", number="a")
     assert (first["status"], first["changed"]) == ("applied", ["b1"])
-    assert run(own, "restore", "b1", number="b")["changed"] == ["b1"]
-    again = run(own, "drain", "b1", number="a")
-    assert again["again"] and again["changed"] == ["b1"] and not own.drained
+    assert execute(overrides, "restore", "b1", number="b")["changed"] == ["b1"]
+    again = execute(overrides, "drain", "b1", number="a")
+    assert again["again"] and again["changed"] == ["b1"] and not overrides.drained
     with pytest.raises(CommandError, match="another command"):
-        run(own, "drain", "b2", number="a")
+        execute(overrides, "drain", "b2", number="a")
 
 
-def test_the_same_drain_from_two_operators_is_told_to_the_second() -> None:
-    own = BackendOverrides()
-    run(own, "drain", "b1", number="a")
-    second = run(own, "drain", "b1", "b2", number="b")
+def test_a_second_drain_of_the_same_backend_changes_nothing() -> None:
+    overrides = BackendOverrides()
+    execute(overrides, "drain", "b1", number="a")
+    second = execute(overrides, "drain", "b1", "b2", number="b")
     assert (second["status"], second["changed"]) == ("applied", ["b2"])
-    assert run(own, "drain", "b1", number="c")["why"] == "it was so already"
+    assert execute(overrides, "drain", "b1", number="c")["why"] == "it was so already"
 
 
-def test_what_would_break_a_rule_is_refused_and_a_dry_run_changes_nothing() -> None:
-    own = BackendOverrides()
-    told = run(own, "drain", "*")
-    assert told["status"] == "refused" and "rule 1" in told["why"] and not own.drained
-    tried = run(own, "drain", "b1", number="2", dry_run=True)
-    assert tried["status"] == "applied" and tried["dry_run"] and not own.drained and "2" not in own.completed
+def test_a_command_that_breaks_a_rule_is_refused_and_a_dry_run_changes_nothing() -> None:
+    overrides = BackendOverrides()
+    told = execute(overrides, "drain", "*")
+    assert told["status"] == "refused" and "rule 1" in told["why"] and not overrides.drained
+    tried = execute(overrides, "drain", "b1", number="2", dry_run=True)
+    assert (
+        tried["status"] == "applied" and tried["dry_run"] and not overrides.drained and "2" not in overrides.completed
+    )
     many = FACTS._replace(proxies=2_000)
-    assert "rule 3" in own.execute(asked("drain", "b1", "b2", number="3"), TREE, ALL, many).effect.reason
-    assert run(own, "drain", "nobody", number="4")["status"] == "refused"
+    assert "rule 3" in overrides.execute(make_command("drain", "b1", "b2", number="3"), TREE, ALL, many).effect.reason
+    assert execute(overrides, "drain", "nobody", number="4")["status"] == "refused"
 
 
-def test_what_the_configuration_drained_only_it_restores() -> None:
+def test_a_drain_by_the_configuration_can_not_be_restored_by_command() -> None:
     tree = TREE | {"backend": [{"id": "b1", "drained": True}]}
-    told = BackendOverrides().execute(asked("restore", "b1"), tree, ALL, FACTS).to_json()
+    told = BackendOverrides().execute(make_command("restore", "b1"), tree, ALL, FACTS).to_json()
     assert told["status"] == "refused" and "configuration" in told["why"]
 
 
-def test_a_cordon_keeps_out_who_is_not_in_and_lets_go_on_who_is() -> None:
-    own = BackendOverrides()
-    run(own, "cordon", "b1", "b2")
+def test_a_cordon_keeps_backends_out_that_do_not_serve_now() -> None:
+    overrides = BackendOverrides()
+    execute(overrides, "cordon", "b1", "b2")
     serving = {"b1": 5.0}
     assert [
-        keeps_out(own, "b1", 5.0, serving),
-        keeps_out(own, "b1", 9.0, serving),
-        keeps_out(own, "b2", 0.0, serving),
-        keeps_out(own, "b3", 0.0, serving),
+        keeps_out(overrides, "b1", 5.0, serving),
+        keeps_out(overrides, "b1", 9.0, serving),
+        keeps_out(overrides, "b2", 0.0, serving),
+        keeps_out(overrides, "b3", 0.0, serving),
     ] == [
         False,
         True,
         True,
         False,
     ]
-    run(own, "uncordon", "b*", number="2")
-    assert not keeps_out(own, "b2", 0.0, serving)
+    execute(overrides, "uncordon", "b*", number="2")
+    assert not keeps_out(overrides, "b2", 0.0, serving)
 
 
-def test_books_outlive_a_restart_and_what_is_gone_can_be_restored() -> None:
-    own = BackendOverrides()
-    run(own, "drain", "b1", number="a")
-    later = BackendOverrides(json.loads(json.dumps(own.to_record())))
-    assert run(later, "drain", "b1", number="a")["again"] and later.drained == {"b1"}
-    told = later.execute(asked("restore", "b*", number="z"), TREE, [], FACTS).to_json()
+def test_overrides_are_restored_from_their_record_and_unlisted_backends_can_be_restored() -> None:
+    overrides = BackendOverrides()
+    execute(overrides, "drain", "b1", number="a")
+    later = BackendOverrides(json.loads(json.dumps(overrides.to_record())))
+    assert execute(later, "drain", "b1", number="a")["again"] and later.drained == {"b1"}
+    told = later.execute(make_command("restore", "b*", number="z"), TREE, [], FACTS).to_json()
     assert told["changed"] == ["b1"] and not later.drained
     for n in range(600):
-        run(later, "drain", "b1", number=f"n{n}")
+        execute(later, "drain", "b1", number=f"n{n}")
     assert len(later.completed) == 500
 
 
-# A fleet in which some do not answer
+# Fleets with members that do not answer
 
 
-def test_each_of_a_dozen_members_ends_as_applied_refused_or_not_known(tmp_path: Path) -> None:
+def test_each_of_twelve_members_ends_as_applied_refused_or_unknown(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
         (dead,) = free_ports(1)
@@ -198,7 +200,7 @@
     play(tmp_path, work)
 
 
-def test_a_command_that_meets_a_restart_is_finished_or_known(tmp_path: Path) -> None:
+def test_a_command_during_a_restart_is_answered_after_it(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         (port,) = free_ports(1)
         first = await running.controller()
@@ -207,7 +209,7 @@
         assert (await send_command({"c": address}, given, 2.0))[0].status == "applied"
         first.supervisor.stopping.set()
         await until(lambda: running.tasks[0].done())
-        # It is down; the command goes on being sent, and the next life answers it under the same id.
+        # While it is down the command is sent again, and the next incarnation answers it under the same id.
         import tests.test_controller_server as sockets
 
         text = sockets.CONTROLLER.replace("127.0.0.1:0", f"127.0.0.1:{port}")
@@ -227,7 +229,7 @@
     play(tmp_path, work)
 
 
-def test_drain_wait_compare_and_restore_by_command(tmp_path: Path) -> None:
+def test_drain_wait_compare_and_restore_on_the_command_line(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
@@ -280,7 +282,7 @@
     }
 
 
-def test_differences_between_controllers_books_proxies_and_files() -> None:
+def test_differences_between_controllers_proxies_and_files_are_found() -> None:
     agent = {"tag": '"t1"', "files": '"t1"'}
     lone = state() | {"proxies": {}}
     assert find_differences({"c1": state(), "c2": lone}, {"p1": agent}) == []
@@ -305,7 +307,7 @@
     assert [(each.subject, each.transient) for each in unknown] == [("b5", True)]
 
 
-def test_an_operator_that_asks_with_nonsense_is_told_so(tmp_path: Path) -> None:
+def test_an_invalid_command_over_http_is_answered_with_400(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
         for body in (b"", b"[]", b'{"id": "x"}', b"{"):
