--- a/onyxhead/keys/authority.py
+++ b/onyxhead/keys/authority.py
@@ -17,7 +17,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from onyxhead.agent.swap import swap
+from onyxhead.atomic_files import replace_files
 from onyxhead.keys.errors import IssuanceError
 from onyxhead.keys.index import CertificateIndex, IssuedCertificate
 
@@ -131,7 +131,7 @@
             raise IssuanceError(f"{self.folder}: no authority here ({error})") from error
 
     def _write(self, name: str, body: bytes) -> None:
-        swap([(self._path(name), body)])
+        replace_files([(self._path(name), body)])
         if name.endswith(".key"):
             os.chmod(self._path(name), PRIVATE_FILE_MODE)
 
