--- a/onyxhead/cli/settings_files.py
+++ b/onyxhead/cli/settings_files.py
@@ -101,7 +101,7 @@
 def json_schema(kind: str) -> None:
     """Write the JSON Schema of a kind of settings, for editors."""
     from onyxhead.configuration_language.json_schema import json_schema as write_json_schema
-    from onyxhead.routing.files import schema as routing_schema
+    from onyxhead.routing.routing_file import schema_text as routing_schema
 
     text = routing_schema() if kind == "routing" else load.schema()
     print_json(write_json_schema(text, f"#{kind.capitalize()}"))
