--- a/onyxhead/controller/core_host.py
+++ b/onyxhead/controller/core_host.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from onyxhead.controller.clock import Clock
+from onyxhead.clock import Clock
 from onyxhead.controller.core import ControllerCore
 
 
--- a/onyxhead/controller/ingest_worker.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from onyxhead.controller.clock import Clock
+from onyxhead.clock import Clock
 from onyxhead.http.messages import Request, Response, json_response, problem_response
 from onyxhead.http.server import Server
 from onyxhead.intake.load_sums import LoadSums
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -13,8 +13,8 @@
 
 import structlog
 
+from onyxhead.clock import Clock
 from onyxhead.controller import log_events
-from onyxhead.controller.clock import Clock
 from onyxhead.controller.configuration.commit_plan import CommitPlan, FleetFacts
 from onyxhead.controller.configuration.tree import Tree
 from onyxhead.controller.configuration.views import deployment
--- a/onyxhead/node/context.py
+++ b/onyxhead/node/context.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from onyxhead.controller.clock import Clock
+from onyxhead.clock import Clock
 from onyxhead.node import counters
 from onyxhead.node.json_log import JsonLog
 
--- a/onyxhead/node/serve.py
+++ b/onyxhead/node/serve.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from onyxhead.controller.clock import Clock
+from onyxhead.clock import Clock
 from onyxhead.error_location import describe_error
 from onyxhead.fronts.streams.messages import KnownNames
 from onyxhead.fronts.streams.updates import UpdateEncoder
--- a/tests/test_controller_core.py
+++ b/tests/test_controller_core.py
@@ -8,7 +8,7 @@
 import pytest
 
 from onyxhead.agent.table_replica import AcceptedUpdate, TableReplica
-from onyxhead.controller.clock import Clock
+from onyxhead.clock import Clock
 from onyxhead.controller.delivery_queue import DeliveryQueue
 from onyxhead.controller.endpoint_list import EndpointList, EndpointListFollower, parse_endpoint_list
 from onyxhead.controller.errors import InvalidEndpointListError, InvalidStatisticsError, QueueFullError
