--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -1,4 +1,4 @@
-"""A house with agents' replicas round it, no sockets: what leaves the channel reaches a replica, or is lost."""
+"""A controller core with simulated agents, without sockets: a delivered message reaches its agent or is lost."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def request_of(message: ProxyUpdate, stream: str, at: int) -> Request:
-    """What goes over the wire for a message, and nothing else of it."""
+    """The request that carries a message."""
     body, digest = UpdateEncoder().encode(message)
     headers = {
         STREAM_HEADER: stream,
@@ -55,27 +55,27 @@
 
 
 class Rig:
-    """One controller and its agents; `lose` makes messages vanish with their streams."""
+    """One controller and its agents. `disconnect` loses the messages of a stream; `stalled` proxies take no messages."""
 
     def __init__(self, backends: int = 6, proxies: int = 0, seed: int = 1, **channel: float) -> None:
-        self.now, self.chance = 1000 * SECOND, random.Random(seed)
+        self.now, self.random = 1000 * SECOND, random.Random(seed)
         self.start = deployment(**channel)
         self.core = ControllerCore(self.start, GROUPS, ZONES, seed, 1, 2 * SECOND, self.now)
         self.follower = EndpointListFollower(ZONES, lambda s: min(self.now, int(s * SECOND)), lambda: self.now)
         self.entries = {f"b{n}": entry(f"b{n}") for n in range(backends)}
         self.replicas: dict[str, TableReplica] = {}
-        self.slow: set[str] = set()
-        self.version, self.works = 0, list[Effects]()
-        self.most = 0.0
+        self.stalled: set[str] = set()
+        self.version, self.effects = 0, list[Effects]()
+        self.peak_queued_lines = 0.0
         self.publish()
         for number in range(proxies):
             self.join(f"p{number}")
 
     def publish(self) -> None:
         self.version += 1
-        news = self.follower.update(EndpointList(self.version, tuple(self.entries.values())))
-        if news is not None:
-            self.core.on_endpoint_update(self.now, news)
+        update = self.follower.update(EndpointList(self.version, tuple(self.entries.values())))
+        if update is not None:
+            self.core.on_endpoint_update(self.now, update)
 
     def set(self, name: str, state: str) -> None:
         if state == "gone":
@@ -91,18 +91,18 @@
         held = View.from_document(json.loads(json.dumps(replica.view.to_document())))
         self.core.on_proxy_joined(self.now, JoinRequest(name, ZONES[len(name) % 2], 10.0, not bound, held))
 
-    def lose(self, name: str) -> None:
+    def disconnect(self, name: str) -> None:
         self.core.on_proxy_left(self.now, self.core.proxy_number(name))
 
-    def step(self, tenths: int = 100) -> Effects:
-        self.now += tenths
-        work = self.core.decide(self.now)
-        self.works.append(work)
-        self.most = max(self.most, self.core.delivery_queue.queued_lines)
-        for sent in work.deliveries:
-            if self.name(sent) not in self.slow:
-                self.deliver(sent)
-        return work
+    def step(self, ticks: int = 100) -> Effects:
+        self.now += ticks
+        effects = self.core.decide(self.now)
+        self.effects.append(effects)
+        self.peak_queued_lines = max(self.peak_queued_lines, self.core.delivery_queue.queued_lines)
+        for message in effects.deliveries:
+            if self.name(message) not in self.stalled:
+                self.deliver(message)
+        return effects
 
     def name(self, sent: QueuedMessage[ProxyUpdate]) -> str:
         return next(name for name, number in self.core.numbers.items() if number == sent.proxy)
@@ -123,7 +123,7 @@
             self.step()
 
     def lines(self, name: str, group: str = "read") -> dict[str, int]:
-        """What the proxy may pick, with weights."""
+        """The backends that the proxy may use, with their weights."""
         view = self.replicas[name].view
         table = view.entries.get(("bindings", group))
         held = view.children("standing") if table is None else view.children("tables", table, "lines")
