--- a/onyxhead/controller/configuration/tree.py
+++ b/onyxhead/controller/configuration/tree.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
+from enum import Enum, auto
 from typing import Any
 
 from onyxhead.controller.errors import ControllerError
@@ -76,28 +77,40 @@
         case "list":
             return _entry(child, tree, edit, operation, where)
     held = tree.get(child.name)
-    if (there := _there(held is not None, operation, where)) is not None:
-        return tree if there else {k: v for k, v in tree.items() if k != child.name}
+    if (change := _change(held is not None, operation, where)) is not Change.WRITE:
+        return _kept_or_removed(change, tree, child.name)
     made = _container(child, held or {}, edit, operation, path)
     if operation == "none" and held is None and not made:
         return tree
     return tree | {child.name: made}
 
 
-def _there(exists: bool, operation: str, where: str) -> bool | None:
-    """True: leave as it is; False: take it away; None: write it. Raises RpcError where it must or must not exist."""
+class Change(Enum):
+    """What an operation does to a node."""
+
+    KEEP = auto()
+    REMOVE = auto()
+    WRITE = auto()
+
+
+def _change(exists: bool, operation: str, where: str) -> Change:
+    """What an operation does to a node. Raises RpcError where the node must or must not exist."""
     if operation == "create" and exists:
         raise RpcError("data-exists", "it exists already", where)
     if operation == "delete" and not exists:
         raise RpcError("data-missing", "it does not exist", where)
     if operation in ("delete", "remove"):
-        return not exists
-    return None
+        return Change.REMOVE if exists else Change.KEEP
+    return Change.WRITE
+
+
+def _kept_or_removed(change: Change, tree: Tree, name: str) -> Tree:
+    return tree if change is Change.KEEP else {key: value for key, value in tree.items() if key != name}
 
 
 def _leaf(node: Node, tree: Tree, edit: Edit, operation: str, where: str) -> Tree:
-    if (there := _there(node.name in tree, operation, where)) is not None:
-        return tree if there else {k: v for k, v in tree.items() if k != node.name}
+    if (change := _change(node.name in tree, operation, where)) is not Change.WRITE:
+        return _kept_or_removed(change, tree, node.name)
     if operation == "none":
         return tree
     return tree | {node.name: parsed(node, edit.text, where)}
@@ -106,8 +119,8 @@
 def _value(node: Node, tree: Tree, edit: Edit, operation: str, where: str) -> Tree:
     held: list[Any] = tree.get(node.name, [])
     value = parsed(node, edit.text, where)
-    if (there := _there(value in held, operation, where)) is not None:
-        return tree if there else _put(tree, node.name, [each for each in held if each != value])
+    if (change := _change(value in held, operation, where)) is not Change.WRITE:
+        return tree if change is Change.KEEP else _put(tree, node.name, [each for each in held if each != value])
     if operation == "none" or value in held:
         return tree
     return tree | {node.name: sorted([*held, value])}
@@ -117,15 +130,15 @@
     held: list[Tree] = tree.get(node.name, [])
     key = []
     for name in node.keys:
-        told = [child for child in edit.children if child.name == name]
-        if len(told) != 1:
+        given = [child for child in edit.children if child.name == name]
+        if len(given) != 1:
             raise RpcError("missing-element", f"an entry of {node.name} needs one {name}", where, bad_element=name)
-        key.append(parsed(node.children[name], told[0].text, f"{where}/{name}"))
+        key.append(parsed(node.children[name], given[0].text, f"{where}/{name}"))
     named = f"{where}[{' and '.join(f'{n}={v!r}' for n, v in zip(node.keys, key, strict=True))}]"
     own = next((each for each in held if [each[name] for name in node.keys] == key), None)
     rest = [each for each in held if each is not own]
-    if (there := _there(own is not None, operation, named)) is not None:
-        return tree if there else _put(tree, node.name, rest)
+    if (change := _change(own is not None, operation, named)) is not Change.WRITE:
+        return tree if change is Change.KEEP else _put(tree, node.name, rest)
     if operation == "none" and own is None:
         raise RpcError("data-missing", "it does not exist", named)
     members = [child for child in edit.children if child.name not in node.keys]
--- a/onyxhead/controller/http_routes.py
+++ b/onyxhead/controller/http_routes.py
@@ -126,13 +126,13 @@
 
     def _state(self) -> dict[str, Any]:
         parts = self.parts
-        orders, received_at = parts.overlay.overrides, parts.watch.received_at
+        overrides, received_at = parts.overlay.overrides, parts.watch.received_at
         age_s = round(time.time() - received_at, 1) if received_at else None
         own = {
             "name": parts.settings.name,
             "list": {"version": parts.watch.version, "age_s": age_s},
             "store": {"failing": parts.store.write_error, "dropped": parts.store.dropped_writes},
-            "operators": {"drained": sorted(orders.drained), "cordoned": sorted(orders.cordoned)},
+            "operators": {"drained": sorted(overrides.drained), "cordoned": sorted(overrides.cordoned)},
         }
         return own | controller_status(parts.host.core, parts.host.now())
 
--- a/onyxhead/controller/operator_commands.py
+++ b/onyxhead/controller/operator_commands.py
@@ -47,21 +47,21 @@
             return problem_response(HTTPStatus.BAD_REQUEST, str(error))
         if self.watch.endpoint_list is None:
             return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, "no list has been heard yet")
-        orders = self.overlay.overrides.copy()
+        overrides = self.overlay.overrides.copy()
         backends = [Backend(each.id, each.zone, each.kind) for each in self.watch.endpoint_list.entries]
         tree = self.overlay.tree or tree_of(self.settings)
         try:
-            answer = orders.execute(command, tree, backends, self.fleet_facts())
+            answer = overrides.execute(command, tree, backends, self.fleet_facts())
             is_new = not command.dry_run and not answer.repeated
             if is_new:
                 # Stored before it acts and is answered: the next incarnation knows the command, or it never ran.
-                self.store.put(OPERATOR_STATE, orders.to_record())
+                self.store.put(OPERATOR_STATE, overrides.to_record())
         except CommandError as error:
             return problem_response(HTTPStatus.CONFLICT, str(error))
         except StoreUnavailableError as error:
             return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, f"not written: {error}")
         if is_new:
-            self.overlay.overrides = orders
+            self.overlay.overrides = overrides
             self._record(command, answer)
             self.watch.refresh()
         return json_response(HTTPStatus.OK, answer.to_json())
