--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -26,7 +26,7 @@
 from onyxhead.settings.load import read_settings
 from onyxhead.settings.model import AgentSettings as AgentSettings
 from onyxhead.settings.model import ControllerSettings
-from onyxhead.trial.run import free_ports
+from onyxhead.testbed.ports import free_ports
 
 HOSTS, SENDERS = 6, 3
 SETTINGS = """
--- a/benchmarks/intake.py
+++ b/benchmarks/intake.py
@@ -26,7 +26,7 @@
 from benchmarks.figures import quantiles
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import Request
-from onyxhead.trial.run import free_ports
+from onyxhead.testbed.ports import free_ports
 
 SETTINGS = """
 name: "c1", zone: "z", zones: ["z"], listen: "127.0.0.1:%d", state: "state", proxies: 16
--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -883,11 +883,12 @@
 @trial.command("list")
 def list_days() -> None:
     """Name the days, and the kinds of trouble that can be joined by '+'."""
-    from onyxhead.trial.days import DAYS, TROUBLES
+    from onyxhead.scenarios.catalog import SCENARIOS
+    from onyxhead.scenarios.faults import FAULTS
 
-    for name, troubles in DAYS.items():
-        click.echo(f"{name}: {', '.join(troubles) or 'nothing goes wrong'}")
-    click.echo(f"troubles: {' '.join(TROUBLES)}")
+    for name, faults in SCENARIOS.items():
+        click.echo(f"{name}: {', '.join(faults) or 'nothing goes wrong'}")
+    click.echo(f"troubles: {' '.join(FAULTS)}")
 
 
 @trial.command()
@@ -914,18 +915,19 @@
     apart: bool,
 ) -> None:
     """Play the day NAME. Exits with 0 only if no rule broke and no reader saw a mixture."""
-    from onyxhead.trial.run import Size, broken, play
+    from onyxhead.scenarios.fleet_settings import FleetSize
+    from onyxhead.scenarios.runner import run_scenario
 
     try:
-        verdict = play(name, seed, seconds, Size(controllers, proxies, backends, rate, not apart), keep)
+        verdict = run_scenario(name, seed, seconds, FleetSize(controllers, proxies, backends, rate, not apart), keep)
     except KeyError as error:
         stop(FAULTY, f"there is no day or trouble {error}")
     if as_json:
-        click.echo(json.dumps(verdict))
+        click.echo(json.dumps(verdict.to_json()))
     else:
-        for key, value in verdict.items():
+        for key, value in verdict.to_json().items():
             click.echo(f"{key:18} {_cell(value)}")
-    sys.exit(REFUSED if broken(verdict) else 0)
+    sys.exit(0 if verdict.passed else REFUSED)
 
 
 def ask(address: str, target: str, identity: Path | None = None, given: object = None) -> Any:  # noqa: ANN401
--- /dev/null
+++ b/onyxhead/scenarios/__init__.py
@@ -0,0 +1,1 @@
+"""Fault scenarios played live on loopback, and their evaluation from recorded traffic alone."""
--- /dev/null
+++ b/onyxhead/testbed/network.py
@@ -0,0 +1,139 @@
+"""The network between controllers and agents: relays that record all bytes, and can cut, close and slow connections."""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+import contextlib
+import random
+import re
+from collections.abc import Set
+from dataclasses import dataclass, field
+from enum import StrEnum
+from functools import partial
+
+from onyxhead.testbed.events import EventKind
+from onyxhead.testbed.parameters import Link, NetworkFaults, NetworkParameters
+from onyxhead.testbed.process import SimulatedProcess
+
+READ_SIZE = 65_536
+CONNECT_RECHECK_S = 0.05
+RELAY_RECHECK_S = 0.02
+
+
+class Direction(StrEnum):
+    """Which way bytes went: from the side that opened the connection, or back to it."""
+
+    FORWARD = ">"
+    BACK = "<"
+
+
+@dataclass(slots=True)
+class RelayedConnection:
+    """One connection over a link; `held_back` says that a cut kept bytes of it from going on."""
+
+    number: int
+    source: str
+    source_zone: str
+    destination: str
+    destination_zone: str
+    held_back: bool = False
+    writers: list[asyncio.StreamWriter] = field(default_factory=list)
+
+
+class SimulatedNetwork(SimulatedProcess[NetworkParameters, NetworkFaults]):
+    """Relays every link's connections, each in both directions."""
+
+    def __init__(self, parameters: NetworkParameters) -> None:
+        super().__init__(parameters, NetworkFaults())
+        self.open: dict[int, RelayedConnection] = {}
+        self.opened_count = 0
+
+    async def run(self) -> None:
+        """Relay until cancelled."""
+        for link in self.parameters.links:
+            await asyncio.start_server(partial(self.relay, link), "127.0.0.1", link.port)
+        await asyncio.Event().wait()
+
+    def on_faults_changed(self, changed: Set[str]) -> None:
+        """Close a share of the connections, and those whose cut is over: their peers gave them up meanwhile."""
+        share = self.faults.disconnect_share if "disconnect_share" in changed else 0.0
+        for connection in list(self.open.values()):
+            if random.random() < share or ("cut_zones" in changed and self._cut_is_over(connection)):
+                for writer in connection.writers:
+                    writer.close()
+
+    def _cut_is_over(self, connection: RelayedConnection) -> bool:
+        if self.is_cut(connection) or not connection.held_back:
+            return False
+        connection.held_back = False
+        return True
+
+    def is_cut(self, connection: RelayedConnection) -> bool:
+        """Whether no bytes pass at the moment.
+
+        The source of some connections is known only from their first bytes; until then a zone's cut does not hold
+        them back.
+        """
+        isolated = {connection.source, connection.destination} & set(self.faults.isolated)
+        zones = {connection.source_zone, connection.destination_zone}
+        crosses_cut = len(zones) > 1 and bool(zones & set(self.faults.cut_zones))
+        return bool(isolated) or (bool(connection.source) and crosses_cut)
+
+    async def relay(self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Relay one connection until either side closes it."""
+        self.opened_count += 1
+        connection = RelayedConnection(
+            self.opened_count, link.source, link.source_zone, link.destination, link.destination_zone
+        )
+        target_writer = None
+        try:
+            while self.is_cut(connection):
+                await asyncio.sleep(CONNECT_RECHECK_S)
+            target_reader, target_writer = await asyncio.open_connection("127.0.0.1", link.target)
+            connection.writers = [writer, target_writer]
+            self.open[connection.number] = connection
+            self.record(
+                EventKind.CONNECTION_OPENED, link=connection.number, of=connection.source, to=connection.destination
+            )
+            directions = (
+                self._pump(connection, reader, target_writer, Direction.FORWARD),
+                self._pump(connection, target_reader, writer, Direction.BACK),
+            )
+            tasks = [asyncio.create_task(direction) for direction in directions]
+            await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+            for task in tasks:
+                task.cancel()
+        except OSError:
+            pass
+        finally:
+            self.open.pop(connection.number, None)
+            self.record(EventKind.CONNECTION_CLOSED, link=connection.number)
+            for each in (writer, target_writer):
+                if each is not None:
+                    each.close()
+
+    async def _pump(
+        self,
+        connection: RelayedConnection,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        direction: Direction,
+    ) -> None:
+        with contextlib.suppress(OSError):
+            while chunk := await reader.read(READ_SIZE):
+                self._learn_source(connection, chunk)
+                while self.is_cut(connection):
+                    connection.held_back = True
+                    await asyncio.sleep(RELAY_RECHECK_S)
+                if self.faults.bytes_per_second > 0:
+                    await asyncio.sleep(len(chunk) / self.faults.bytes_per_second)
+                data = base64.b64encode(chunk).decode()
+                self.record(EventKind.BYTES_RELAYED, link=connection.number, way=direction, data=data)
+                writer.write(chunk)
+                await writer.drain()
+
+    def _learn_source(self, connection: RelayedConnection, chunk: bytes) -> None:
+        if not connection.source and (stream := re.search(rb"onyxhead-stream: ([\w-]+)\.", chunk)):
+            connection.source = stream[1].decode()
+            connection.source_zone = self.parameters.zones[connection.source]
--- /dev/null
+++ b/onyxhead/testbed/routing_proxy.py
@@ -0,0 +1,110 @@
+"""A plain proxy that follows imported routing records: hosts, locations, weights, backups, retries, limits."""
+
+from __future__ import annotations
+
+import asyncio
+import hashlib
+import random
+import time
+from collections import defaultdict
+from pathlib import Path
+
+from onyxhead.http.client import fetch_once
+from onyxhead.http.messages import HttpError, Request, Response
+from onyxhead.http.server import Server
+from onyxhead.routing import model
+from onyxhead.routing.choose import Router, Way
+from onyxhead.routing.files import read
+from onyxhead.tables.addresses import parse_address
+from onyxhead.testbed.parameters import Faults, RoutingProxyParameters
+from onyxhead.testbed.process import SimulatedProcess
+
+DEFAULT_RETRY_TIME_S = 60.0
+ATTEMPT_TIMEOUT_S = 2.0
+
+LimitKey = tuple[str, str]
+"""A limit and the value of its key that a request has."""
+
+
+class SimulatedRoutingProxy(SimulatedProcess[RoutingProxyParameters, Faults]):
+    """Forwards each request to a server of the pool that the routing records choose for it."""
+
+    def __init__(self, parameters: RoutingProxyParameters) -> None:
+        super().__init__(parameters, Faults())
+        self.router = Router(read(Path(parameters.routing)))
+        self.tokens: dict[LimitKey, tuple[float, float]] = {}
+        self.in_flight: defaultdict[LimitKey, int] = defaultdict(int)
+
+    async def run(self) -> None:
+        """Serve until cancelled."""
+        await Server(self.handle).start("127.0.0.1", self.parameters.port)
+        await asyncio.Event().wait()
+
+    async def handle(self, request: Request, _writer: asyncio.StreamWriter) -> Response:
+        """Route a request, and forward it if its location's limits admit it."""
+        variables = {f"http_{name.replace('-', '_')}": value for name, value in request.headers.items()}
+        variables["binary_remote_addr"] = variables["remote_addr"] = request.headers.get("x-client", "")
+        route = self.router.way(request.headers.get("host", ""), request.target, variables)
+        if not route.pool or route.location is None:
+            return Response(route.status)
+        counted: list[LimitKey] = []
+        try:
+            for limit in route.location.limits:
+                key = (repr(limit), self.router.text(limit.key, variables))
+                if limit.at_once:
+                    self.in_flight[key] += 1
+                    counted.append(key)
+                if not self.admits(limit, key):
+                    return Response(503, {"x-blocked": "limit"})
+            return await self.forward(route, route.location.tries, request, variables)
+        finally:
+            for key in counted:
+                self.in_flight[key] -= 1
+
+    def admits(self, limit: model.Limit, key: LimitKey) -> bool:
+        """Whether a limit lets a request through: one on requests in flight, or a token bucket."""
+        if limit.at_once:
+            return self.in_flight[key] <= limit.at_once
+        now, max_tokens = time.time(), limit.burst + 1.0
+        tokens, updated_at = self.tokens.get(key, (max_tokens, now))
+        tokens = min(max_tokens, tokens + (now - updated_at) * limit.rate)
+        self.tokens[key] = (tokens - 1 if tokens >= 1 else tokens, now)
+        return tokens >= 1
+
+    async def forward(
+        self, route: Way, retry_policy: model.Tries, request: Request, variables: dict[str, str]
+    ) -> Response:
+        """Forward a request, with retries at other servers of its pool; `x-met` lists the servers that were tried."""
+        pool, response = self.router.routing.pools[route.pool], Response(502)
+        deadline = time.time() + (retry_policy.within or DEFAULT_RETRY_TIME_S)
+        max_attempts = (retry_policy.most or len(pool.servers)) if retry_policy.when else 1
+        tried: list[str] = []
+        while len(tried) < max_attempts and time.time() < deadline:
+            server = self.pick_server(pool, tried, variables)
+            if server is None:
+                break
+            tried.append(server.address)
+            try:
+                forwarded = Request(request.method, route.path, {}, request.body)
+                response = await fetch_once(parse_address(server.address), forwarded, ATTEMPT_TIMEOUT_S)
+                condition = f"http_{response.status}"
+            except (OSError, HttpError, TimeoutError):
+                response, condition = Response(502), "error"
+            if condition not in retry_policy.when:
+                break
+        return response._replace(headers={**response.headers, "x-met": " ".join(tried)})
+
+    def pick_server(self, pool: model.Pool, tried: list[str], variables: dict[str, str]) -> model.Server | None:
+        """Return an untried server by the pool's method; a backup server only when no other is left."""
+        available = [each for each in pool.servers if not each.down and each.address not in tried]
+        for backup in (False, True):
+            if candidates := [each for each in available if each.backup is backup]:
+                if pool.method in ("hash", "address-hash"):
+                    key = self.router.text(pool.hash_key or "$remote_addr", variables)
+                    return min(candidates, key=lambda server: _hash(key, server.address))
+                return random.choices(candidates, [each.weight for each in candidates])[0]
+        return None
+
+
+def _hash(key: str, address: str) -> bytes:
+    return hashlib.blake2b(f"{key}\0{address}".encode()).digest()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
 from onyxhead.http.messages import Request
 from onyxhead.settings.load import read_settings
 from onyxhead.settings.model import ControllerSettings
-from onyxhead.trial.run import free_ports
+from onyxhead.testbed.ports import free_ports
 from tests.test_controller_server import AGENT, CONTROLLER, Running, play, shown, until
 
 SECOND = 10_000
--- a/tests/test_load_report_ingest.py
+++ b/tests/test_load_report_ingest.py
@@ -16,7 +16,7 @@
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import Request
 from onyxhead.series.time_series_store import TimeSeriesStore, UnknownSeriesError
-from onyxhead.trial.run import free_ports
+from onyxhead.testbed.ports import free_ports
 from tests.test_controller_server import BACKENDS, Running, list_of, play, port_of, shown, until
 from tests.test_intake import body, report
 
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -21,7 +21,7 @@
 from onyxhead.operate.drift import find_differences, lasting_differences
 from onyxhead.operate.fleet_client import send_command
 from onyxhead.operate.overrides import BackendOverrides, keeps_out
-from onyxhead.trial.run import free_ports
+from onyxhead.testbed.ports import free_ports
 from tests.test_controller_server import BACKENDS, Running, list_of, play, port_of, shown, until
 
 TREE = {"group": [{"name": "read", "latency-budget": 5000, "expiry": 10000, "repeats": "retriable"}]}
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -24,8 +24,9 @@
 from onyxhead.routing.choose import Compiled, Hosts, Plain, Router, choose, literal_head, murmur2, normal, split
 from onyxhead.routing.files import read, text
 from onyxhead.routing.model import Choice, Host, Limit, Location, Pool, Routing, Server, Split, Target, Tries
-from onyxhead.standins.router import Main as Standin
-from onyxhead.trial.run import free_ports
+from onyxhead.testbed.parameters import RoutingProxyParameters
+from onyxhead.testbed.ports import free_ports
+from onyxhead.testbed.routing_proxy import SimulatedRoutingProxy
 
 
 def at(kind: Any, pattern: str, *within: Location, pool: str = "") -> Location:
@@ -557,8 +558,10 @@
             main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(tmp_path / "a.rec"), "--strict"]
         )
         assert done.exit_code == 0, done.output
-        standin = Standin({"port": ports[3], "routing": str(tmp_path / "a.rec"), "record": str(tmp_path / "r.jsonl")})
-        task = asyncio.create_task(standin.run())
+        parameters = RoutingProxyParameters(
+            port=ports[3], routing=str(tmp_path / "a.rec"), record=str(tmp_path / "r.jsonl")
+        )
+        task = asyncio.create_task(SimulatedRoutingProxy(parameters).run())
         await asyncio.sleep(0.1)
 
         async def ask(path: str, **headers: str) -> Response:
