--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, each beside its limit in the same run. `python -m benchmarks NAME`; figures go to docs/measures.md."""
+"""Measurements, each beside the limit it is compared with: `python -m benchmarks NAME` prints its figures as JSON."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -7,13 +7,16 @@
 import sys
 
 NAMES = ("swaps", "batch", "fan", "days", "commits", "tables", "intake", "routes", "operate")
+"""The measurements: each is the module of its name, whose `measure` takes the arguments and returns the figures."""
 
 
 def main() -> int:
+    """Run the measurement that the command line names and return the exit code."""
     if len(sys.argv) < 2 or sys.argv[1] not in NAMES:
         print(f"usage: python -m benchmarks {'|'.join(NAMES)}", file=sys.stderr)
         return 2
-    print(json.dumps(importlib.import_module(f"benchmarks.{sys.argv[1]}").measure(sys.argv[2:]), indent=1))
+    module = importlib.import_module(f"benchmarks.{sys.argv[1]}")
+    print(json.dumps(module.measure(sys.argv[2:]), indent=1))
     return 0
 
 
--- a/benchmarks/batch.py
+++ b/benchmarks/batch.py
@@ -1,12 +1,12 @@
-"""One step of a controller: what was heard, the module's decisions, messages. No sockets."""
+"""One step of a controller: events in, the policy's decisions, rounds for the proxies. No sockets."""
 
 from __future__ import annotations
 
 import random
 import time
-from typing import Any
+from typing import NamedTuple
 
-from benchmarks.figures import quantiles
+from benchmarks.figures import Figures, quantiles
 from onyxhead.controller.core import ControllerCore, JoinRequest
 from onyxhead.controller.endpoint_list import EndpointEntry, EndpointList, EndpointListFollower
 from onyxhead.policy.inputs import (
@@ -21,55 +21,89 @@
 from onyxhead.tables.view import View
 
 ZONES = ("x", "y", "z")
+START_TICKS = 10**9
+STEP_TICKS = 500
+TICKS_PER_SECOND = 10_000
+WARMUP_STEPS = 100
+LIST_CHANGE_STEPS, STATISTICS_STEPS = 20, 20
+"""How many steps there are between two changes of the endpoint list, and between two reports of statistics."""
 
 
-def loaded_core(proxies: int, backends: int) -> tuple[ControllerCore, EndpointListFollower, EndpointList]:
+class LoadedCore(NamedTuple):
+    """A controller's core that knows its endpoints and proxies, and the list that it follows."""
+
+    core: ControllerCore
+    follower: EndpointListFollower
+    endpoint_list: EndpointList
+
+
+def deployment(proxies: int) -> Deployment:
+    """Return the policy's settings for a number of proxies."""
     groups = tuple(TrafficGroup(n, 1.0, 5000, 15000, RetrySafety.IDEMPOTENT, "all", 0, None, False) for n in ("a", "b"))
     channel = ChannelLimits(100.0 * proxies * 3, 6, 400.0 * proxies, 100, 500, 0, 100_000)
-    guards = SafetyLimits(30_000, 20_000, False, 0.2, 150_000, 3, 15_000, False, 0)
-    start = Deployment(
-        0, 3, 1, proxies, groups, channel, guards, AdmissionMode.FRACTION, 1, 1.2, 0, 10_000, False, False
+    limits = SafetyLimits(30_000, 20_000, False, 0.2, 150_000, 3, 15_000, False, 0)
+    return Deployment(
+        0, 3, 1, proxies, groups, channel, limits, AdmissionMode.FRACTION, 1, 1.2, 0, 10_000, False, False
     )
-    now = 10**9
-    made = ControllerCore(start, ("a", "b"), ZONES, 1, 1, 20_000, now)
-    entries = [
+
+
+def loaded_core(proxies: int, backends: int) -> LoadedCore:
+    """Return the core of a controller that all proxies have joined."""
+    core = ControllerCore(deployment(proxies), ("a", "b"), ZONES, 1, 1, 20_000, START_TICKS)
+    entries = tuple(
         EndpointEntry(f"b{i}", f"127.0.0.1:{1000 + i}", ZONES[i % 3], "k", "ready", 1.0, 0.0) for i in range(backends)
-    ]
-    follower, roster = EndpointListFollower(ZONES, lambda s: int(s * 1e4), lambda: now), EndpointList(1, tuple(entries))
-    news = follower.update(roster)
-    assert news is not None
-    made.on_endpoint_update(now, news)
+    )
+    follower = EndpointListFollower(ZONES, lambda seconds: int(seconds * TICKS_PER_SECOND), lambda: START_TICKS)
+    endpoint_list = EndpointList(1, entries)
+    _update_endpoints(core, follower, endpoint_list, START_TICKS)
     for proxy in range(proxies):
-        made.on_proxy_joined(now, JoinRequest(f"p{proxy}", ZONES[proxy % 3], 10.0, True, View.EMPTY))
-    return made, follower, roster
+        core.on_proxy_joined(START_TICKS, JoinRequest(f"p{proxy}", ZONES[proxy % 3], 10.0, True, View.EMPTY))
+    return LoadedCore(core, follower, endpoint_list)
+
+
+def _update_endpoints(
+    core: ControllerCore, follower: EndpointListFollower, endpoint_list: EndpointList, now: int
+) -> None:
+    update = follower.update(endpoint_list)
+    assert update is not None
+    core.on_endpoint_update(now, update)
 
 
-def one(proxies: int, backends: int, steps: int = 600) -> dict[str, float]:
-    made, follower, roster = loaded_core(proxies, backends)
-    chance, now, times = random.Random(1), 10**9, list[float]()
+def step_times(proxies: int, backends: int, steps: int = 600) -> dict[str, float]:
+    """Return quantiles of the time of a step, after some to warm up."""
+    core, follower, endpoint_list = loaded_core(proxies, backends)
+    chance, now, times = random.Random(1), START_TICKS, list[float]()
     for step in range(steps):
-        now += 500
-        began = time.perf_counter()
-        if step % 20 == 0 and step > 100:
-            entries, place = list(roster.entries), chance.randrange(backends)
-            state = "draining" if entries[place].state == "ready" else "ready"
-            entries[place] = entries[place]._replace(state=state, started=now / 1e4)
-            roster = EndpointList(roster.version + 1, tuple(entries))
-            news = follower.update(roster)
-            assert news is not None
-            made.on_endpoint_update(now, news)
-        if step % 20 == 10:
-            for name in made.endpoints:
-                made.policy.on_attempt_statistics(now, name, 0, 20, chance.randint(0, 2), 1000, 10_000, LoadReport(0.5))
-            for proxy in range(proxies):
-                made.policy.on_request_rate(now, proxy, 0, 10, 10_000)
-        work = made.decide(now)
-        times.append(time.perf_counter() - began)
-        for sent in work.deliveries:
-            made.delivery_queue.on_written(sent.proxy)
-            made.on_acknowledgement(now, sent.proxy, sent.message, sent.message.result.etag, sent.queued_at)
-    return quantiles(times[100:])
-
-
-def measure(_args: list[str]) -> dict[str, Any]:
-    return {f"{proxies} x {backends}": one(proxies, backends) for proxies, backends in ((143, 82), (1430, 820))}
+        now += STEP_TICKS
+        started_at = time.perf_counter()
+        if step % LIST_CHANGE_STEPS == 0 and step > WARMUP_STEPS:
+            endpoint_list = _with_one_state_changed(endpoint_list, chance.randrange(backends), now)
+            _update_endpoints(core, follower, endpoint_list, now)
+        if step % STATISTICS_STEPS == STATISTICS_STEPS // 2:
+            _report_statistics(core, proxies, now, chance)
+        effects = core.decide(now)
+        times.append(time.perf_counter() - started_at)
+        for sent in effects.deliveries:
+            core.delivery_queue.on_written(sent.proxy)
+            core.on_acknowledgement(now, sent.proxy, sent.message, sent.message.result.etag, sent.queued_at)
+    return quantiles(times[WARMUP_STEPS:])
+
+
+def _with_one_state_changed(endpoint_list: EndpointList, position: int, now: int) -> EndpointList:
+    entries = list(endpoint_list.entries)
+    state = "draining" if entries[position].state == "ready" else "ready"
+    entries[position] = entries[position]._replace(state=state, started=now / TICKS_PER_SECOND)
+    return EndpointList(endpoint_list.version + 1, tuple(entries))
+
+
+def _report_statistics(core: ControllerCore, proxies: int, now: int, chance: random.Random) -> None:
+    for name in core.endpoints:
+        core.policy.on_attempt_statistics(now, name, 0, 20, chance.randint(0, 2), 1000, 10_000, LoadReport(0.5))
+    for proxy in range(proxies):
+        core.policy.on_request_rate(now, proxy, 0, 10, 10_000)
+
+
+def measure(_arguments: list[str]) -> Figures:
+    """Measure two sizes of fleets."""
+    sizes = ((143, 82), (1430, 820))
+    return {f"{proxies} x {backends}": step_times(proxies, backends) for proxies, backends in sizes}
--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -3,71 +3,89 @@
 from __future__ import annotations
 
 import asyncio
-import tempfile
 import time
 from pathlib import Path
-from typing import Any
 
-from benchmarks import fan
-from benchmarks.figures import quantiles
+import asyncssh
 
-RULES = (
+from benchmarks.figures import Figures, quantiles
+from benchmarks.live_fleet import LiveFleet, wait_until
+from benchmarks.memory_folder import memory_folder
+from onyxhead.controller.configuration.service import ConfigurationService
+from onyxhead.controller.configuration.tree import Edit
+
+DEFAULT_AGENTS, BACKENDS, REPETITIONS = 43, 40, 12
+EDITING_S = 2.0
+PAUSE_S = 1.2
+USER, SESSION = "u", 1
+NETCONF_SETTINGS = (
     'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}, '
-    'rules: [{name: "a", groups: ["*"], action: "permit"}]}'
+    'rules: [{name: "a", groups: ["*"], action: "permit"}]}\n'
 )
 
 
-def measure(args: list[str]) -> dict[str, Any]:
-    count = int(args[0]) if args else 43
-    with tempfile.TemporaryDirectory(dir="/dev/shm" if Path("/dev/shm").is_dir() else None) as name:
-        import asyncssh
-
-        key = asyncssh.generate_private_key("ssh-ed25519")
-        Path(name, "host").write_bytes(key.export_private_key())
-        fan.SETTINGS += RULES + "\n"
-        return asyncio.run(run(Path(name), count))
+def measure(arguments: list[str]) -> Figures:
+    """Measure a fleet; the argument is the number of agents."""
+    agents = int(arguments[0]) if arguments else DEFAULT_AGENTS
+    with memory_folder() as folder:
+        (folder / "host").write_bytes(asyncssh.generate_private_key("ssh-ed25519").export_private_key())
+        return asyncio.run(_measure_fleet(folder, agents))
 
 
-async def run(folder: Path, count: int, backends: int = 40, rounds: int = 12) -> dict[str, Any]:
-    async with fan.Fleet(folder, count, backends) as fleet:
-        core, configuration = fleet.daemon.core, fleet.daemon.configuration
+async def _measure_fleet(folder: Path, agents: int) -> Figures:
+    async with LiveFleet(folder, agents, BACKENDS, extra_settings=NETCONF_SETTINGS) as fleet:
+        configuration = fleet.server.configuration
         assert configuration is not None
-        from onyxhead.controller.configuration.tree import Edit
-
-        def drain(name: str, value: str) -> Edit:
-            entry = Edit("backend", None, "", [Edit("id", None, name), Edit("drained", None, value)])
-            return Edit("fleet", None, "", [entry])
-
-        began, edits = time.perf_counter(), 0
-        while time.perf_counter() < began + 2:
-            configuration.edit(
-                "u", 1, "candidate", drain("b1", "true" if edits % 2 else "false"), "merge", "test-then-set"
-            )
-            edits += 1
-        per_second = edits / (time.perf_counter() - began)
-        configuration.datastores.discard(1)
+        edits_per_second = _measure_edits(configuration)
         by_commit, by_file = list[float](), list[float]()
-        for number in range(rounds):
-            for times, change in (
-                (by_commit, lambda: commit(configuration, drain(f"b{2 * number + 2}", "true"))),
-                (by_file, lambda: fleet.drain(2 * number + 3)),
-            ):
-                name = f"b{2 * number + (2 if times is by_commit else 3)}"
-                began = time.perf_counter()
-                change()  # type: ignore[no-untyped-call]
-                await fan.until(lambda: name in core.proxy_tables.withdrawn)
-                turn = core.policy.round_number
-                await fan.until(lambda: all(done[0] >= turn for done in list(core.applied.values())))
-                times.append(time.perf_counter() - began)
-                await asyncio.sleep(1.2)
+        for number in range(REPETITIONS):
+            by_commit.append(await _time_commit(fleet, configuration, 2 * number + 2))
+            by_file.append(await _time_list_change(fleet, 2 * number + 3))
     return {
-        "agents": count,
-        "edits a second, checked": round(per_second),
+        "agents": agents,
+        "edits a second, checked": round(edits_per_second),
         "commit to last swap, ms": quantiles(by_commit),
         "list file to last swap, ms": quantiles(by_file),
     }
 
 
-def commit(configuration: Any, edit: Any) -> None:
-    configuration.edit("u", 1, "candidate", edit, "merge", "set")
-    configuration.commit("u", 1)
+def _drain_edit(backend: str, drained: bool) -> Edit:
+    value = "true" if drained else "false"
+    entry = Edit("backend", None, "", [Edit("id", None, backend), Edit("drained", None, value)])
+    return Edit("fleet", None, "", [entry])
+
+
+def _measure_edits(configuration: ConfigurationService) -> float:
+    """Return how many edits of the candidate a second are checked; none of them is committed."""
+    started_at, edits = time.perf_counter(), 0
+    while time.perf_counter() < started_at + EDITING_S:
+        edit = _drain_edit("b1", drained=bool(edits % 2))
+        configuration.edit(USER, SESSION, "candidate", edit, "merge", "test-then-set")
+        edits += 1
+    per_second = edits / (time.perf_counter() - started_at)
+    configuration.datastores.discard(SESSION)
+    return per_second
+
+
+async def _time_commit(fleet: LiveFleet, configuration: ConfigurationService, number: int) -> float:
+    started_at = time.perf_counter()
+    configuration.edit(USER, SESSION, "candidate", _drain_edit(f"b{number}", drained=True), "merge", "set")
+    configuration.commit(USER, SESSION)
+    return await _time_swaps(fleet, f"b{number}", started_at)
+
+
+async def _time_list_change(fleet: LiveFleet, number: int) -> float:
+    started_at = time.perf_counter()
+    fleet.drain(number)
+    return await _time_swaps(fleet, f"b{number}", started_at)
+
+
+async def _time_swaps(fleet: LiveFleet, backend: str, started_at: float) -> float:
+    """Return how long after a start all agents have swapped the withdrawal of a backend in, and pause."""
+    core = fleet.server.core
+    await wait_until(lambda: backend in core.proxy_tables.withdrawn)
+    withdrawn_in = core.policy.round_number
+    await wait_until(lambda: all(applied[0] >= withdrawn_in for applied in list(core.applied.values())))
+    took = time.perf_counter() - started_at
+    await asyncio.sleep(PAUSE_S)
+    return took
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -1,4 +1,4 @@
-"""A live day on this tree and on an older commit in turn, with the same script: python -m benchmarks days REV [DAY]."""
+"""A live scenario on this tree and on an older commit in turn: `python -m benchmarks days REV [SCENARIO]`."""
 
 from __future__ import annotations
 
@@ -7,31 +7,43 @@
 import subprocess
 import sys
 import tempfile
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
 
-ROUNDS = 2
-KEYS = ("service", "withdrawal_max_ms", "lines", "pushes", "swaps", "joins", "rules")
+from benchmarks.figures import Figures
 
+SEEDS = (1, 2)
+FIELDS = ("service", "withdrawal_max_ms", "lines", "pushes", "swaps", "joins", "rules")
+"""The fields of `onyxhead trial run --json` that are compared."""
 
-def measure(args: list[str]) -> dict[str, Any]:
-    revision, day = (args + ["HEAD", "storm"][len(args) :])[:2]
+
+def measure(arguments: list[str]) -> Figures:
+    """Run the scenario on both trees, once for each seed."""
+    revision, scenario = (arguments + ["HEAD", "storm"][len(arguments) :])[:2]
+    results: dict[str, list[Figures]] = {"here": [], revision: []}
+    with _checked_out(revision) as other:
+        for seed in SEEDS:
+            for name, tree in (("here", Path.cwd()), (revision, other)):
+                results[name].append(_run_scenario(tree, scenario, seed))
+    return {"day": scenario, **results}
+
+
+@contextmanager
+def _checked_out(revision: str) -> Iterator[Path]:
+    """Yield a worktree of a revision that is removed at the end."""
     with tempfile.TemporaryDirectory() as name:
-        other = Path(name) / "tree"
-        subprocess.run(["git", "worktree", "add", "--detach", str(other), revision], check=True, capture_output=True)
+        tree = Path(name) / "tree"
+        subprocess.run(["git", "worktree", "add", "--detach", str(tree), revision], check=True, capture_output=True)
         try:
-            found: dict[str, list[Any]] = {"here": [], revision: []}
-            for seed in range(1, 1 + ROUNDS):
-                for which, tree in (("here", Path.cwd()), (revision, other)):
-                    found[which].append(play(tree, day, seed))
+            yield tree
         finally:
-            subprocess.run(["git", "worktree", "remove", "--force", str(other)], check=True, capture_output=True)
-    return {"day": day, **found}
+            subprocess.run(["git", "worktree", "remove", "--force", str(tree)], check=True, capture_output=True)
 
 
-def play(tree: Path, day: str, seed: int) -> dict[str, Any]:
-    command = [sys.executable, "-m", "onyxhead.cli.main", "trial", "run", day, "--json", "--seed", str(seed)]
+def _run_scenario(tree: Path, scenario: str, seed: int) -> Figures:
+    command = [sys.executable, "-m", "onyxhead.cli.main", "trial", "run", scenario, "--json", "--seed", str(seed)]
     environment = os.environ | {"PYTHONPATH": str(tree)}
-    done = subprocess.run(command, cwd=tree, env=environment, capture_output=True, text=True, check=False)
-    verdict = json.loads(done.stdout.splitlines()[-1])
-    return {key: verdict.get(key) for key in KEYS}
+    process = subprocess.run(command, cwd=tree, env=environment, capture_output=True, text=True, check=False)
+    verdict = json.loads(process.stdout.splitlines()[-1])
+    return {field: verdict.get(field) for field in FIELDS}
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -1,218 +1,121 @@
-"""A turn's change and a withdrawal to many agents on sockets, while others join; against bare writes of the same bytes.
+"""A round's change and a withdrawal to many agents on sockets while others join; against bare writes of the same bytes.
 
 Agents run in several processes, each with a view and files of its own in memory. `fan 143 50000` has so many load
-reports a second come in meanwhile; `fan 143 50000 2` takes them by two receivers."""
+reports a second come in meanwhile; with `fan 143 50000 2` two ingest workers take them.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import json
-import multiprocessing
-import os
-import tempfile
 import time
-from collections.abc import Callable
-from multiprocessing.connection import Connection as Pipe
 from pathlib import Path
-from typing import Any
-
-import structlog
+from typing import NamedTuple
 
-from benchmarks.figures import quantiles
-from benchmarks.intake import send
-from onyxhead.agent.daemon import Daemon as Agent
+from benchmarks.figures import Figures, quantiles
+from benchmarks.live_fleet import LiveFleet, ReportLoad, wait_until
+from benchmarks.memory_folder import memory_folder
 from onyxhead.controller.server import ControllerServer
-from onyxhead.settings.load import read_settings
-from onyxhead.settings.model import AgentSettings as AgentSettings
-from onyxhead.settings.model import ControllerSettings
-from onyxhead.testbed.ports import free_ports
-
-HOSTS, SENDERS = 6, 3
-SETTINGS = """
-name: "c1", zone: "z", zones: ["z"], listen: "127.0.0.1:0", state: "state", proxies: %d
-groups: {read: {prefix: "/r", latency_budget: 500ms, expiry: 1s, repeats: "retriable"}}
-channel: {pace: %d/s, most_waiting: %d, transit: 1ms, slowest_transit: 20ms, patience: 5s}
-discovery: {file: "list.json", every: 10ms}, probes: {allowed: false}, log: {level: "error"}
-intake: {processes: %d, series: false, budget: 20000000%s}
-"""
-AGENT = """
-kind: "agent", name: "%s", zone: "z", listen: "127.0.0.1:0", files: "%s/files", state: "%s/state"
-controllers: ["127.0.0.1:%d"], log: {level: "error"}, groups: {read: {prefix: "/r", latency_budget: 500ms}}
-"""
-
 
-def agents(folder: str, names: list[str], port: int, over: Pipe, parent: int) -> None:
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-
-    async def main() -> None:
-        tasks = []
-        for name in names:
-            path = Path(folder) / f"{name}.rec"
-            path.write_text(AGENT % (name, name, name, port))
-            settings = read_settings(path)
-            assert isinstance(settings, AgentSettings)
-            tasks.append(asyncio.create_task(Agent(settings).run()))
-        while not over.poll() and os.getppid() == parent:
-            await asyncio.sleep(0.05)
-        for task in tasks:
-            task.cancel()
-
-    asyncio.run(main())
-
-
-def measure(args: list[str]) -> dict[str, Any]:
-    count, rate, receivers = (int(args[n]) if len(args) > n else usual for n, usual in enumerate((143, 0, 0)))
-    with tempfile.TemporaryDirectory(dir="/dev/shm" if Path("/dev/shm").is_dir() else None) as name:
-        return asyncio.run(run(Path(name), count, 82, 12, rate, receivers))
-
-
-class Fleet:
-    """A controller here and agents in processes of their own, joined and bound; all of it ends with the block."""
-
-    def __init__(self, folder: Path, count: int, backends: int, rate: int = 0, receivers: int = 0) -> None:
-        self.folder, self.count, self.backends, self.rate, self.receivers = folder, count, backends, rate, receivers
-        self.pace, self.version, self.gone = 100 * count, 1, set[int]()
-
-    async def __aenter__(self) -> Fleet:
-        (listen,) = free_ports(1)
-        own = f', listen: "127.0.0.1:{listen}"' if self.receivers else ""
-        given = (self.count, self.pace, 4 * self.pace, self.receivers, own)
-        (self.folder / "c.rec").write_text(SETTINGS % given)
-        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-        settings = read_settings(self.folder / "c.rec")
-        assert isinstance(settings, ControllerSettings)
-        publish(self.folder, 1, self.backends, set())
-        self.daemon = ControllerServer(settings)
-        self.task = asyncio.create_task(self.daemon.run())
-        await until(lambda: bool(self.daemon.http_server.listener and self.daemon.core.endpoints))
-        assert self.daemon.http_server.listener is not None
-        port = int(self.daemon.http_server.listener.sockets[0].getsockname()[1])
-        names = [f"p{n}" for n in range(self.count)]
-        # Started anew, not forked: a fork would share the running loop's own descriptors.
-        context = multiprocessing.get_context("spawn")
-        self.ends, self.processes = [], []
-        for host in range(HOSTS):
-            here, there = context.Pipe()
-            process = context.Process(
-                target=agents, args=(str(self.folder), names[host::HOSTS], port, there, os.getpid())
-            )
-            process.start()
-            self.ends.append(here)
-            self.processes.append(process)
-        core = self.daemon.core
-        await until(lambda: len(core.joined) == self.count and all(core.proxy_tables.tables_of(n) for n in core.joined))
-        await asyncio.sleep(2.0)
-        for place in range(SENDERS if self.rate else 0):
-            here, there = context.Pipe()
-            mine = list(range(place, self.backends, SENDERS))
-            to = listen if self.receivers else port
-            process = context.Process(
-                target=send, args=(to, mine, self.rate * len(mine) / self.backends, there, os.getpid())
-            )
-            process.start()
-            self.ends.append(here)
-            self.processes.append(process)
-        await asyncio.sleep(2.0 if self.rate else 0.0)
-        return self
-
-    async def __aexit__(self, *_: object) -> None:
-        for end in self.ends:
-            end.send(True)
-        self.daemon.stopping.set()
-        await self.task
-        for process in self.processes:
-            process.join()
-
-    def drain(self, number: int) -> None:
-        self.version += 1
-        self.gone.add(number)
-        publish(self.folder, self.version, self.backends, self.gone)
-
-
-async def run(
-    folder: Path, count: int, backends: int, rounds: int, rate: int = 0, receivers: int = 0
-) -> dict[str, Any]:
-    joining = max(2, count // 10)
-    changes, withdrawals, paced, sent = [], [], 0.0, 0
-    async with Fleet(folder, count, backends, rate, receivers) as fleet:
-        daemon, core = fleet.daemon, fleet.daemon.core
-        since, reports = time.perf_counter(), taken(daemon)
-        for drained in range(2, 2 + rounds):
-            for number in list(core.joined)[:joining]:
-                daemon.streams[number].task.cancel()
-                core.on_proxy_left(daemon.clock.now(), number, "for the measurement")
-            await asyncio.sleep(0.02)
-            began = time.perf_counter()
-            fleet.drain(drained)
-            told = list(core.joined)
-            await until(lambda: f"b{drained}" in core.proxy_tables.withdrawn)
-            turn = core.policy.round_number
-            await until(lambda: all(core.applied.get(n, (turn,))[0] >= turn for n in told))
-            withdrawals.append(time.perf_counter() - began)
-            sent, paced = len(told), (core.delivery_queue.limits.message_overhead + 2) * len(told) / fleet.pace
-            await until(lambda: all(f"b{drained}" not in lines for lines in core.proxy_tables.tables.values()))
-            # Not the newest turn: that may have gone to one that joins alone.
-            turn, began = max(core.policy.endpoints.by_id[f"b{drained}"].changed_in_round.values()), time.perf_counter()
-            await until(lambda: all(done[0] >= turn for done in list(core.applied.values())))
-            changes.append(time.perf_counter() - began)
-            await asyncio.sleep(0.6)
-        came = (taken(daemon) - reports) / (time.perf_counter() - since)
-    body = json.dumps({"withdrawn": {"b1": True}}).encode().ljust(420)
-    bare = [await writes(sent, body) for _ in range(rounds)]
+DEFAULT_AGENTS, BACKENDS, REPETITIONS = 143, 82, 12
+FIRST_DRAINED = 2
+PAUSE_S = 0.6
+BODY_BYTES = 420
+"""The usual size of a withdrawal's request, header fields included."""
+
+
+class FanOut(NamedTuple):
+    """Times in seconds: of a withdrawal from the list's change to the last acknowledgement, of it what the channel's
+    stated rate takes, and of a table change from its first round to the last acknowledgement."""
+
+    agents: int
+    withdrawal: float
+    channel_time: float
+    table_change: float
+
+
+def measure(arguments: list[str]) -> Figures:
+    """Measure a fleet; the arguments are the agents, the load reports a second and the ingest workers."""
+    defaults = (DEFAULT_AGENTS, 0, 0)
+    agents, rate, workers = (
+        int(arguments[position]) if len(arguments) > position else default for position, default in enumerate(defaults)
+    )
+    with memory_folder() as folder:
+        return asyncio.run(_measure_fleet(folder, agents, ReportLoad(rate, workers)))
+
+
+async def _measure_fleet(folder: Path, agents: int, load: ReportLoad) -> Figures:
+    joining = max(2, agents // 10)
+    async with LiveFleet(folder, agents, BACKENDS, load) as fleet:
+        started_at, reports_before = time.perf_counter(), _reports_taken(fleet.server)
+        results = []
+        for drained in range(FIRST_DRAINED, FIRST_DRAINED + REPETITIONS):
+            results.append(await _measure_drain(fleet, drained, joining))
+            await asyncio.sleep(PAUSE_S)
+        report_rate = (_reports_taken(fleet.server) - reports_before) / (time.perf_counter() - started_at)
+    body = json.dumps({"withdrawn": {"b1": True}}).encode().ljust(BODY_BYTES)
+    bare_writes = [await time_bare_writes(results[-1].agents, body) for _ in range(REPETITIONS)]
     return {
-        "agents": count,
+        "agents": agents,
         "joins in each round": joining,
-        "reports taken in a second": round(came),
-        "withdrawal, list written to last answer, ms": quantiles(withdrawals),
-        "of it the stated pace, ms": round(paced * 1000, 1),
-        "a turn's change, first order to last answer, ms": quantiles(changes),
-        "bare writes and answers of the same bytes, ms": quantiles(bare),
+        "reports taken in a second": round(report_rate),
+        "withdrawal, list written to last answer, ms": quantiles([each.withdrawal for each in results]),
+        "of it the stated pace, ms": round(results[-1].channel_time * 1000, 1),
+        "a turn's change, first order to last answer, ms": quantiles([each.table_change for each in results]),
+        "bare writes and answers of the same bytes, ms": quantiles(bare_writes),
     }
 
 
-def taken(daemon: ControllerServer) -> int:
-    return daemon.load_reports.counts["reports"] if daemon.load_reports is not None else 0
+async def _measure_drain(fleet: LiveFleet, drained: int, joining: int) -> FanOut:
+    """Drain a backend while some of the agents join again."""
+    core, backend = fleet.server.core, f"b{drained}"
+    await _disconnect(fleet.server, joining)
+    started_at = time.perf_counter()
+    fleet.drain(drained)
+    joined = list(core.joined)
+    await wait_until(lambda: backend in core.proxy_tables.withdrawn)
+    withdrawn_in = core.policy.round_number
+    await wait_until(lambda: all(core.applied.get(proxy, (withdrawn_in,))[0] >= withdrawn_in for proxy in joined))
+    withdrawal = time.perf_counter() - started_at
+    lines_per_message = core.delivery_queue.limits.message_overhead + 2
+    channel_time = lines_per_message * len(joined) / fleet.lines_per_second
+    await wait_until(lambda: all(backend not in lines for lines in core.proxy_tables.tables.values()))
+    # Not the newest round: that may have gone to one that joins alone.
+    changed_in = max(core.policy.endpoints.by_id[backend].changed_in_round.values())
+    changed_at = time.perf_counter()
+    await wait_until(lambda: all(applied[0] >= changed_in for applied in list(core.applied.values())))
+    return FanOut(len(joined), withdrawal, channel_time, time.perf_counter() - changed_at)
 
 
-async def until(what: Callable[[], bool]) -> None:
-    async with asyncio.timeout(20):
-        while not what():
-            await asyncio.sleep(0.0005)
+async def _disconnect(server: ControllerServer, count: int) -> None:
+    for proxy in list(server.core.joined)[:count]:
+        server.streams[proxy].task.cancel()
+        server.core.on_proxy_left(server.clock.now(), proxy, "for the measurement")
+    await asyncio.sleep(0.02)
 
 
-def publish(folder: Path, version: int, backends: int, gone: set[int]) -> None:
-    entries = [
-        {
-            "id": f"b{n}",
-            "address": f"127.0.0.1:{9000 + n}",
-            "zone": "z",
-            "state": "draining" if n in gone else "ready",
-        }
-        for n in range(backends)
-    ]
-    beside = folder / "list.tmp"
-    beside.write_text(json.dumps({"version": version, "backends": entries}))
-    beside.rename(folder / "list.json")
+def _reports_taken(server: ControllerServer) -> int:
+    return server.load_reports.counts["reports"] if server.load_reports is not None else 0
 
 
-async def writes(count: int, body: bytes) -> float:
-    """As many connections, each written the bytes and answered a line."""
+async def time_bare_writes(count: int, body: bytes) -> float:
+    """Return the time in which as many connections are written the bytes and each answers a line."""
 
-    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, asyncio.CancelledError):
             while await reader.readexactly(len(body)):
                 writer.write(b"ok\n")
 
-    server = await asyncio.start_server(serve, "127.0.0.1", 0)
+    server = await asyncio.start_server(answer, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    ends = [await asyncio.open_connection("127.0.0.1", port) for _ in range(count)]
-    began = time.perf_counter()
-    for _, writer in ends:
+    connections = [await asyncio.open_connection("127.0.0.1", port) for _ in range(count)]
+    started_at = time.perf_counter()
+    for _, writer in connections:
         writer.write(body)
-    await asyncio.gather(*(reader.readline() for reader, _ in ends))
-    took = time.perf_counter() - began
-    for _, writer in ends:
+    await asyncio.gather(*(reader.readline() for reader, _ in connections))
+    took = time.perf_counter() - started_at
+    for _, writer in connections:
         writer.close()
     server.close()
     return took
--- a/benchmarks/figures.py
+++ b/benchmarks/figures.py
@@ -1,18 +1,23 @@
-"""Quantiles and paired runs."""
+"""Quantiles of times and ratios of paired runs."""
 
 from __future__ import annotations
 
 import statistics
 
+Figures = dict[str, object]
+"""What a measurement prints, by the names that it prints them under."""
+
+QUANTILES = {"p50": 0.5, "p99": 0.99, "p99.9": 0.999, "most": 1.0}
+
 
 def quantiles(seconds: list[float]) -> dict[str, float]:
-    """p50, p99 and the most, in milliseconds."""
+    """Return the median, two high quantiles and the maximum, in milliseconds."""
     ordered = sorted(seconds)
-    at = {"p50": 0.5, "p99": 0.99, "p99.9": 0.999, "most": 1.0}
-    return {name: round(ordered[min(len(ordered) - 1, int(q * len(ordered)))] * 1000, 3) for name, q in at.items()}
+    last = len(ordered) - 1
+    return {name: round(ordered[min(last, int(share * len(ordered)))] * 1000, 3) for name, share in QUANTILES.items()}
 
 
-def ratio(ours: list[float], limit: list[float]) -> dict[str, float]:
-    """The pairs' ratios, ours to the limit's."""
-    made = sorted(one / two for one, two in zip(ours, limit, strict=True))
-    return {"median": round(statistics.median(made), 3), "least": round(made[0], 3), "most": round(made[-1], 3)}
+def ratio(ours: list[float], limits: list[float]) -> dict[str, float]:
+    """Return the ratios of paired figures, ours to the limit's."""
+    ratios = sorted(own / limit for own, limit in zip(ours, limits, strict=True))
+    return {"median": round(statistics.median(ratios), 3), "least": round(ratios[0], 3), "most": round(ratios[-1], 3)}
--- /dev/null
+++ b/benchmarks/live_fleet.py
@@ -0,0 +1,170 @@
+"""A controller in this process and agents in processes of their own, joined over loopback, for measurements."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import multiprocessing
+import os
+from collections.abc import Callable
+from multiprocessing.connection import Connection as Pipe
+from multiprocessing.process import BaseProcess
+from pathlib import Path
+from types import TracebackType
+from typing import NamedTuple, Self
+
+import structlog
+
+from benchmarks.load_senders import start_senders
+from onyxhead.agent.daemon import Daemon as Agent
+from onyxhead.controller.server import ControllerServer
+from onyxhead.settings.load import read_settings
+from onyxhead.settings.model import AgentSettings, ControllerSettings
+from onyxhead.testbed.ports import free_ports
+
+AGENT_PROCESSES, SENDERS = 6, 3
+CONTROLLER_SETTINGS = """
+name: "c1", zone: "z", zones: ["z"], listen: "127.0.0.1:0", state: "state", proxies: %d
+groups: {read: {prefix: "/r", latency_budget: 500ms, expiry: 1s, repeats: "retriable"}}
+channel: {pace: %d/s, most_waiting: %d, transit: 1ms, slowest_transit: 20ms, patience: 5s}
+discovery: {file: "list.json", every: 10ms}, probes: {allowed: false}, log: {level: "error"}
+intake: {processes: %d, series: false, budget: 20000000%s}
+"""
+AGENT_SETTINGS = """
+kind: "agent", name: "%s", zone: "z", listen: "127.0.0.1:0", files: "%s/files", state: "%s/state"
+controllers: ["127.0.0.1:%d"], log: {level: "error"}, groups: {read: {prefix: "/r", latency_budget: 500ms}}
+"""
+LINES_PER_SECOND_PER_AGENT = 100
+QUEUE_SECONDS = 4
+NO_LOGS = 50
+CONDITION_TIMEOUT_S, CONDITION_POLL_S = 20.0, 0.0005
+SETTLE_S = 2.0
+
+
+class ReportLoad(NamedTuple):
+    """How many load reports a second come in, and how many ingest workers take them (0: the controller itself)."""
+
+    rate: int = 0
+    workers: int = 0
+
+
+NO_REPORTS = ReportLoad()
+
+
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Return once the condition holds. Raises TimeoutError."""
+    async with asyncio.timeout(CONDITION_TIMEOUT_S):
+        while not condition():
+            await asyncio.sleep(CONDITION_POLL_S)
+
+
+class LiveFleet:
+    """A controller here and agents in processes of their own, which have their tables; all end with the context."""
+
+    def __init__(
+        self, folder: Path, agents: int, backends: int, load: ReportLoad = NO_REPORTS, extra_settings: str = ""
+    ) -> None:
+        self.folder, self.agents, self.backends, self.load = folder, agents, backends, load
+        self.extra_settings = extra_settings
+        self.lines_per_second = LINES_PER_SECOND_PER_AGENT * agents
+        self._list_version = 1
+        self._drained: set[int] = set()
+        self._processes: list[tuple[BaseProcess, Pipe]] = []
+        (self._worker_port,) = free_ports(1)
+
+    async def __aenter__(self) -> Self:
+        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(NO_LOGS))
+        self._publish_list()
+        self.server = ControllerServer(self._controller_settings())
+        self._server_task = asyncio.create_task(self.server.run())
+        await wait_until(lambda: bool(self.server.http_server.listener and self.server.core.endpoints))
+        assert self.server.http_server.listener is not None
+        port = int(self.server.http_server.listener.sockets[0].getsockname()[1])
+        self._start_agents(port)
+        core = self.server.core
+        await wait_until(
+            lambda: len(core.joined) == self.agents and all(core.proxy_tables.tables_of(n) for n in core.joined)
+        )
+        await asyncio.sleep(SETTLE_S)
+        if self.load.rate:
+            report_port = self._worker_port if self.load.workers else port
+            senders = start_senders(report_port, self.backends, self.load.rate, SENDERS)
+            self._processes += [(sender.process, sender.control) for sender in senders]
+            await asyncio.sleep(SETTLE_S)
+        return self
+
+    async def __aexit__(
+        self,
+        _kind: type[BaseException] | None,
+        _error: BaseException | None,
+        _traceback: TracebackType | None,
+    ) -> None:
+        for _, control in self._processes:
+            control.send(True)
+        self.server.stopping.set()
+        await self._server_task
+        for process, _ in self._processes:
+            process.join()
+
+    def _controller_settings(self) -> ControllerSettings:
+        listen = f', listen: "127.0.0.1:{self._worker_port}"' if self.load.workers else ""
+        queue_lines = QUEUE_SECONDS * self.lines_per_second
+        values = (self.agents, self.lines_per_second, queue_lines, self.load.workers, listen)
+        path = self.folder / "c.rec"
+        path.write_text(CONTROLLER_SETTINGS % values + self.extra_settings)
+        settings = read_settings(path)
+        assert isinstance(settings, ControllerSettings)
+        return settings
+
+    def _start_agents(self, controller_port: int) -> None:
+        names = [f"p{number}" for number in range(self.agents)]
+        # Spawned, not forked: a fork would share the running loop's own descriptors.
+        context = multiprocessing.get_context("spawn")
+        for number in range(AGENT_PROCESSES):
+            here, there = context.Pipe()
+            process = context.Process(
+                target=run_agents,
+                args=(str(self.folder), names[number::AGENT_PROCESSES], controller_port, there, os.getpid()),
+            )
+            process.start()
+            self._processes.append((process, here))
+
+    def drain(self, number: int) -> None:
+        """Publish a list in which one more backend drains."""
+        self._list_version += 1
+        self._drained.add(number)
+        self._publish_list()
+
+    def _publish_list(self) -> None:
+        entries = [
+            {
+                "id": f"b{number}",
+                "address": f"127.0.0.1:{9000 + number}",
+                "zone": "z",
+                "state": "draining" if number in self._drained else "ready",
+            }
+            for number in range(self.backends)
+        ]
+        temporary = self.folder / "list.tmp"
+        temporary.write_text(json.dumps({"version": self._list_version, "backends": entries}))
+        temporary.rename(self.folder / "list.json")
+
+
+def run_agents(folder: str, names: list[str], controller_port: int, control: Pipe, parent: int) -> None:
+    """Run agents until told to stop, or until the parent process ends."""
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(NO_LOGS))
+    asyncio.run(_serve_agents(Path(folder), names, controller_port, control, parent))
+
+
+async def _serve_agents(folder: Path, names: list[str], controller_port: int, control: Pipe, parent: int) -> None:
+    tasks = []
+    for name in names:
+        path = folder / f"{name}.rec"
+        path.write_text(AGENT_SETTINGS % (name, name, name, controller_port))
+        settings = read_settings(path)
+        assert isinstance(settings, AgentSettings)
+        tasks.append(asyncio.create_task(Agent(settings).run()))
+    while not control.poll() and os.getppid() == parent:
+        await asyncio.sleep(0.05)
+    for task in tasks:
+        task.cancel()
--- a/benchmarks/operate.py
+++ b/benchmarks/operate.py
@@ -6,14 +6,17 @@
 import random
 import tempfile
 import time
+from collections.abc import Awaitable, Callable
 from pathlib import Path
-from typing import Any
 
+from benchmarks.figures import Figures
 from onyxhead.http.messages import Request, Response, json_response
 from onyxhead.http.server import Server
 from onyxhead.operate.fleet_client import send_command
 from onyxhead.settings.load import read_settings
 
+MEMBERS, MAX_DELAY_S, COMMAND_TIMEOUT_S = 143, 0.3, 5.0
+DEFAULT_LINES = 100_000
 SETTINGS = """
 name: "c1", zone: "z", zones: ["z"], listen: "127.0.0.1:7000", state: "state"
 groups: {read: {prefix: "/r", latency_budget: 500ms, expiry: 1s, repeats: "retriable"}}
@@ -22,36 +25,46 @@
 """
 
 
-async def fleet(count: int) -> dict[str, float]:
-    """Members in this process that take up to a third of a second each, all by themselves."""
-    chance, servers, members, slowest = random.Random(1), [], {}, 0.0
-    for n in range(count):
-        delay = chance.uniform(0.0, 0.3)
-        slowest = max(slowest, delay)
+def _delayed_member(delay: float) -> Callable[[Request, asyncio.StreamWriter], Awaitable[Response]]:
+    """Return the handler of a member that takes `delay` seconds for each command."""
+
+    async def handle(_request: Request, _writer: asyncio.StreamWriter) -> Response:
+        await asyncio.sleep(delay)
+        return json_response(200, {"status": "applied", "why": "", "changed": []})
+
+    return handle
 
-        async def answered(_request: Request, _writer: asyncio.StreamWriter, delay: float = delay) -> Response:
-            await asyncio.sleep(delay)
-            return json_response(200, {"status": "applied", "why": "", "changed": []})
 
-        servers.append(Server(answered))
-        members[f"m{n}"] = await servers[-1].start("127.0.0.1", 0)
-    began = time.perf_counter()
-    outcomes = await send_command(members, {"id": "x", "verb": "drain", "names": ["b1"], "by": "bench"}, 5.0)
-    took = time.perf_counter() - began
+async def measure_command(count: int) -> Figures:
+    """Send a command to members in this process that take up to a third of a second each."""
+    chance, servers, members, slowest = random.Random(1), list[Server](), {}, 0.0
+    for number in range(count):
+        delay = chance.uniform(0.0, MAX_DELAY_S)
+        slowest = max(slowest, delay)
+        servers.append(Server(_delayed_member(delay)))
+        members[f"m{number}"] = await servers[-1].start("127.0.0.1", 0)
+    started_at = time.perf_counter()
+    command = {"id": "x", "verb": "drain", "names": ["b1"], "by": "bench"}
+    outcomes = await send_command(members, command, COMMAND_TIMEOUT_S)
+    took = time.perf_counter() - started_at
     assert all(each.status == "applied" for each in outcomes)
     for server in servers:
         server.close()
     return {"members": count, "command_s": round(took, 3), "slowest_own_s": round(slowest, 3)}
 
 
-def measure(args: list[str]) -> dict[str, Any]:
-    lines = int(args[0]) if args else 100_000
-    found: dict[str, Any] = {"fleet": asyncio.run(fleet(143))}
+def measure_settings(lines: int) -> Figures:
+    """Read and check a settings file with so many lines of backends."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "c.rec"
-        rows = "".join(f"    b{n}: {{weight: {1 + n % 9}}}\n" for n in range(lines))
+        rows = "".join(f"    b{number}: {{weight: {1 + number % 9}}}\n" for number in range(lines))
         file.write_text(SETTINGS + rows + "}\n", encoding="utf-8")
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         read_settings(file)
-        found["settings"] = {"lines": lines, "check_s": round(time.perf_counter() - began, 2)}
-    return found
+        return {"lines": lines, "check_s": round(time.perf_counter() - started_at, 2)}
+
+
+def measure(arguments: list[str]) -> Figures:
+    """Measure both; the argument is the settings' number of lines."""
+    lines = int(arguments[0]) if arguments else DEFAULT_LINES
+    return {"fleet": asyncio.run(measure_command(MEMBERS)), "settings": measure_settings(lines)}
--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -9,90 +9,105 @@
 import time
 import tracemalloc
 from pathlib import Path
-from typing import Any
 
-from benchmarks.batch import loaded_core
+from benchmarks.batch import START_TICKS, TICKS_PER_SECOND, loaded_core
+from benchmarks.figures import Figures
 from onyxhead.store.store import Store
 from onyxhead.tables.history import History, VersionRecord
 from onyxhead.tables.view import View
 
+CHANGED_LINES, STORED_VERSIONS, RESTORED_VERSIONS = 2000, 2000, 1000
+BARE_RECORD = b"x" * 120
 
-def line(number: int, weight: int) -> dict[str, Any]:
+
+def table_line(number: int, weight: int) -> dict[str, object]:
+    """Return a line of a table as views hold it."""
     return {"address": f"127.0.0.1:{1000 + number}", "weight": weight, "zone": "z"}
 
 
-def per_line(backends: int) -> float:
-    """Microseconds for one changed line of a view, digest and all."""
-    view = View.from_entries({("tables", "t0", "lines", f"b{n}"): line(n, 1) for n in range(backends)})
-    began = time.perf_counter()
-    for step in range(2000):
-        view = view.with_entry(("tables", "t0", "lines", f"b{step % backends}"), line(step % backends, step + 2))
-    return (time.perf_counter() - began) / 2000 * 1e6
+def time_changed_line(backends: int) -> float:
+    """Return the microseconds for one changed line of a view, its digest included."""
+    view = View.from_entries({("tables", "t0", "lines", f"b{n}"): table_line(n, 1) for n in range(backends)})
+    started_at = time.perf_counter()
+    for step in range(CHANGED_LINES):
+        number = step % backends
+        view = view.with_entry(("tables", "t0", "lines", f"b{number}"), table_line(number, step + 2))
+    return (time.perf_counter() - started_at) / CHANGED_LINES * 1e6
 
 
-def memory(tables: int, backends: int, versions: int) -> float:
-    """Megabytes of a history, every version changing two lines of each of ten tables."""
+def measure_memory(tables: int, backends: int, versions: int) -> float:
+    """Return the megabytes of a history in which every version changes two lines of each of ten tables."""
     history = History(versions)
     tracemalloc.start()
-    history.append(1, 0, "", {(t, f"b{n}"): 1 for t in range(tables) for n in range(backends)})
+    history.append(1, 0, "", {(table, f"b{n}"): 1 for table in range(tables) for n in range(backends)})
     for step in range(versions):
-        keys = {((step + t) % tables, f"b{(7 * step + n) % backends}"): step + 2 for t in range(10) for n in range(2)}
-        history.append(1, step, "", keys)
-    found = tracemalloc.get_traced_memory()[0] / 1e6
+        changes = {
+            ((step + table) % tables, f"b{(7 * step + n) % backends}"): step + 2
+            for table in range(10)
+            for n in range(2)
+        }
+        history.append(1, step, "", changes)
+    megabytes = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
-    return found
+    return megabytes
 
 
-def writes(folder: Path) -> dict[str, float]:
-    """Versions a second through the store, and bare appends with a flush each and with one for a hundred."""
-    store = Store(folder / "store")
-    began = time.perf_counter()
-    for number in range(2000):
+def _store_versions(store: Store, count: int) -> None:
+    for number in range(count):
         store.append_version(VersionRecord(number + 1, 1, number, "x", {(0, f"b{number % 82}"): number + 1}))
     store.close()
-    found = {"store": 2000 / (time.perf_counter() - began)}
-    for name, batch in (("bare, flush each", 1), ("bare, flush a hundred", 100)):
-        handle = os.open(folder / "bare", os.O_WRONLY | os.O_CREAT | os.O_APPEND)
-        began, count = time.perf_counter(), 0
-        while time.perf_counter() < began + 1:
-            os.write(handle, b"x" * 120)
-            count += 1
-            if count % batch == 0:
-                os.fsync(handle)
-        os.close(handle)
-        found[name] = count / (time.perf_counter() - began)
-    return {name: round(rate) for name, rate in found.items()}
-
-
-def restart(folder: Path) -> dict[str, float]:
-    """Milliseconds from opening a store of a thousand versions to the first step at 143 x 82; and the bare read."""
+
+
+def measure_writes(folder: Path) -> dict[str, int]:
+    """Return versions a second through the store, and bare appends with a flush each and with one for a hundred."""
+    store = Store(folder / "store")
+    started_at = time.perf_counter()
+    _store_versions(store, STORED_VERSIONS)
+    return {
+        "store": round(STORED_VERSIONS / (time.perf_counter() - started_at)),
+        "bare, flush each": round(_append_rate(folder / "bare", writes_per_flush=1)),
+        "bare, flush a hundred": round(_append_rate(folder / "bare", writes_per_flush=100)),
+    }
+
+
+def _append_rate(path: Path, writes_per_flush: int) -> float:
+    file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
+    started_at, count = time.perf_counter(), 0
+    while time.perf_counter() < started_at + 1:
+        os.write(file, BARE_RECORD)
+        count += 1
+        if count % writes_per_flush == 0:
+            os.fsync(file)
+    os.close(file)
+    return count / (time.perf_counter() - started_at)
+
+
+def measure_restart(folder: Path) -> dict[str, float]:
+    """Return the milliseconds from opening a store of a thousand versions to the first step; and of the bare read."""
+    _store_versions(Store(folder / "again"), RESTORED_VERSIONS)
+    started_at = time.perf_counter()
     store = Store(folder / "again")
-    for number in range(1000):
-        store.append_version(VersionRecord(number + 1, 1, number, "x", {(0, f"b{number % 82}"): number + 1}))
-    store.close()
-    began = time.perf_counter()
-    again = Store(folder / "again")
     history = History()
-    history.restore(again.load_versions())
-    made, _, _ = loaded_core(143, 82)
-    made.decide(10**9 + 10_000)
-    took = time.perf_counter() - began
-    again.close()
-    began = time.perf_counter()
-    with sqlite3.connect(folder / "again" / "onyxhead.db") as db:
-        bare = [json.loads(row[0]) for row in db.execute("select changes from versions")]
-    assert len(bare) == 1000 == len(history.versions)
+    history.restore(store.load_versions())
+    loaded_core(143, 82).core.decide(START_TICKS + TICKS_PER_SECOND)
+    took = time.perf_counter() - started_at
+    store.close()
+    started_at = time.perf_counter()
+    with sqlite3.connect(folder / "again" / "onyxhead.db") as database:
+        rows = [json.loads(row[0]) for row in database.execute("select changes from versions")]
+    assert len(rows) == RESTORED_VERSIONS == len(history.versions)
     return {
         "to first orders, ms": round(took * 1000, 1),
-        "bare read, ms": round((time.perf_counter() - began) * 1000, 1),
+        "bare read, ms": round((time.perf_counter() - started_at) * 1000, 1),
     }
 
 
-def measure(_args: list[str]) -> dict[str, Any]:
+def measure(_arguments: list[str]) -> Figures:
+    """Measure all four."""
     with tempfile.TemporaryDirectory() as name:
         return {
-            "one changed line, us": {str(n): round(per_line(n), 1) for n in (82, 820, 8200)},
-            "a thousand versions of 100 tables of 820 lines, MB": round(memory(100, 820, 1000), 1),
-            "writes a second": writes(Path(name)),
-            "restart": restart(Path(name)),
+            "one changed line, us": {str(size): round(time_changed_line(size), 1) for size in (82, 820, 8200)},
+            "a thousand versions of 100 tables of 820 lines, MB": round(measure_memory(100, 820, 1000), 1),
+            "writes a second": measure_writes(Path(name)),
+            "restart": measure_restart(Path(name)),
         }
