--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -85,7 +85,7 @@
     core = fleet.server.core
     await wait_until(lambda: backend in core.proxy_tables.withdrawn)
     withdrawn_in = core.policy.round_number
-    await wait_until(lambda: all(applied[0] >= withdrawn_in for applied in list(core.applied.values())))
+    await wait_until(lambda: all(applied[0] >= withdrawn_in for applied in list(core.acknowledged.values())))
     took = time.perf_counter() - started_at
     await asyncio.sleep(PAUSE_S)
     return took
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -76,7 +76,7 @@
     joined = list(core.joined)
     await wait_until(lambda: backend in core.proxy_tables.withdrawn)
     withdrawn_in = core.policy.round_number
-    await wait_until(lambda: all(core.applied.get(proxy, (withdrawn_in,))[0] >= withdrawn_in for proxy in joined))
+    await wait_until(lambda: all(core.acknowledged.get(proxy, (withdrawn_in,))[0] >= withdrawn_in for proxy in joined))
     withdrawal = time.perf_counter() - started_at
     lines_per_message = core.delivery_queue.limits.message_overhead + 2
     channel_time = lines_per_message * len(joined) / fleet.lines_per_second
@@ -84,7 +84,7 @@
     # Not the newest round: that may have gone to one that joins alone.
     changed_in = max(core.policy.endpoints.by_id[backend].changed_in_round.values())
     changed_at = time.perf_counter()
-    await wait_until(lambda: all(applied[0] >= changed_in for applied in list(core.applied.values())))
+    await wait_until(lambda: all(applied[0] >= changed_in for applied in list(core.acknowledged.values())))
     return FanOut(len(joined), withdrawal, channel_time, time.perf_counter() - changed_at)
 
 
--- a/onyxhead/agent/keeper.py
+++ b/onyxhead/agent/keeper.py
@@ -5,7 +5,8 @@
 import json
 from typing import NamedTuple
 
-from onyxhead.fleet.fencing import FencingTokenGuard, StaleTokenError
+from onyxhead.fleet.errors import StaleTokenError
+from onyxhead.fleet.fencing import FencingTokenGuard
 from onyxhead.http.messages import (
     JSON_MEDIA_TYPE,
     MERGE_PATCH_MEDIA_TYPE,
@@ -20,7 +21,8 @@
     problem_response,
 )
 from onyxhead.tables.errors import MalformedViewError
-from onyxhead.tables.view import View, parse_merge_patch
+from onyxhead.tables.view import View
+from onyxhead.tables.view_format import parse_merge_patch
 
 
 class Taken(NamedTuple):
--- a/onyxhead/scenarios/fleet_settings.py
+++ b/onyxhead/scenarios/fleet_settings.py
@@ -4,8 +4,8 @@
 
 from typing import Any, NamedTuple
 
+from onyxhead.configuration_language.writer import Quantity, write_fields
 from onyxhead.policy.inputs import RetrySafety
-from onyxhead.records.write import Raw, top
 from onyxhead.testbed.parameters import TrafficGroupParameters
 
 ZONES = ("north", "south", "east")
@@ -80,9 +80,9 @@
     port: int
 
 
-def milliseconds(seconds: float) -> Raw:
+def milliseconds(seconds: float) -> Quantity:
     """Return a duration as the settings write it."""
-    return Raw(f"{seconds * 1000:.0f}ms")
+    return Quantity(f"{seconds * 1000:.0f}ms")
 
 
 def loopback(port: int) -> str:
@@ -94,7 +94,7 @@
     proxy: ProxyNode, size: FleetSize, advertised_port: int, controller_ports: list[int], standing: list[dict[str, Any]]
 ) -> str:
     """Return an agent's settings; `standing` are the entries of the backends that it starts with."""
-    return top(
+    return write_fields(
         {
             "kind": "agent",
             "name": proxy.name,
@@ -106,9 +106,9 @@
             "stats": loopback(proxy.port),
             "controllers": [loopback(port) for port in controller_ports],
             "standing": {entry["id"]: {"address": entry["address"], "zone": entry["zone"]} for entry in standing},
-            "usual": Raw(f"{size.rate / size.proxies:.1f}/s"),
-            "silence": Raw("2s"),
-            "redial": Raw("150ms"),
+            "usual": Quantity(f"{size.rate / size.proxies:.1f}/s"),
+            "silence": Quantity("2s"),
+            "redial": Quantity("150ms"),
             "groups": {
                 group.name: {"prefix": group.prefix, "latency_budget": milliseconds(group.latency_budget)}
                 for group in TRAFFIC_GROUPS
@@ -125,7 +125,7 @@
     `discovery` is the source of the endpoint list, a file or a server.
     """
     fleet = {"fleet": _fleet_settings(peers)} if size.shared else {}
-    return top(
+    return write_fields(
         {
             "kind": "controller",
             "name": controller.name,
@@ -139,7 +139,7 @@
             "groups": {group.name: _group_settings(group) for group in TRAFFIC_GROUPS},
             "tries": {"usual": 1},
             "channel": {
-                "pace": Raw(f"{CHANNEL_LINES_PER_SECOND}/s"),
+                "pace": Quantity(f"{CHANNEL_LINES_PER_SECOND}/s"),
                 "most_waiting": MAX_QUEUED_LINES,
                 "transit": milliseconds(0.01),
                 "slowest_transit": milliseconds(0.1),
@@ -173,7 +173,7 @@
 
 def _fleet_settings(peers: dict[str, tuple[str, int]]) -> dict[str, Any]:
     members = {
-        name: {"zone": zone, "pace": Raw(f"{CHANNEL_LINES_PER_SECOND}/s"), "address": loopback(port)}
+        name: {"zone": zone, "pace": Quantity(f"{CHANNEL_LINES_PER_SECOND}/s"), "address": loopback(port)}
         for name, (zone, port) in peers.items()
     }
     return {
--- a/onyxhead/settings/fields.py
+++ b/onyxhead/settings/fields.py
@@ -4,8 +4,8 @@
 
 from pathlib import Path
 
-from onyxhead.records.meaning import Found
-from onyxhead.records.syntax import Fault, Faulty
+from onyxhead.configuration_language.evaluator import PlainRecord
+from onyxhead.configuration_language.terms import Diagnostic, InvalidConfigurationError
 from onyxhead.settings.model import Address, LogSettings, TlsSettings
 from onyxhead.tables.addresses import parse_address
 from onyxhead.tables.errors import MalformedViewError
@@ -15,18 +15,18 @@
 class RecordReader:
     """A checked record with the directory that its paths are relative to; collects faults with their places."""
 
-    def __init__(self, record: Found, directory: Path) -> None:
+    def __init__(self, record: PlainRecord, directory: Path) -> None:
         self.record, self.directory = record, directory
-        self.faults: list[Fault] = []
+        self.faults: list[Diagnostic] = []
 
     def add_fault(self, text: str, *path: str) -> None:
         """Add a fault at the place of a value below the record."""
-        self.faults.append(Fault(self.record.place(*path), text))
+        self.faults.append(Diagnostic(self.record.position_of(*path), text))
 
     def raise_faults(self) -> None:
-        """Raise Faulty if there are faults so far."""
+        """Raise InvalidConfigurationError if there are faults so far."""
         if self.faults:
-            raise Faulty(self.faults)
+            raise InvalidConfigurationError(self.faults)
 
     def address(self, text: str, *path: str, any_port: bool = False) -> Address:
         """Return host and port of "host:port", or add a fault at `path`; port 0 is allowed with `any_port` only."""
@@ -38,11 +38,11 @@
             self.add_fault(str(error), *path)
             return "", 0
 
-    def optional_address(self, record: Found, key: str, *path: str, any_port: bool = False) -> Address | None:
+    def optional_address(self, record: PlainRecord, key: str, *path: str, any_port: bool = False) -> Address | None:
         """Return the address under `key` in a record at `path`, None where there is none."""
         return self.address(record[key], *path, key, any_port=any_port) if key in record else None
 
-    def optional_path(self, record: Found, key: str) -> Path | None:
+    def optional_path(self, record: PlainRecord, key: str) -> Path | None:
         """Return the file path under `key`, None where there is none."""
         return self.directory / record[key] if key in record else None
 
--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -6,8 +6,8 @@
 from importlib import resources
 from pathlib import Path
 
-from onyxhead.records.files import check, gather
-from onyxhead.records.syntax import File, Literal
+from onyxhead.configuration_language.loader import evaluate_files, load_files
+from onyxhead.configuration_language.terms import Literal, SourceFile
 from onyxhead.routing import files as routing
 from onyxhead.settings.agent import agent_settings
 from onyxhead.settings.controller import controller_settings
@@ -31,15 +31,15 @@
 
 def read_settings(path: Path) -> ControllerSettings | AgentSettings:
     """Return the settings in a file, of whichever kind it holds. Raises Faulty."""
-    files = gather(path)
+    files = load_files(path)
     kind = kind_of(files)
-    reader = RecordReader(check(files, schema(), DEFINITIONS[kind]), path.parent)
+    reader = RecordReader(evaluate_files(files, schema(), DEFINITIONS[kind]), path.parent)
     return controller_settings(reader) if kind == "controller" else agent_settings(reader)
 
 
 def read_operators(path: Path) -> tuple[dict[str, Address], dict[str, Address]]:
     """Return the addresses of controllers and of agents by name. Raises Faulty."""
-    record = check(gather(path), schema(), OPERATORS_DEFINITION)
+    record = evaluate_files(load_files(path), schema(), OPERATORS_DEFINITION)
     reader = RecordReader(record, path.parent)
     controllers = {name: reader.address(text, "controllers", name) for name, text in record["controllers"].items()}
     agents = {name: reader.address(text, "agents", name) for name, text in record["agents"].items()}
@@ -47,7 +47,7 @@
     return controllers, agents
 
 
-def definition_of(files: list[File]) -> tuple[str, str]:
+def definition_of(files: list[SourceFile]) -> tuple[str, str]:
     """Return the schema's text and the name of the definition that files are checked against."""
     names = {member.name for file in files for member in file.struct.members}
     if names & ROUTING_FIELDS:
@@ -57,7 +57,7 @@
     return schema(), DEFINITIONS[kind_of(files)]
 
 
-def kind_of(files: list[File]) -> str:
+def kind_of(files: list[SourceFile]) -> str:
     """Return "controller" or "agent": the field `kind`, or else by the fields that only one kind has."""
     members = {member.name: member.value for file in files for member in file.struct.members}
     kind = members.get("kind")
--- a/onyxhead/settings/model.py
+++ b/onyxhead/settings/model.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from onyxhead.policy.inputs import Deployment
-from onyxhead.tables.view import ViewValue
+from onyxhead.tables.view_format import ViewValue
 
 Address = tuple[str, int]
 """Host and port."""
--- a/onyxhead/testbed/proxy.py
+++ b/onyxhead/testbed/proxy.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from onyxhead.controller.health_check import load_report
+from onyxhead.controller.health_check import parse_load_header
 from onyxhead.http.messages import HttpError, Request, Response, json_response
 from onyxhead.http.server import Server
 from onyxhead.testbed.connection_pool import ConnectionPool
@@ -192,7 +192,7 @@
         return endpoint.zone != own_zone and (endpoint.zone in cut_zones or own_zone in cut_zones)
 
     def _note_outcome(self, address: str, response: Response) -> None:
-        busy = load_report(response.headers).get("cpu_utilization")
+        busy = parse_load_header(response.headers).get("cpu_utilization")
         if busy is not None:
             self.loads[address] = busy
         self.failures_in_a_row[address] = self.failures_in_a_row[address] + 1 if response.status >= 500 else 0
