--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -48,12 +48,12 @@
 async def _measure_fleet(folder: Path, agents: int, load: ReportLoad) -> Figures:
     joining = max(2, agents // 10)
     async with LiveFleet(folder, agents, BACKENDS, load) as fleet:
-        started_at, reports_before = time.perf_counter(), _reports_taken(fleet.server)
+        started_at, reports_before = time.perf_counter(), _reports_received(fleet.server)
         results = []
         for drained in range(FIRST_DRAINED, FIRST_DRAINED + REPETITIONS):
             results.append(await _measure_drain(fleet, drained, joining))
             await asyncio.sleep(PAUSE_S)
-        report_rate = (_reports_taken(fleet.server) - reports_before) / (time.perf_counter() - started_at)
+        report_rate = (_reports_received(fleet.server) - reports_before) / (time.perf_counter() - started_at)
     body = json.dumps({"withdrawn": {"b1": True}}).encode().ljust(BODY_BYTES)
     bare_writes = [await time_bare_writes(results[-1].agents, body) for _ in range(REPETITIONS)]
     return {
@@ -95,7 +95,7 @@
     await asyncio.sleep(0.02)
 
 
-def _reports_taken(server: ControllerServer) -> int:
+def _reports_received(server: ControllerServer) -> int:
     return server.load_reports.counts["reports"] if server.load_reports is not None else 0
 
 
--- a/onyxhead/scenarios/faults.py
+++ b/onyxhead/scenarios/faults.py
@@ -6,8 +6,10 @@
 import signal
 from collections.abc import Callable
 
-from onyxhead.scenarios.fleet import CLIENTS, DISCOVERY, NETWORK, ScenarioFleet, proxy_double_name
+from onyxhead.scenarios.fleet import ScenarioFleet, proxy_double_name
 from onyxhead.scenarios.fleet_settings import ZONES
+from onyxhead.scenarios.operator_requests import latest_table_version, roll_back_tables
+from onyxhead.scenarios.processes import CLIENTS, DISCOVERY, NETWORK
 from onyxhead.scenarios.timed_actions import (
     Action,
     TimedAction,
@@ -36,16 +38,20 @@
 ROLLBACK_DELAY_S, ROLLBACK_HOLD_S = 2.5, 600.0
 
 
+def _restart_backend(fleet: ScenarioFleet, name: str) -> None:
+    fleet.backends.restart(name)
+
+
 def crash(start: float, duration: float) -> list[TimedAction]:
-    """Kill some backends, which discovery notices late; they come back cold."""
+    """Kill some backends, which discovery notices late; they have to warm up when they come back."""
 
     def list_as_draining(fleet: ScenarioFleet) -> None:
-        for name, entry in fleet.endpoints.items():
+        for name, entry in fleet.backends.entries.items():
             if fleet.processes.has_ended(name):
                 entry["state"] = "draining"
-        fleet.publish_endpoints()
+        fleet.backends.publish()
 
-    crashes = kill_for(start, duration, share_of_backends(0.2), ScenarioFleet.restart_backend)
+    crashes = kill_for(start, duration, share_of_backends(0.2), _restart_backend)
     return [*crashes, TimedAction(start + DISCOVERY_DELAY_S, list_as_draining)]
 
 
@@ -83,23 +89,23 @@
 
 
 def deploy(start: float, duration: float) -> list[TimedAction]:
-    """Replace most backends in batches: new ones come cold, old ones drain and end."""
+    """Replace most backends in batches: new ones have to warm up, old ones drain and end."""
     draining_batches: list[list[str]] = []
 
     def replace_batch(fleet: ScenarioFleet) -> None:
-        original = [name for name in fleet.ready_backends() if not fleet.endpoints[name]["started"]]
+        original = [name for name in fleet.backends.ready() if not fleet.backends.entries[name]["started"]]
         batch = original[:DEPLOY_BATCH_SIZE]
         draining_batches.append(batch)
         for name in batch:
-            fleet.add_backend(cold=True)
-            fleet.endpoints[name]["state"] = "draining"
-        fleet.publish_endpoints()
+            fleet.backends.add(warming_up=True)
+            fleet.backends.entries[name]["state"] = "draining"
+        fleet.backends.publish()
 
     def end_batch(fleet: ScenarioFleet) -> None:
         for name in draining_batches.pop(0):
-            fleet.endpoints.pop(name)
+            fleet.backends.entries.pop(name)
             fleet.processes.kill(name)
-        fleet.publish_endpoints()
+        fleet.backends.publish()
 
     actions = []
     for number in range(DEPLOY_BATCHES):
@@ -210,12 +216,12 @@
 
 
 def grow(start: float, duration: float) -> list[TimedAction]:
-    """Add cold backends, and more requests later."""
+    """Add backends that have to warm up, and more requests later."""
 
     def add_backends(fleet: ScenarioFleet) -> None:
         for _ in range(max(2, fleet.size.backends // 3)):
-            fleet.add_backend(cold=True)
-        fleet.publish_endpoints()
+            fleet.backends.add(warming_up=True)
+        fleet.backends.publish()
 
     def raise_rate(fleet: ScenarioFleet) -> None:
         fleet.processes.set_faults(CLIENTS, rate_factor=1.4)
@@ -232,7 +238,7 @@
     return [TimedAction(start, shift_requests)]
 
 
-def conn_squeeze(start: float, duration: float) -> list[TimedAction]:
+def limit_connections(start: float, duration: float) -> list[TimedAction]:
     """All backends take few connections."""
     return faults_for(start, duration, all_backends, {"connection_limit": 12}, {"connection_limit": 400})
 
@@ -263,7 +269,7 @@
         actions += faults_for(
             start + 2 * number,
             1.0,
-            lambda fleet: fleet.ready_backends()[:2],
+            lambda fleet: fleet.backends.ready()[:2],
             {"connection_limit": 0},
             {"connection_limit": 400},
         )
@@ -277,25 +283,25 @@
     spoiled: list[str] = []
 
     def publish_wrong_weights(fleet: ScenarioFleet) -> None:
-        for name in fleet.controllers:
-            if (version := fleet.latest_table_version(name)) is not None:
+        for name, controller in fleet.controllers.items():
+            if (version := latest_table_version(controller.port)) is not None:
                 versions_before[name] = version
-        spoiled.extend(sample(fleet, fleet.ready_backends(), 0.6))
+        spoiled.extend(sample(fleet, fleet.backends.ready(), 0.6))
         for name in spoiled:
-            fleet.endpoints[name]["weight"] = WRONG_WEIGHT
-        fleet.publish_endpoints()
+            fleet.backends.entries[name]["weight"] = WRONG_WEIGHT
+        fleet.backends.publish()
         fleet.record(EventKind.WRONG_WEIGHTS_PUBLISHED, backends=spoiled)
 
     def roll_back(fleet: ScenarioFleet) -> None:
         for name, version in versions_before.items():
-            done = fleet.roll_back_tables(name, version, ROLLBACK_HOLD_S)
+            done = roll_back_tables(fleet.controllers[name].port, version, ROLLBACK_HOLD_S)
             fleet.record(EventKind.ROLLBACK_REQUESTED, controller=name, version=version, done=done)
 
     def correct_weights(fleet: ScenarioFleet) -> None:
         for name in spoiled:
-            if name in fleet.endpoints:
-                fleet.endpoints[name]["weight"] = 1.0
-        fleet.publish_endpoints()
+            if name in fleet.backends.entries:
+                fleet.backends.entries[name]["weight"] = 1.0
+        fleet.backends.publish()
 
     return [
         TimedAction(start, publish_wrong_weights),
@@ -328,7 +334,7 @@
     "balancer_stall": balancer_stall,
     "grow": grow,
     "shift": shift,
-    "conn_squeeze": conn_squeeze,
+    "conn_squeeze": limit_connections,
     "false_reports": false_reports,
     "answer_lost": answer_lost,
     "class_fail": class_fail,
--- a/onyxhead/scenarios/fleet.py
+++ b/onyxhead/scenarios/fleet.py
@@ -2,24 +2,16 @@
 
 from __future__ import annotations
 
-import asyncio
 import json
 import random
 import time
 from pathlib import Path
 from types import TracebackType
-from typing import Any, Self
+from typing import Self
 
-from onyxhead.http.client import fetch_once
-from onyxhead.http.messages import HttpError, Request
-from onyxhead.policy.inputs import RetrySafety
+from onyxhead.scenarios.backends import ScenarioBackends
 from onyxhead.scenarios.fleet_settings import (
-    DEDUPLICATION_WINDOW_S,
-    OVERLOAD_FACTOR,
-    OVERLOAD_TIME_S,
     TRAFFIC_GROUPS,
-    WARMUP_SHARE,
-    WARMUP_TIME_S,
     ZONES,
     ControllerNode,
     FleetSize,
@@ -28,13 +20,11 @@
     controller_settings,
     loopback,
 )
-from onyxhead.scenarios.processes import ProcessGroup
+from onyxhead.scenarios.processes import CLIENTS, DISCOVERY, NETWORK, ProcessGroup
 from onyxhead.testbed.events import EventKind, EventRecorder
 from onyxhead.testbed.parameters import (
-    BackendParameters,
     ClientParameters,
     DiscoveryParameters,
-    EndpointListDocument,
     Link,
     NetworkParameters,
     ProxyAddress,
@@ -42,12 +32,9 @@
 )
 from onyxhead.testbed.ports import free_ports
 
-CLIENTS, DISCOVERY, NETWORK = "client", "discovery", "wire"
-"""Names of the processes that there is one of."""
 STARTUP_TIME_S = 1.5
 """How long controllers and agents have to start and join before requests come."""
-REQUEST_TIMEOUT_S = 2.0
-STANDING_BACKENDS = 3
+INITIAL_BACKENDS = 3
 SPARE_PORTS = 200
 """For the backends, those that scenarios add later among them."""
 
@@ -55,20 +42,18 @@
 class ScenarioFleet:
     """The fleet of one scenario; leaving its context ends all processes.
 
-    `endpoints` are the entries of the endpoint list by backend; a change of them takes effect with
-    `publish_endpoints`. Faults draw from `random`.
+    Faults choose what they strike with `random`.
     """
 
     def __init__(self, folder: Path, size: FleetSize, seed: int, watch_list_file: bool = False) -> None:
         self.folder, self.size, self.seed, self.watch_list_file = folder, size, seed, watch_list_file
         self.random = random.Random(seed)
         self.processes = ProcessGroup(folder)
-        self.endpoints: dict[str, dict[str, Any]] = {}
-        self._list_version, self._backends_added = 0, 0
         port_count = 3 * size.proxies + (size.proxies + size.controllers + 3) * size.controllers + SPARE_PORTS
         self._ports = iter(free_ports(port_count))
         self.controllers = self._place_controllers()
         self.proxies = self._place_proxies()
+        self.backends = ScenarioBackends(self.processes, folder, self.record_folder, self._ports)
         self._discovery_port = next(self._ports)
         self._links: list[Link] = []
         self._recorder = EventRecorder(self.record_folder / "script.jsonl")
@@ -103,12 +88,10 @@
         """Where all test doubles record their events."""
         return self.folder / "record"
 
-    # Start
-
     def start(self) -> None:
         """Start all processes, the clients last."""
         for _ in range(self.size.backends):
-            self.add_backend(cold=False)
+            self.backends.add(warming_up=False)
         self._start_discovery()
         for proxy in self.proxies.values():
             self._write_agent_settings(proxy)
@@ -130,10 +113,10 @@
         parameters = DiscoveryParameters(
             record=self._record_file(DISCOVERY),
             port=self._discovery_port,
-            endpoint_list=self._next_endpoint_list(),
+            endpoint_list=self.backends.next_list(),
             file=str(list_file),
         )
-        list_file.write_text(json.dumps(self._next_endpoint_list()))
+        list_file.write_text(json.dumps(self.backends.next_list()))
         self.processes.start_double("discovery", DISCOVERY, parameters)
 
     def _start_proxy(self, proxy: ProxyNode) -> None:
@@ -181,8 +164,8 @@
         ]
         # Every controller connects through the same relay to this agent, which tells them apart by their streams.
         advertised_port = self._add_link("", "", proxy.name, proxy.zone, proxy.agent_port)
-        standing = self.random.sample(list(self.endpoints.values()), STANDING_BACKENDS)
-        settings = agent_settings(proxy, self.size, advertised_port, controller_ports, standing)
+        initial_entries = self.random.sample(list(self.backends.entries.values()), INITIAL_BACKENDS)
+        settings = agent_settings(proxy, self.size, advertised_port, controller_ports, initial_entries)
         self._settings_file(proxy.name).write_text(settings)
 
     def _write_controller_settings(self, controller: ControllerNode) -> None:
@@ -213,90 +196,6 @@
         self._links.append(link)
         return port
 
-    # Backends and their list
-
-    def add_backend(self, cold: bool) -> str:
-        """Start another backend and list it, unpublished; return its name."""
-        name, port, zone = f"b{self._backends_added}", next(self._ports), ZONES[self._backends_added % len(ZONES)]
-        self._backends_added += 1
-        self._start_backend(name, port, zone, cold)
-        self.endpoints[name] = {
-            "id": name,
-            "address": loopback(port),
-            "zone": zone,
-            "kind": "std",
-            "state": "ready",
-            "weight": 1.0,
-            "started": round(time.time(), 3) if cold else 0.0,
-        }
-        return name
-
-    def restart_backend(self, name: str) -> None:
-        """Start a backend that ended again, cold, and publish it as ready."""
-        entry = self.endpoints[name]
-        self._start_backend(name, int(entry["address"].rpartition(":")[2]), entry["zone"], cold=True)
-        entry.update(state="ready", started=round(time.time(), 3))
-        self.publish_endpoints()
-
-    def _start_backend(self, name: str, port: int, zone: str, cold: bool) -> None:
-        parameters = BackendParameters(
-            record=self._record_file(name),
-            name=name,
-            port=port,
-            zone=zone,
-            cores=2,
-            speed=1.0,
-            queue_limit=60,
-            connection_limit=400,
-            cold=cold,
-            warmup_share=WARMUP_SHARE,
-            warmup_time=WARMUP_TIME_S,
-            overload_factor=OVERLOAD_FACTOR,
-            overload_time=OVERLOAD_TIME_S,
-            deduplication_windows={
-                group.name: DEDUPLICATION_WINDOW_S
-                for group in TRAFFIC_GROUPS
-                if group.retry_safety is RetrySafety.DEDUPLICATED
-            },
-            deduplication_folder=str(self.folder / "marks"),
-        )
-        self.processes.start_double("backend", name, parameters)
-
-    def ready_backends(self) -> list[str]:
-        """Return the names of the backends that are listed as ready."""
-        return [name for name, entry in self.endpoints.items() if entry["state"] == "ready"]
-
-    def publish_endpoints(self) -> None:
-        """Publish the endpoint list as it is now."""
-        self.processes.set_faults(DISCOVERY, endpoint_list=self._next_endpoint_list())
-
-    def _next_endpoint_list(self) -> EndpointListDocument:
-        self._list_version += 1
-        return {"version": self._list_version, "backends": list(self.endpoints.values())}
-
-    # An operator's part
-
-    def latest_table_version(self, controller: str) -> int | None:
-        """Return the number of a controller's newest table version; None if it gives no answer."""
-        answer = self._request_controller(controller, "/v1/tables/log", {"most": 1})
-        return int(answer[0]["version"]) if isinstance(answer, list) else None
-
-    def roll_back_tables(self, controller: str, version: int, hold_s: float) -> bool:
-        """Roll a controller's tables back to a version, held for a time; False if it gives no answer."""
-        body = {"version": str(version), "seconds": hold_s}
-        return self._request_controller(controller, "/v1/tables/rollback", body) is not None
-
-    def _request_controller(self, controller: str, target: str, body: dict[str, Any]) -> object:
-        """Return the JSON value of a controller's answer; None if it gives none."""
-        request = Request("POST", target, {}, json.dumps(body).encode())
-        address = ("127.0.0.1", self.controllers[controller].port)
-        try:
-            response = asyncio.run(fetch_once(address, request, REQUEST_TIMEOUT_S))
-            answer: object = response.json() if response.status == 200 else None
-        except (OSError, TimeoutError, HttpError, ValueError):
-            return None
-        return answer
-
     def record(self, kind: EventKind, **fields: object) -> None:
         """Record something that the scenario did."""
         self._recorder.record(kind, **fields)
--- a/onyxhead/scenarios/fleet_settings.py
+++ b/onyxhead/scenarios/fleet_settings.py
@@ -91,9 +91,13 @@
 
 
 def agent_settings(
-    proxy: ProxyNode, size: FleetSize, advertised_port: int, controller_ports: list[int], standing: list[dict[str, Any]]
+    proxy: ProxyNode,
+    size: FleetSize,
+    advertised_port: int,
+    controller_ports: list[int],
+    initial_entries: list[dict[str, Any]],
 ) -> str:
-    """Return an agent's settings; `standing` are the entries of the backends that it starts with."""
+    """Return an agent's settings; `initial_entries` are those of the backends that it starts with."""
     return write_fields(
         {
             "kind": "agent",
@@ -105,7 +109,9 @@
             "state": f"{proxy.name}-state",
             "stats": loopback(proxy.port),
             "controllers": [loopback(port) for port in controller_ports],
-            "standing": {entry["id"]: {"address": entry["address"], "zone": entry["zone"]} for entry in standing},
+            "standing": {
+                entry["id"]: {"address": entry["address"], "zone": entry["zone"]} for entry in initial_entries
+            },
             "usual": Quantity(f"{size.rate / size.proxies:.1f}/s"),
             "silence": Quantity("2s"),
             "redial": Quantity("150ms"),
--- a/onyxhead/scenarios/processes.py
+++ b/onyxhead/scenarios/processes.py
@@ -14,6 +14,9 @@
 
 from onyxhead.testbed.parameters import Parameters
 
+CLIENTS, DISCOVERY, NETWORK = "client", "discovery", "wire"
+"""Names of the processes that a scenario has one of."""
+
 
 class ProcessGroup:
     """Processes by name; each writes its output to a log file of its name in the folder."""
--- a/onyxhead/scenarios/rules.py
+++ b/onyxhead/scenarios/rules.py
@@ -90,7 +90,7 @@
     return [f"{event['backend']} was pushed over at {event['t']:.2f}" for event in overloads]
 
 
-def find_overfull_queues(rounds: list[DeliveredRound], max_queued_lines: int) -> list[str]:
+def find_queue_overflows(rounds: list[DeliveredRound], max_queued_lines: int) -> list[str]:
     """Rule 5: no more than the limit of lines wait at a controller, between being decided and being received."""
     breaches = []
     for controller in sorted({each.controller for each in rounds}):
--- a/onyxhead/scenarios/runner.py
+++ b/onyxhead/scenarios/runner.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from onyxhead.scenarios.catalog import NO_FAULTS, schedule
-from onyxhead.scenarios.fleet import CLIENTS, ScenarioFleet
+from onyxhead.scenarios.fleet import ScenarioFleet
 from onyxhead.scenarios.fleet_settings import (
     DRAIN_GRACE_S,
     MAX_QUEUED_LINES,
@@ -18,6 +18,7 @@
     WARMUP_TIME_S,
     FleetSize,
 )
+from onyxhead.scenarios.processes import CLIENTS
 from onyxhead.scenarios.rules import RuleLimits
 from onyxhead.scenarios.timed_actions import TimedAction
 from onyxhead.scenarios.verdict import Verdict, evaluate
--- a/onyxhead/scenarios/timed_actions.py
+++ b/onyxhead/scenarios/timed_actions.py
@@ -28,12 +28,12 @@
 
 def share_of_backends(share: float) -> Selector:
     """Select a random share of the backends that are listed as ready."""
-    return lambda fleet: sample(fleet, fleet.ready_backends(), share)
+    return lambda fleet: sample(fleet, fleet.backends.ready(), share)
 
 
 def all_backends(fleet: ScenarioFleet) -> list[str]:
     """Select the backends that are listed as ready."""
-    return fleet.ready_backends()
+    return fleet.backends.ready()
 
 
 def share_of_proxies(share: float) -> Selector:
--- a/onyxhead/scenarios/verdict.py
+++ b/onyxhead/scenarios/verdict.py
@@ -128,7 +128,7 @@
         "2": rules.find_repeated_executions(events, retry_safety),
         "3": rules.find_late_drains(events, traffic.sessions, history, limits.drain_grace),
         "4": rules.find_overloads(events),
-        "5": rules.find_overfull_queues(traffic.rounds, limits.max_queued_lines),
+        "5": rules.find_queue_overflows(traffic.rounds, limits.max_queued_lines),
     }
 
 
--- a/onyxhead/testbed/backend.py
+++ b/onyxhead/testbed/backend.py
@@ -27,7 +27,7 @@
 
     def __init__(self, parameters: BackendParameters) -> None:
         super().__init__(parameters, BackendFaults())
-        self.started_at = time.time() if parameters.cold else 0.0
+        self.started_at = time.time() if parameters.warming_up else 0.0
         self.crashed = False
         self.queued, self.busy_cores = 0, 0
         self.cores = asyncio.Semaphore(parameters.cores)
@@ -37,7 +37,7 @@
     async def run(self) -> None:
         """Serve until cancelled."""
         await self.server.start("127.0.0.1", self.parameters.port)
-        self.record(EventKind.BACKEND_STARTED, backend=self.parameters.name, cold=self.parameters.cold)
+        self.record(EventKind.BACKEND_STARTED, backend=self.parameters.name, cold=self.parameters.warming_up)
         await asyncio.Event().wait()
 
     def warmup_fraction(self) -> float:
--- a/onyxhead/testbed/network.py
+++ b/onyxhead/testbed/network.py
@@ -30,14 +30,14 @@
 
 @dataclass(slots=True)
 class RelayedConnection:
-    """One connection over a link; `held_back` says that a cut kept bytes of it from going on."""
+    """One connection over a link; `blocked` says that a cut kept bytes of it from going on."""
 
     number: int
     source: str
     source_zone: str
     destination: str
     destination_zone: str
-    held_back: bool = False
+    blocked: bool = False
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
 
 
@@ -64,9 +64,9 @@
                     writer.close()
 
     def _cut_is_over(self, connection: RelayedConnection) -> bool:
-        if self.is_cut(connection) or not connection.held_back:
+        if self.is_cut(connection) or not connection.blocked:
             return False
-        connection.held_back = False
+        connection.blocked = False
         return True
 
     def is_cut(self, connection: RelayedConnection) -> bool:
@@ -124,7 +124,7 @@
             while chunk := await reader.read(READ_SIZE):
                 self._learn_source(connection, chunk)
                 while self.is_cut(connection):
-                    connection.held_back = True
+                    connection.blocked = True
                     await asyncio.sleep(RELAY_RECHECK_S)
                 if self.faults.bytes_per_second > 0:
                     await asyncio.sleep(len(chunk) / self.faults.bytes_per_second)
--- a/onyxhead/testbed/parameters.py
+++ b/onyxhead/testbed/parameters.py
@@ -36,7 +36,7 @@
 
 
 class BackendParameters(Parameters):
-    """A backend with `cores` cores and a queue. `cold` says that it has to warm up from its start on.
+    """A backend with `cores` cores and a queue. `warming_up` says that it has to warm up from its start on.
 
     A warming backend crashes if it receives more than `overload_factor` times its momentary capacity over
     `overload_time`. `deduplication_windows` has the traffic groups whose requests are deduplicated, in a folder that
@@ -50,7 +50,7 @@
     speed: float
     queue_limit: int
     connection_limit: int
-    cold: bool
+    warming_up: bool
     warmup_share: float
     warmup_time: float
     overload_factor: float
