--- /dev/null
+++ b/onyxhead/cli/settings_files.py
@@ -0,0 +1,107 @@
+"""Commands on settings files: check, format, compare, and their JSON Schema."""
+
+from __future__ import annotations
+
+import sys
+from pathlib import Path
+
+import click
+
+from onyxhead.cli.exits import ExitCode, FaultyInputError
+from onyxhead.cli.files import replace_file
+from onyxhead.cli.options import PATH, json_option
+from onyxhead.cli.output import print_json
+from onyxhead.configuration_language.terms import Diagnostic, InvalidConfigurationError
+from onyxhead.settings import load
+
+
+@click.command()
+@click.argument("files", nargs=-1, required=True, type=PATH)
+def check(files: tuple[Path, ...]) -> None:
+    """Check settings files; every fault is named with its place."""
+    faults: list[Diagnostic] = []
+    for path in files:
+        try:
+            load.read_settings(path)
+        except InvalidConfigurationError as error:
+            faults += error.diagnostics
+    if faults:
+        raise FaultyInputError(*faults)
+    click.echo(f"{len(files)} sound")
+
+
+@click.command()
+@click.argument("files", nargs=-1, required=True, type=PATH)
+@click.option("--check", "only_check", is_flag=True, help="Change nothing; exit with 1 if a file is not laid out so.")
+def fmt(files: tuple[Path, ...], only_check: bool) -> None:
+    """Lay settings files out evenly. Comments stay, the meaning can't change, and a file with faults is left alone."""
+    from onyxhead.configuration_language.formatter import format_text
+    from onyxhead.configuration_language.parser import parse
+
+    faults: list[object] = []
+    differing: list[Path] = []
+    for path in files:
+        try:
+            text = path.read_bytes().decode()
+            parse(text, str(path))
+        except (OSError, UnicodeDecodeError) as error:
+            faults.append(f"{path}:1:1: cannot read it: {error}")
+            continue
+        except InvalidConfigurationError as error:
+            faults += error.diagnostics
+            continue
+        formatted = format_text(text)
+        if formatted != text:
+            differing.append(path)
+            if not only_check:
+                replace_file(path, formatted)
+    for path in differing:
+        click.echo(f"{path}: {'is not laid out so' if only_check else 'laid out'}")
+    if faults:
+        raise FaultyInputError(*faults)
+    sys.exit(ExitCode.REFUSED if only_check and differing else 0)
+
+
+@click.command()
+@click.argument("one", type=PATH)
+@click.argument("two", type=PATH)
+@json_option
+def diff(one: Path, two: Path, as_json: bool) -> None:
+    """Tell what differs in meaning between settings ONE and TWO, and which rules each change presses on."""
+    from onyxhead.configuration_language.differences import field_kinds, find_differences
+    from onyxhead.configuration_language.loader import evaluate_files, load_files
+
+    records, definitions = [], []
+    faults: list[Diagnostic] = []
+    for path in (one, two):
+        try:
+            files = load_files(path)
+            definition = load.definition_of(files)
+            definitions.append(definition)
+            records.append(evaluate_files(files, *definition))
+        except InvalidConfigurationError as error:
+            faults += error.diagnostics
+    if faults:
+        raise FaultyInputError(*faults)
+    (schema_text, kind), (_, other_kind) = definitions
+    if kind != other_kind:
+        raise FaultyInputError(f"{one} holds a {kind}, {two} a {other_kind}")
+    differences = find_differences(records[0], records[1], field_kinds(schema_text))
+    if as_json:
+        print_json([each.to_json() for each in differences])
+    else:
+        for each in differences:
+            rules = f"  (rule {', '.join(each.rules.split())})" if each.rules else ""
+            click.echo(each.text + rules)
+    sys.exit(ExitCode.REFUSED if differences else 0)
+
+
+@click.command("schema")
+@click.argument("kind", type=click.Choice(["controller", "agent", "operators", "routing"]))
+def json_schema(kind: str) -> None:
+    """Write the JSON Schema of a kind of settings, for editors."""
+    from onyxhead.configuration_language import json_schema as schemas
+    from onyxhead.routing.files import schema as routing_schema
+
+    text = routing_schema() if kind == "routing" else load.schema()
+    print_json(schemas.json_schema(text, f"#{kind.capitalize()}"))
--- a/onyxhead/tables/view_format.py
+++ b/onyxhead/tables/view_format.py
@@ -49,6 +49,11 @@
 SHARE_DECIMALS = 6
 
 
+def table_name(table: int) -> str:
+    """The name that the tables of a controller have in views."""
+    return f"t{table}"
+
+
 def binding_path(group: str) -> Path:
     """The path of the table that a traffic group uses."""
     return (BINDINGS, group)
