--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -30,6 +30,7 @@
 
 
 def list_served(t: float, state: str = "ready") -> Event:
+    """Discovery serves a list of two backends, the first in a state."""
     backends = [
         {"id": "b1", "address": "127.0.0.1:1", "state": state, "started": 0.0},
         {"id": "b2", "address": "127.0.0.1:2", "state": "ready", "started": 0.0},
@@ -38,6 +39,7 @@
 
 
 def bytes_relayed(t: float, way: str, text: str) -> Event:
+    """Text passes the stream's relay, forward or back."""
     return {"t": t, "what": "carried", "link": 1, "way": way, "data": base64.b64encode(text.encode()).decode()}
 
 
@@ -59,6 +61,7 @@
 
 
 def evaluate_events(folder: Path, *events: Event) -> Verdict:
+    """The verdict on a scenario with the given events, whose record ends with a line written in part."""
     folder.mkdir(exist_ok=True)
     lines = map(json.dumps, scenario_events(*events))
     (folder / "all.jsonl").write_text("\n".join(lines) + '\n{"t": 3, "torn')
@@ -70,14 +73,17 @@
 
 
 def attempt_sent(t: float, port: int) -> Event:
+    """The proxy sends an attempt to a backend."""
     return proxy_event(t, "sent", port)
 
 
 def no_endpoint(t: float) -> Event:
+    """The proxy has no endpoint for a request."""
     return proxy_event(t, "bare")
 
 
 def request_executed(backend: str, group: str = "g", attempt: str = "0") -> Event:
+    """A backend executes an attempt of the one request."""
     return {"t": 5.0, "what": "effect", "flow": "f", "attempt": attempt, "group": group, "backend": backend}
 
 
@@ -158,6 +164,7 @@
 
 
 def weight_round(agent: str, at: float, weight: int | None, snapshot: bool = False) -> DeliveredRound:
+    """A round that an agent accepts, with a weight for one backend; None takes its line away."""
     line = None if weight is None else {"address": "127.0.0.1:1", "weight": weight, "zone": "north"}
     document = {"tables": {"t0": {"lines": {"b1": line}}}}
     return DeliveredRound("c0", agent, at, at, at, 200, 9, snapshot, document, "s", 1)
