--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -90,7 +90,7 @@
 
 async def _disconnect(server: ControllerServer, count: int) -> None:
     for proxy in list(server.core.joined)[:count]:
-        server.streams[proxy].task.cancel()
+        server.streams.by_proxy[proxy].task.cancel()
         server.core.on_proxy_left(server.clock.now(), proxy, "for the measurement")
     await asyncio.sleep(0.02)
 
--- a/benchmarks/live_fleet.py
+++ b/benchmarks/live_fleet.py
@@ -16,7 +16,7 @@
 import structlog
 
 from benchmarks.load_senders import start_senders
-from onyxhead.agent.daemon import Daemon as Agent
+from onyxhead.agent.server import AgentServer
 from onyxhead.controller.server import ControllerServer
 from onyxhead.settings.load import read_settings
 from onyxhead.settings.model import AgentSettings, ControllerSettings
@@ -101,7 +101,7 @@
     ) -> None:
         for _, control in self._processes:
             control.send(True)
-        self.server.stopping.set()
+        self.server.supervisor.stopping.set()
         await self._server_task
         for process, _ in self._processes:
             process.join()
@@ -163,7 +163,7 @@
         path.write_text(AGENT_SETTINGS % (name, name, name, controller_port))
         settings = read_settings(path)
         assert isinstance(settings, AgentSettings)
-        tasks.append(asyncio.create_task(Agent(settings).run()))
+        tasks.append(asyncio.create_task(AgentServer(settings).run()))
     while not control.poll() and os.getppid() == parent:
         await asyncio.sleep(0.05)
     for task in tasks:
