--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -42,8 +42,9 @@
 from onyxhead.routing.routing_file import format_routing, read_routing
 from onyxhead.routing.variables import map_value, murmur_hash_2, split_value
 from onyxhead.routing.virtual_hosts import VirtualHostTable
-from onyxhead.standins.router import Main as Standin
-from onyxhead.trial.run import free_ports
+from onyxhead.testbed.parameters import RoutingProxyParameters
+from onyxhead.testbed.ports import free_ports
+from onyxhead.testbed.routing_proxy import SimulatedRoutingProxy
 
 
 def at(kind: Any, pattern: str, *within: Location, pool: str = "") -> Location:
@@ -590,8 +591,10 @@
             main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(tmp_path / "a.rec"), "--strict"]
         )
         assert done.exit_code == 0, done.output
-        standin = Standin({"port": ports[3], "routing": str(tmp_path / "a.rec"), "record": str(tmp_path / "r.jsonl")})
-        task = asyncio.create_task(standin.run())
+        parameters = RoutingProxyParameters(
+            port=ports[3], routing=str(tmp_path / "a.rec"), record=str(tmp_path / "r.jsonl")
+        )
+        task = asyncio.create_task(SimulatedRoutingProxy(parameters).run())
         await asyncio.sleep(0.1)
 
         async def ask(path: str, **headers: str) -> Response:
