--- a/onyxhead/cli/trial.py
+++ b/onyxhead/cli/trial.py
@@ -21,11 +21,12 @@
 @trial.command("list")
 def list_scenarios() -> None:
     """Name the days, and the kinds of trouble that can be joined by '+'."""
-    from onyxhead.trial.days import DAYS, TROUBLES
+    from onyxhead.scenarios.catalog import SCENARIOS
+    from onyxhead.scenarios.faults import FAULTS
 
-    for name, troubles in DAYS.items():
-        click.echo(f"{name}: {', '.join(troubles) or 'nothing goes wrong'}")
-    click.echo(f"troubles: {' '.join(TROUBLES)}")
+    for name, faults in SCENARIOS.items():
+        click.echo(f"{name}: {', '.join(faults) or 'nothing goes wrong'}")
+    click.echo(f"troubles: {' '.join(FAULTS)}")
 
 
 @trial.command("run")
@@ -52,15 +53,17 @@
     apart: bool,
 ) -> None:
     """Play the day NAME. Exits with 0 only if no rule broke and no reader saw a mixture."""
-    from onyxhead.trial.run import Size, broken, play
+    from onyxhead.scenarios import runner
+    from onyxhead.scenarios.fleet_settings import FleetSize
 
+    size = FleetSize(controllers, proxies, backends, rate, shared=not apart)
     try:
-        verdict = play(name, seed, seconds, Size(controllers, proxies, backends, rate, not apart), keep)
+        verdict = runner.run_scenario(name, seed, seconds, size, keep)
     except KeyError as error:
         raise FaultyInputError(f"there is no day or trouble {error}") from error
     if as_json:
-        click.echo(json.dumps(verdict))
+        click.echo(json.dumps(verdict.to_json()))
     else:
-        for key, value in verdict.items():
+        for key, value in verdict.to_json().items():
             click.echo(f"{key:18} {format_cell(value)}")
-    sys.exit(ExitCode.REFUSED if broken(verdict) else 0)
+    sys.exit(0 if verdict.passed else ExitCode.REFUSED)
