--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -43,7 +43,7 @@
 
 if TYPE_CHECKING:
     from onyxhead.controller.configuration.service import ConfigurationService
-    from onyxhead.fronts.netconf.server import Front
+    from onyxhead.fronts.netconf.server import NetconfServer
 
 HEARTBEAT_INTERVAL_S = 1.0
 COMMIT_CHECK_INTERVAL_S = 0.25
@@ -59,7 +59,7 @@
         self.clock = Clock(time.time, time.monotonic)
         self.store = Store(settings.state_directory)
         self.keys = TlsCredentials(settings.tls) if settings.tls is not None else None
-        self.netconf: Front | None = None
+        self.netconf: NetconfServer | None = None
         self.configuration = self._open_configuration()
         tree = self.configuration.datastores.running if self.configuration is not None else {}
         start = deployment(tree, settings) if self.configuration is not None else settings.deployment
@@ -183,9 +183,9 @@
     async def _start_tasks(self, address: Address, tls: ssl.SSLContext | None) -> None:
         start = self.supervisor.start
         if self.configuration is not None and self.settings.netconf is not None:
-            from onyxhead.fronts.netconf.server import Front
+            from onyxhead.fronts.netconf.server import NetconfServer
 
-            self.netconf = Front(self.settings.netconf, self.configuration)
+            self.netconf = NetconfServer(self.settings.netconf, self.configuration)
             await self.netconf.start(tls)
             start(self._expire_commits(self.configuration))
         if self.keys is not None and self.settings.tls is not None:
@@ -193,7 +193,7 @@
             async def restart_listeners(context: ssl.SSLContext) -> None:
                 await self.http_server.start(*address, context)
                 if self.netconf is not None:
-                    await self.netconf.renew(context)
+                    await self.netconf.replace_tls_context(context)
 
             start(rotate_keys(self.keys, self.settings.tls.interval, restart_listeners, self.streams))
         if self.fleet is not None:
--- a/onyxhead/settings/controller.py
+++ b/onyxhead/settings/controller.py
@@ -31,11 +31,11 @@
     deployment = _deployment(reader, zones)
     discovery = _discovery(reader)
     listen = reader.address(record["listen"], "listen", any_port=True)
-    reader.raise_faults()
+    reader.raise_diagnostics()
     netconf, fleet, load_reports = _netconf(reader), _fleet(reader), _load_reports(reader)
     if netconf is not None and netconf.tls is not None and "tls" not in record:
-        reader.add_fault("NETCONF over TLS needs keys: tls is missing", "netconf")
-    reader.raise_faults()
+        reader.add_diagnostic("NETCONF over TLS needs keys: tls is missing", "netconf")
+    reader.raise_diagnostics()
     return ControllerSettings(
         name=record["name"],
         listen=listen,
@@ -61,14 +61,14 @@
 def _deployment(reader: RecordReader, zones: tuple[str, ...]) -> Deployment:
     record = reader.record
     if record["zone"] not in zones:
-        reader.add_fault(f"zone {record['zone']!r} is not one of zones", "zone")
+        reader.add_diagnostic(f"zone {record['zone']!r} is not one of zones", "zone")
     if not record["groups"]:
-        reader.add_fault("no traffic group", "groups")
+        reader.add_diagnostic("no traffic group", "groups")
     for name, group in record["groups"].items():
         _check_group(reader, name, group, zones)
     _check_channel(reader)
-    reader.raise_faults()
-    tries = record["tries"]
+    reader.raise_diagnostics()
+    retries = record["tries"]
     return Deployment(
         zone=zones.index(record["zone"]),
         zone_count=len(zones),
@@ -78,9 +78,9 @@
         channel=_channel_limits(record["channel"]),
         safety=_safety_limits(record["guards"]),
         admission_mode=ADMISSION_MODES[record["throttle"]],
-        default_retry_mode=tries["usual"],
-        attempt_timeout_factor=tries["stretch"],
-        proxy_ejection_failures=tries["avoided_after"],
+        default_retry_mode=retries["usual"],
+        attempt_timeout_factor=retries["stretch"],
+        proxy_ejection_failures=retries["avoided_after"],
         report_interval=record["report_every"],
         health_checks_allowed=record["probes"]["allowed"],
         subscription_required=record["discovery"]["subscribe"],
@@ -90,18 +90,18 @@
 def _check_group(reader: RecordReader, name: str, group: PlainRecord, zones: tuple[str, ...]) -> None:
     for zone in group.get("zones") or ():
         if zone not in zones:
-            reader.add_fault(f"zone {zone!r} of {name} is not one of zones", "groups", name, "zones")
+            reader.add_diagnostic(f"zone {zone!r} of {name} is not one of zones", "groups", name, "zones")
     if group["latency_budget"] > group["expiry"]:
-        reader.add_fault(f"latency_budget of {name} is longer than its expiry", "groups", name, "latency_budget")
+        reader.add_diagnostic(f"latency_budget of {name} is longer than its expiry", "groups", name, "latency_budget")
     if group["repeats"] == RetrySafety.DEDUPLICATED.value and not group["dedup_window"]:
-        reader.add_fault(f"{name} is deduped and needs a dedup_window", "groups", name, "repeats")
+        reader.add_diagnostic(f"{name} is deduped and needs a dedup_window", "groups", name, "repeats")
 
 
 def _check_channel(reader: RecordReader) -> None:
     channel = reader.record["channel"]
     if channel["most_waiting"] < MIN_QUEUED_MESSAGES * (channel["head"] + 1):
         text = f"most_waiting leaves no room for messages of {channel['head']} and a line"
-        reader.add_fault(text, "channel", "most_waiting")
+        reader.add_diagnostic(text, "channel", "most_waiting")
 
 
 def _traffic_group(name: str, group: PlainRecord, zones: tuple[str, ...]) -> TrafficGroup:
@@ -170,7 +170,7 @@
     ssh = reader.optional_address(netconf, "ssh", "netconf", any_port=True)
     tls = reader.optional_address(netconf, "tls", "netconf", any_port=True)
     if ssh is not None and host_key is None:
-        reader.add_fault("NETCONF over SSH needs a host_key", "netconf", "ssh")
+        reader.add_diagnostic("NETCONF over SSH needs a host_key", "netconf", "ssh")
     return NetconfSettings(ssh, host_key, tls, users, tuple(_access_rule(rule) for rule in netconf["rules"]))
 
 
@@ -194,7 +194,7 @@
         for name, member in fleet["members"].items()
     }
     if reader.record["name"] not in members:
-        reader.add_fault(f"{reader.record['name']!r} is not among its fleet's members", "fleet", "members")
+        reader.add_diagnostic(f"{reader.record['name']!r} is not among its fleet's members", "fleet", "members")
     return FleetSettings(members, fleet["period"], fleet["timeout"], fleet["suspicion"], fleet["settle"])
 
 
@@ -205,7 +205,7 @@
     listen = reader.optional_address(intake, "listen", "intake")
     if intake["processes"] and listen is None:
         text = "processes of their own need an address of their own: listen is missing"
-        reader.add_fault(text, "intake", "processes")
+        reader.add_diagnostic(text, "intake", "processes")
     return LoadReportSettings(
         listen=listen,
         processes=intake["processes"],
