--- a/onyxhead/agent/join_messages.py
+++ b/onyxhead/agent/join_messages.py
@@ -8,6 +8,7 @@
 from onyxhead.http.messages import Request, Response, json_response
 from onyxhead.settings.model import Address
 from onyxhead.tables.view import View
+from onyxhead.tables.view_format import BINDINGS
 
 REDIRECT_STATUS = 307
 
@@ -34,7 +35,7 @@
             "zone": self.zone,
             "usual": self.baseline_rate,
             # Whether the proxy still uses its static endpoints, since no controller has bound its groups yet.
-            "standing": not any(path[0] == "bindings" for path in self.view.entries),
+            "standing": not any(path[0] == BINDINGS for path in self.view.entries),
             "held": self.view.to_document(),
             "push": "{}:{}".format(*self.listen_address),
             "token": self.token,
--- a/onyxhead/agent/routes.py
+++ b/onyxhead/agent/routes.py
@@ -11,6 +11,7 @@
 from onyxhead.fronts.files.agent_stream import VIEW_PATH
 from onyxhead.http.messages import STREAM_HEADER, Request, Response, json_response, problem_response
 from onyxhead.keys.credentials import peer_identity
+from onyxhead.tables.view_format import WITHDRAWN
 
 AGE_DIGITS = 3
 
@@ -67,5 +68,5 @@
             "swaps": self.updater.swaps,
             "files": self.updater.files.installed_etag(),
             "lines": {route.group: len(envoy.group_endpoints(view, route.group)) for route in session.settings.routes},
-            "withdrawn": sorted(view.children("withdrawn")),
+            "withdrawn": sorted(view.children(WITHDRAWN)),
         }
--- a/onyxhead/agent/server.py
+++ b/onyxhead/agent/server.py
@@ -20,6 +20,7 @@
 from onyxhead.keys.credentials import TlsCredentials, watch_key_files
 from onyxhead.settings.model import Address, AgentSettings
 from onyxhead.tables.view import View
+from onyxhead.tables.view_format import static_line_path
 
 INCARNATION_BYTES = 6
 
@@ -86,7 +87,7 @@
     if stored is not None:
         return TableReplica(*stored)
     return TableReplica(
-        View.from_entries({("standing", name): line for name, line in settings.static_endpoints.items()})
+        View.from_entries({static_line_path(name): line for name, line in settings.static_endpoints.items()})
     )
 
 
--- a/onyxhead/fronts/files/envoy.py
+++ b/onyxhead/fronts/files/envoy.py
@@ -11,6 +11,7 @@
 from collections.abc import Sequence
 
 from onyxhead.settings.model import GroupRoute
+from onyxhead.tables import view_format
 from onyxhead.tables.addresses import parse_address
 from onyxhead.tables.view import View
 from onyxhead.tables.view_format import Document, ViewValue
@@ -61,34 +62,34 @@
 
 def group_endpoints(view: View, group: str) -> dict[str, ViewValue]:
     """Return the endpoints of a group: its table's, or the static ones if no controller has bound it to a table."""
-    table = view.entries.get(("bindings", group))
-    return view.children("standing") if table is None else view.children("tables", table, "lines")
+    table = view.entries.get(view_format.binding_path(group))
+    return view.children(*view_format.lines_parent(table))
 
 
 def admission_level(view: View, group: str) -> ViewValue | None:
     """Return a group's admission level with its retry mode, None if no controller has set one."""
-    table = view.entries.get(("bindings", group))
-    return None if table is None else view.entries.get(("tables", table, "levels", group))
+    table = view.entries.get(view_format.binding_path(group))
+    return None if table is None else view.entries.get(view_format.level_path(table, group))
 
 
 def admitted_share(level: ViewValue | None) -> float | None:
     """Return the share of requests that a level admits, None if it admits all."""
-    if level is None or level.get("share", 1) >= 1:
+    if level is None or level.get(view_format.SHARE, 1) >= 1:
         return None
-    share: float = level["share"]
+    share: float = level[view_format.SHARE]
     return share
 
 
 def _assignment(view: View, group: str) -> Document:
     zones: dict[str, list[Document]] = {}
     for backend, line in sorted(group_endpoints(view, group).items()):
-        host, port = parse_address(line["address"])
-        withdrawn = ("withdrawn", backend) in view.entries
-        zones.setdefault(line["zone"], []).append(
+        host, port = parse_address(line[view_format.ADDRESS])
+        withdrawn = view_format.withdrawal_path(backend) in view.entries
+        zones.setdefault(line[view_format.ZONE], []).append(
             {
                 "endpoint": {"address": {"socket_address": {"address": host, "port_value": port}}},
                 "health_status": "DRAINING" if withdrawn else "HEALTHY",
-                "load_balancing_weight": line["weight"],
+                "load_balancing_weight": line[view_format.WEIGHT],
             }
         )
     assignment: Document = {"@type": ENDPOINTS_TYPE, "cluster_name": group}
@@ -102,12 +103,12 @@
 def _route(view: View, route: GroupRoute, attempt_timeout_factor: float) -> Document:
     level = admission_level(view, route.group)
     action: Document = {"cluster": route.group}
-    retry_mode = route.retry_mode if level is None else level["tries"]
+    retry_mode = route.retry_mode if level is None else level[view_format.TRIES]
     if retry_mode:
         action["retry_policy"] = _retry_policy(retry_mode, route.latency_budget * attempt_timeout_factor)
     document: Document = {"match": {"prefix": route.prefix}, "name": route.group, "route": action}
-    if level is not None and "rate" in level and level["rate"] < MILLION:
-        document["typed_per_filter_config"] = {RATE_LIMIT_FILTER: _rate_limit(route.group, level["rate"])}
+    if level is not None and view_format.RATE in level and level[view_format.RATE] < MILLION:
+        document["typed_per_filter_config"] = {RATE_LIMIT_FILTER: _rate_limit(route.group, level[view_format.RATE])}
     return document
 
 
--- a/onyxhead/fronts/files/nginx.py
+++ b/onyxhead/fronts/files/nginx.py
@@ -11,6 +11,7 @@
 
 from onyxhead.fronts.files.envoy import admission_level, admitted_share, group_endpoints
 from onyxhead.settings.model import GroupRoute
+from onyxhead.tables import view_format
 from onyxhead.tables.view import View
 
 MAX_WEIGHT = 65_535
@@ -28,14 +29,14 @@
 
 def _upstream(view: View, group: str) -> list[str]:
     name, endpoints = upstream_name(group), group_endpoints(view, group)
-    max_weight = max((endpoint["weight"] for endpoint in endpoints.values()), default=1)
+    max_weight = max((endpoint[view_format.WEIGHT] for endpoint in endpoints.values()), default=1)
     lines = [f"upstream {name} {{", f"    zone {name} 256k;"]
     for backend, endpoint in sorted(endpoints.items()):
-        weight = endpoint["weight"]
+        weight = endpoint[view_format.WEIGHT]
         if max_weight > MAX_WEIGHT:
             # nginx adds weights up in whole numbers at each pick; large ones would only cost it time.
             weight = max(1, round(weight * MAX_WEIGHT / max_weight))
-        down = " down" if ("withdrawn", backend) in view.entries else ""
+        down = " down" if view_format.withdrawal_path(backend) in view.entries else ""
         lines.append(f"    server {endpoint['address']} weight={weight} max_fails=0{down};  # {backend}")
     if not endpoints:
         lines.append(f"    server {UNUSED_ADDRESS} down;  # no line: nginx takes no empty upstream")
@@ -47,8 +48,8 @@
     lines: list[str] = []
     if (share := admitted_share(level)) is not None:
         lines += [f'split_clients "$request_id" ${name}_admitted {{', f"    {share * 100:.2f}% 1;", "    * 0;", "}"]
-    if level is not None and "rate" in level:
-        rate = _rate(level["rate"])
+    if level is not None and view_format.RATE in level:
+        rate = _rate(level[view_format.RATE])
         lines.append(f"limit_req_zone $server_name zone={name}_rate:64k rate={rate};")
     return lines
 
@@ -59,9 +60,9 @@
     lines = [f"# for locations of {name}"]
     if admitted_share(level) is not None:
         lines.append(f'if (${name}_admitted = "0") {{ return 503; }}')
-    if level is not None and "rate" in level:
+    if level is not None and view_format.RATE in level:
         lines += [f"limit_req zone={name}_rate nodelay;", "limit_req_status 503;"]
-    lines += _retry_directives(route.retry_mode if level is None else level["tries"])
+    lines += _retry_directives(route.retry_mode if level is None else level[view_format.TRIES])
     return "\n".join([*lines, ""]).encode()
 
 
--- a/onyxhead/tables/view_format.py
+++ b/onyxhead/tables/view_format.py
@@ -64,6 +64,16 @@
     return (TABLES, table, LINES, backend)
 
 
+def static_line_path(backend: str) -> Path:
+    """The path of a backend's line among the static lines of the agent's settings."""
+    return (STANDING, backend)
+
+
+def lines_parent(table: str | None) -> Path:
+    """The path above the lines of a table, or with None above the static lines."""
+    return (STANDING,) if table is None else (TABLES, table, LINES)
+
+
 def level_path(table: str, group: str) -> Path:
     """The path of a group's admission level in a table."""
     return (TABLES, table, LEVELS, group)
