--- a/onyxhead/fleet/gossip_queue.py
+++ b/onyxhead/fleet/gossip_queue.py
@@ -9,7 +9,7 @@
 
 
 class GossipQueue:
-    """Members whose state is to be told, each with how often it was told. One's own state is always told."""
+    """Members whose state is to be announced, each with how often it was sent. One's own state is always sent."""
 
     def __init__(self, own_name: str) -> None:
         self.own_name = own_name
@@ -26,7 +26,7 @@
     def take(self, recipient: str, member_count: int) -> list[str]:
         """The members whose states go on a packet to the recipient.
 
-        Its own state comes first, so that it can deny a suspicion; then what was told least often.
+        Its own state comes first, so that it can deny a suspicion; then what was sent least often.
         """
         limit = TRANSMISSIONS_PER_DOUBLING * max(1, member_count.bit_length())
         by_priority = sorted(self.transmissions, key=lambda name: (name != recipient, self.transmissions[name], name))
--- a/onyxhead/fleet/membership.py
+++ b/onyxhead/fleet/membership.py
@@ -175,7 +175,7 @@
         for update in packet.updates:
             self._apply_update(update, now)
         if self.members[packet.sender].status in (Status.SUSPECT, Status.DEAD):
-            # It lives and does not know what is said of it; the next packet tells it, and it will deny it.
+            # It lives and does not know what is said of it; the next packet informs it, and it will deny it.
             self.gossip.add(packet.sender)
         match packet.kind:
             case PacketKind.PING:
@@ -228,7 +228,7 @@
 
     def _apply_update_of_self(self, update: MemberUpdate) -> None:
         if update.boot > self.boot and update.status is not Status.DEAD:
-            # A newer process uses this name. Both would answer to it; operators must be told.
+            # A newer process uses this name. Both would answer to it; operators must be notified.
             self.duplicate_boots.add(update.boot)
         elif update.boot > self.boot:
             # A process that ended, started later by its clock than this one: the clock was set back, or the disk
--- a/onyxhead/fleet/slow_start_budget.py
+++ b/onyxhead/fleet/slow_start_budget.py
@@ -33,7 +33,7 @@
 """Of a capacity; smaller grants only make reports longer."""
 MAX_GRANTS = 10_000
 MAX_CLOCK_SKEW = 60 * TICKS_PER_SECOND
-"""How far apart the clock by which endpoints' starts are told may be from the controller's own."""
+"""How far the clock that dates endpoints' starts may be from the controller's own."""
 AMOUNT_DECIMALS = 6
 
 
@@ -77,7 +77,7 @@
 
     `grants` are those of earlier processes, None if the disk knows of no earlier process. `persist` puts all grants on
     disk before it returns, or raises, and then nothing was lent. `started_at` is the start of this process, by the
-    clock that endpoints' starts are told by.
+    clock that dates endpoints' starts.
     """
 
     def __init__(
--- a/onyxhead/tables/canary.py
+++ b/onyxhead/tables/canary.py
@@ -23,7 +23,7 @@
 
 
 class Verdict(Enum):
-    """How the canary proxies compare with the others; the values are told in the log."""
+    """How the canary proxies compare with the others; the values appear in the log."""
 
     UNKNOWN = "too few flows to tell"
     WORSE = "worse than the others by more than chance"
--- a/onyxhead/tables/table_state.py
+++ b/onyxhead/tables/table_state.py
@@ -170,7 +170,7 @@
         path = view_format.line_path(view_format.table_name(table), backend)
         updates.write(proxies, path, view_format.line_value(self.addresses[backend], weight) if weight else None)
         if weight and backend in self.withdrawn:
-            # Proxies that had no line of the backend were not told of its withdrawal.
+            # Proxies that had no line of the backend were not sent its withdrawal.
             updates.write(proxies, view_format.withdrawal_path(backend), True)
 
     def _snapshot(self, proxy: int, changes: dict[Path, ViewValue | None]) -> View:
