--- a/onyxhead/agent/join_messages.py
+++ b/onyxhead/agent/join_messages.py
@@ -1,4 +1,4 @@
-"""Codec of an agent's join: what it tells a controller of its proxy, and what the controller answers."""
+"""Codec of an agent's join: the request for its proxy, and the controller's answer."""
 
 from __future__ import annotations
 
--- a/onyxhead/fronts/files/envoy.py
+++ b/onyxhead/fronts/files/envoy.py
@@ -11,10 +11,24 @@
 from collections.abc import Sequence
 
 from onyxhead.settings.model import GroupRoute
-from onyxhead.tables import view_format
 from onyxhead.tables.addresses import parse_address
 from onyxhead.tables.view import View
-from onyxhead.tables.view_format import Document, ViewValue
+from onyxhead.tables.view_format import (
+    ADDRESS,
+    LINES,
+    RATE,
+    SHARE,
+    STANDING,
+    TABLES,
+    TRIES,
+    WEIGHT,
+    ZONE,
+    Document,
+    ViewValue,
+    binding_path,
+    level_path,
+    withdrawal_path,
+)
 
 TYPE_PREFIX = "type.googleapis.com/"
 ENDPOINTS_TYPE = f"{TYPE_PREFIX}envoy.config.endpoint.v3.ClusterLoadAssignment"
@@ -62,34 +76,34 @@
 
 def group_endpoints(view: View, group: str) -> dict[str, ViewValue]:
     """Return the endpoints of a group: its table's, or the static ones if no controller has bound it to a table."""
-    table = view.entries.get(view_format.binding_path(group))
-    return view.children(*view_format.lines_parent(table))
+    table = view.entries.get(binding_path(group))
+    return view.children(STANDING) if table is None else view.children(TABLES, table, LINES)
 
 
 def admission_level(view: View, group: str) -> ViewValue | None:
     """Return a group's admission level with its retry mode, None if no controller has set one."""
-    table = view.entries.get(view_format.binding_path(group))
-    return None if table is None else view.entries.get(view_format.level_path(table, group))
+    table = view.entries.get(binding_path(group))
+    return None if table is None else view.entries.get(level_path(table, group))
 
 
 def admitted_share(level: ViewValue | None) -> float | None:
     """Return the share of requests that a level admits, None if it admits all."""
-    if level is None or level.get(view_format.SHARE, 1) >= 1:
+    if level is None or level.get(SHARE, 1) >= 1:
         return None
-    share: float = level[view_format.SHARE]
+    share: float = level[SHARE]
     return share
 
 
 def _assignment(view: View, group: str) -> Document:
     zones: dict[str, list[Document]] = {}
     for backend, line in sorted(group_endpoints(view, group).items()):
-        host, port = parse_address(line[view_format.ADDRESS])
-        withdrawn = view_format.withdrawal_path(backend) in view.entries
-        zones.setdefault(line[view_format.ZONE], []).append(
+        host, port = parse_address(line[ADDRESS])
+        withdrawn = withdrawal_path(backend) in view.entries
+        zones.setdefault(line[ZONE], []).append(
             {
                 "endpoint": {"address": {"socket_address": {"address": host, "port_value": port}}},
                 "health_status": "DRAINING" if withdrawn else "HEALTHY",
-                "load_balancing_weight": line[view_format.WEIGHT],
+                "load_balancing_weight": line[WEIGHT],
             }
         )
     assignment: Document = {"@type": ENDPOINTS_TYPE, "cluster_name": group}
@@ -103,12 +117,12 @@
 def _route(view: View, route: GroupRoute, attempt_timeout_factor: float) -> Document:
     level = admission_level(view, route.group)
     action: Document = {"cluster": route.group}
-    retry_mode = route.retry_mode if level is None else level[view_format.TRIES]
+    retry_mode = route.retry_mode if level is None else level[TRIES]
     if retry_mode:
         action["retry_policy"] = _retry_policy(retry_mode, route.latency_budget * attempt_timeout_factor)
     document: Document = {"match": {"prefix": route.prefix}, "name": route.group, "route": action}
-    if level is not None and view_format.RATE in level and level[view_format.RATE] < MILLION:
-        document["typed_per_filter_config"] = {RATE_LIMIT_FILTER: _rate_limit(route.group, level[view_format.RATE])}
+    if level is not None and RATE in level and level[RATE] < MILLION:
+        document["typed_per_filter_config"] = {RATE_LIMIT_FILTER: _rate_limit(route.group, level[RATE])}
     return document
 
 
