--- a/tests/test_rollback.py
+++ b/tests/test_rollback.py
@@ -100,9 +100,9 @@
         rig.core._enqueue(rig.now, message)
     rig.run(2)
     roll_back(rig, str(first))
-    rig.most = 0.0
+    rig.peak_queued_lines = 0.0
     rig.run(3)
-    assert rig.most <= 0.5 * 3000 and all(rig.lines(n)["b1"] == FULL for n in rig.replicas)
+    assert rig.peak_queued_lines <= 0.5 * 3000 and all(rig.lines(n)["b1"] == FULL for n in rig.replicas)
 
 
 def test_frozen_tables_change_only_as_safety_rules_demand() -> None:
