--- a/onyxhead/fronts/netconf/session_operations.py
+++ b/onyxhead/fronts/netconf/session_operations.py
@@ -40,7 +40,7 @@
         raise RpcError("bad-element", "stopTime needs an earlier startTime", kind="protocol", bad_element="stopTime")
     subscription = Subscription(stop or math.inf)
     if start is not None:
-        subscription.replay = [event for event in service.events if start <= event.at <= subscription.stop_time]
+        subscription.replay = [event for event in service.notifications if start <= event.at <= subscription.stop_time]
     context.subscription = subscription
     service.listeners[context.session_id] = context.on_notification
     return []
