--- a/onyxhead/cli/requests.py
+++ b/onyxhead/cli/requests.py
@@ -20,7 +20,7 @@
 REQUEST_TIMEOUT_S = 3.0
 
 
-def fetch_json(address: str, target: str, identity: Path | None = None, message: object = None) -> Any:  # noqa: ANN401
+def fetch_json(address: str, target: str, identity: Path | None = None, message: object = None) -> Any:  # noqa: ANN401  # any JSON value
     """Return the JSON answer to a GET request, or to a POST request with `message`.
 
     Raises RefusedError, FaultyInputError or NoAnswerError if there is none.
--- a/onyxhead/console/rows.py
+++ b/onyxhead/console/rows.py
@@ -1,6 +1,6 @@
 """What the console shows, as rows of short text. No I/O.
 
-What a member has not told lately is shown as not known with its age, never as it was.
+A member without a recent answer is shown as unknown, with the age of its last answer.
 """
 
 from __future__ import annotations
--- a/onyxhead/keys/credentials.py
+++ b/onyxhead/keys/credentials.py
@@ -23,6 +23,9 @@
 
 log = structlog.get_logger()
 
+KEY_FILES_REJECTED = "key files rejected"
+"""Log event: changed key files can't be used, and the old ones stay in use."""
+
 
 class PeerIdentity(NamedTuple):
     """Who a peer is, by its certificate."""
@@ -167,7 +170,7 @@
         try:
             renewed = credentials.refresh()
         except KeyFileError as error:
-            log.error("key files rejected", error=str(error))
+            log.error(KEY_FILES_REJECTED, error=str(error))
             continue
         if renewed:
             yield
--- a/onyxhead/operate/drift.py
+++ b/onyxhead/operate/drift.py
@@ -1,5 +1,6 @@
-"""Where the members of a fleet differ: between controllers, between controllers and proxies, between a proxy's table
-and its files. No I/O.
+"""Where the members of a fleet differ. No I/O.
+
+Controllers are compared with each other and with the proxies that they own, and each proxy's table with its files.
 """
 
 from __future__ import annotations
