--- /dev/null
+++ b/tests/configuration_samples.py
@@ -0,0 +1,52 @@
+"""Configuration trees, edits and fleet facts that tests of the configuration service and of NETCONF share."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from onyxhead.controller.configuration.commit_plan import BackendFacts, FleetFacts
+from onyxhead.controller.configuration.datastores import Commit, Datastores
+from onyxhead.controller.configuration.tree import Edit, Tree, apply
+from onyxhead.fronts.netconf import schema
+from onyxhead.fronts.netconf.data_trees import read_edits
+from onyxhead.fronts.netconf.xml_elements import BASE_NAMESPACE, FLEET_NAMESPACE, parse_message
+from onyxhead.settings.model import AccessRule
+
+GROUP = {"name": "read", "latency-budget": 5000, "expiry": 10_000, "repeats": "retriable"}
+TREE: Tree = {"group": [GROUP], "channel": {"pace": "5000.0", "most-waiting": 2000}, "guards": {"drain-grace": 20_000}}
+PERMIT_ALL = AccessRule("all", ("*",), None, None, ("*",), True)
+
+
+def parse_edit(text: str) -> Edit:
+    """The edit of a fleet with this content."""
+    config = parse_message(
+        f'<config xmlns:nc="{BASE_NAMESPACE}"><fleet xmlns="{FLEET_NAMESPACE}">{text}</fleet></config>'.encode()
+    )
+    return read_edits(config, schema.config_schema())[0]
+
+
+def edited_tree(text: str, default: str = "merge", tree: Tree = TREE) -> Tree:
+    """The tree after an edit with this content."""
+    return apply(schema.config_schema(), tree, parse_edit(text), default)
+
+
+def backend_xml(name: str, operation: str = "", content: str = "") -> str:
+    """A backend's list entry in an edit."""
+    attribute = f' nc:operation="{operation}"' if operation else ""
+    return f"<backend{attribute}><id>{name}</id>{content}</backend>"
+
+
+def new_datastores() -> Datastores:
+    """Datastores with one commit, the settings file's."""
+    return Datastores(schema.config_schema(), [Commit(1, TREE, "(settings)", "settings")], schema.validate_tree)
+
+
+def fleet_facts(count: int = 4, proxies: int = 10, **other: Any) -> FleetFacts:
+    """A fleet of this many ready and warm backends, with other facts changed."""
+    backends = tuple(BackendFacts(f"b{n}", "north", True, True) for n in range(count))
+    return FleetFacts(backends, proxies, 0.0, 6.0)._replace(**other)
+
+
+def drained_tree(*names: str) -> Tree:
+    """`TREE` with these backends drained."""
+    return TREE | {"backend": [{"id": name, "drained": True} for name in names]}
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Locations as published, nginx's blocks carried over and back, and traffic that goes where the blocks say."""
+"""Routing decisions by nginx's published rules, import and export of nginx blocks, and traffic that follows them."""
 
 from __future__ import annotations
 
@@ -46,20 +46,27 @@
 from onyxhead.trial.run import free_ports
 
 
-def at(kind: Any, pattern: str, *within: Location, pool: str = "") -> Location:
-    return Location(kind, pattern, Target(pool or pattern), nested=tuple(within))
+def location(kind: Any, pattern: str, *nested: Location, pool: str = "") -> Location:
+    return Location(kind, pattern, Target(pool or pattern), nested=tuple(nested))
 
 
 SAMPLE = [
-    at("prefix", "/"),
-    at("exact", "/"),
-    at("prefix", "/docs/"),
-    at("prefix-first", "/img/"),
-    at("regex-caseless", r"\.(gif|png)$"),
-    at("regex", "^/docs/v1"),
-    at("regex", "^/doc"),
-    at("prefix", "/app", at("prefix", "/app/in"), at("regex", r"\.js$"), at("exact", "/app/home")),
-    at("prefix-first", "/deep", at("prefix", "/deep/er", at("exact", "/deep/er/x")), at("regex", "z$")),
+    location("prefix", "/"),
+    location("exact", "/"),
+    location("prefix", "/docs/"),
+    location("prefix-first", "/img/"),
+    location("regex-caseless", r"\.(gif|png)$"),
+    location("regex", "^/docs/v1"),
+    location("regex", "^/doc"),
+    location(
+        "prefix", "/app", location("prefix", "/app/in"), location("regex", r"\.js$"), location("exact", "/app/home")
+    ),
+    location(
+        "prefix-first",
+        "/deep",
+        location("prefix", "/deep/er", location("exact", "/deep/er/x")),
+        location("regex", "z$"),
+    ),
 ]
 
 
@@ -84,9 +91,9 @@
         ("/DOCS/", "/"),
     ],
 )
-def test_overlapping_nested_and_regex_locations_are_decided_as_published(path: str, pattern: str) -> None:
-    for way in (LinearLocationMatcher(SAMPLE), CompiledLocationMatcher(SAMPLE)):
-        found = way.find(path)
+def test_overlapping_nested_and_regex_locations_follow_the_published_rules(path: str, pattern: str) -> None:
+    for matcher in (LinearLocationMatcher(SAMPLE), CompiledLocationMatcher(SAMPLE)):
+        found = matcher.find(path)
         assert found is not None and found.pattern == pattern
     assert CompiledLocationMatcher(SAMPLE).find("/") is SAMPLE[1] and LinearLocationMatcher(SAMPLE).find("") is None
 
@@ -102,8 +109,8 @@
     inside = locations(depth - 1) if depth else st.just([])
     return st.lists(
         st.builds(
-            lambda kind, word, regex, within: Location(
-                kind, regex if kind.startswith("regex") else "/" + word, Target("p"), nested=tuple(within)
+            lambda kind, word, regex, nested: Location(
+                kind, regex if kind.startswith("regex") else "/" + word, Target("p"), nested=tuple(nested)
             ),
             kinds,
             words,
@@ -116,14 +123,14 @@
 
 @given(locations(2), st.lists(st.text("abAB/.", max_size=7), min_size=1, max_size=8))
 @settings(max_examples=400, deadline=None)
-def test_compiled_finds_what_the_plain_model_finds(level: list[Location], paths: list[str]) -> None:
+def test_the_compiled_matcher_agrees_with_the_linear_one(level: list[Location], paths: list[str]) -> None:
     unique: list[Location] = []
     for each in level:
         if all((each.kind, each.pattern) != (other.kind, other.pattern) for other in unique):
             unique.append(each)
-    compiled, plain = CompiledLocationMatcher(unique), LinearLocationMatcher(unique)
+    compiled, linear = CompiledLocationMatcher(unique), LinearLocationMatcher(unique)
     for path in paths:
-        one, two = compiled.find("/" + path), plain.find("/" + path)
+        one, two = compiled.find("/" + path), linear.find("/" + path)
         same = (
             one is not None
             and two is not None
@@ -146,12 +153,12 @@
         ("(", ""),
     ],
 )
-def test_only_text_that_must_begin_a_path_is_looked_up(pattern: str, head: str) -> None:
+def test_literal_heads_of_regular_expressions(pattern: str, head: str) -> None:
     assert literal_head(pattern) == head
 
 
 @pytest.mark.parametrize(
-    ("path", "plain"),
+    ("path", "normalized"),
     [
         ("/a/../b", "/b"),
         ("/a//b", "/a/b"),
@@ -163,8 +170,8 @@
         ("/a#b", "/a"),
     ],
 )
-def test_paths_are_made_plain_before_locations_see_them(path: str, plain: str) -> None:
-    assert normalize_path(path) == plain
+def test_paths_are_normalized(path: str, normalized: str) -> None:
+    assert normalize_path(path) == normalized
 
 
 @pytest.mark.parametrize(
@@ -183,7 +190,7 @@
         ("x.org.", "x.org"),
     ],
 )
-def test_hosts_are_chosen_exact_then_wildcards_then_expressions_then_the_default(name: str, found: str) -> None:
+def test_hosts_match_by_name_then_wildcard_then_regex_then_default(name: str, found: str) -> None:
     hosts = [
         VirtualHost((each,), is_default=each == "_")
         for each in ("a.org", "*.x.org", r"~^n\d+", "www.*", "x.org", "*.b.x.org", ".y.net", "_")
@@ -192,7 +199,7 @@
     assert chosen is not None and chosen.names == (found,)
 
 
-def test_variables_choose_by_text_wildcard_expression_and_share() -> None:
+def test_values_of_maps_and_splits() -> None:
     own = VariableMap("$x", (("~^b", "B"), ("b1", "exact"), ("*.org", "tail"), ("~*C$", "C")), "other", True)
     assert [map_value(own, value) for value in ("b1", "b2", "a.org", "xc", "z", "B2")] == [
         "exact",
@@ -208,7 +215,7 @@
     assert murmur_hash_2(b"") == 0 and len({murmur_hash_2(bytes([n])) for n in range(256)}) == 256
 
 
-def test_variables_that_go_round_end() -> None:
+def test_cyclic_variables_end() -> None:
     routing = Routing(maps={"a": VariableMap("$b", (), "$a"), "b": VariableMap("$a", (), "x")})
     assert (
         Router(routing).variables.value("a", {}) == "$a"
@@ -219,7 +226,7 @@
 # nginx
 
 
-def carried(folder: Path, **files: str) -> tuple[Routing, list[ReportLine]]:
+def import_files(folder: Path, **files: str) -> tuple[Routing, list[ReportLine]]:
     for name, body in files.items():
         (folder / f"{name}.conf").write_text(body)
     return NginxImporter(
@@ -227,12 +234,12 @@
     ).run()
 
 
-def said(lines: list[ReportLine], directive: str) -> list[tuple[Verdict, str]]:
+def reported(lines: list[ReportLine], directive: str) -> list[tuple[Verdict, str]]:
     return [(line.verdict, line.reason) for line in lines if line.directive.startswith(directive)]
 
 
-def test_weights_and_backups_in_one_upstream_are_carried_and_what_is_lost_is_told(tmp_path: Path) -> None:
-    routing, lines = carried(
+def test_upstreams_are_imported_and_differences_reported(tmp_path: Path) -> None:
+    routing, lines = import_files(
         tmp_path,
         a="""
         upstream u {
@@ -254,20 +261,23 @@
         Server("10.0.0.3:80", down=True, slow_start=0.5),
         Server("10.0.0.5:80"),
     )
-    assert said(lines, "server 10.0.0.4") == [(Verdict.NOT_CARRIED, "'0' is no number from 1 on")]
-    assert said(lines, "server unix")[0][0] is Verdict.NOT_CARRIED and said(lines, "server 10.0.0.5") == [
+    assert reported(lines, "server 10.0.0.4") == [(Verdict.NOT_CARRIED, "'0' is no number from 1 on")]
+    assert reported(lines, "server unix")[0][0] is Verdict.NOT_CARRIED and reported(lines, "server 10.0.0.5") == [
         (Verdict.CHANGED, "without route=a")
     ]
     assert (
-        said(lines, "fair") == [(Verdict.NOT_CARRIED, "not known here")]
-        and said(lines, "zone")[0][0] is Verdict.CHANGED
+        reported(lines, "fair") == [(Verdict.NOT_CARRIED, "not known here")]
+        and reported(lines, "zone")[0][0] is Verdict.CHANGED
+    )
+    assert (
+        routing.pools["h"].servers == (Server("a:1"),)
+        and "backup has no meaning" in reported(lines, "upstream h")[1][1]
     )
-    assert routing.pools["h"].servers == (Server("a:1"),) and "backup has no meaning" in said(lines, "upstream h")[1][1]
     assert [line.line for line in lines if line.directive == "fair"] == [10]
 
 
-def test_one_upstream_of_two_servers_keeps_the_tries_of_each(tmp_path: Path) -> None:
-    routing, _ = carried(
+def test_retry_policies_belong_to_locations_not_to_upstreams(tmp_path: Path) -> None:
+    routing, _ = import_files(
         tmp_path,
         a="""
         server { server_name one; proxy_next_upstream error http_503; proxy_next_upstream_tries 3;
@@ -281,8 +291,8 @@
     assert two.locations[0].retry == RetryPolicy(timeout=2.0) and two.locations[0].target == Target("u", path="/")
 
 
-def test_if_and_variables_are_told_and_not_guessed(tmp_path: Path) -> None:
-    routing, lines = carried(
+def test_what_depends_on_conditions_or_variables_is_reported_and_not_imported(tmp_path: Path) -> None:
+    routing, lines = import_files(
         tmp_path,
         a="""
         server { listen 80 http2; if ($host = x) { return 301 /; } rewrite ^/a /b; set $x 1;
@@ -310,17 +320,17 @@
         "try_files",
         "location /i/j",
     ):
-        assert said(lines, directive) and all(
-            verdict is Verdict.NOT_CARRIED for verdict, _ in said(lines, directive)
+        assert reported(lines, directive) and all(
+            verdict is Verdict.NOT_CARRIED for verdict, _ in reported(lines, directive)
         ), directive
     assert (
-        said(lines, "listen") == [(Verdict.CHANGED, "without http2")]
-        and said(lines, "location @q")[0][0] is Verdict.CHANGED
+        reported(lines, "listen") == [(Verdict.CHANGED, "without http2")]
+        and reported(lines, "location @q")[0][0] is Verdict.CHANGED
     )
 
 
-def test_includes_missing_repeated_and_in_circles(tmp_path: Path) -> None:
-    routing, lines = carried(
+def test_missing_repeated_and_cyclic_includes(tmp_path: Path) -> None:
+    routing, lines = import_files(
         tmp_path,
         a="http { include ups.conf; include ups.conf; include none.conf; server { include loc.conf; include deep.conf; } }",
         ups="upstream u { server a:1; }",
@@ -330,13 +340,13 @@
     )
     host = routing.hosts[0]
     assert [each.pattern for each in host.locations] == ["/x", "/y"] and host.locations[1].nested[0].pattern == "/x"
-    assert (Verdict.NOT_CARRIED, "there is an upstream 'u' already") in said(lines, "upstream u")
+    assert (Verdict.NOT_CARRIED, "there is an upstream 'u' already") in reported(lines, "upstream u")
     assert any("go round: a.conf -> deep.conf -> circle.conf -> deep.conf" in line.reason for line in lines)
     assert any(line.verdict is Verdict.NOT_CARRIED and "none.conf" in str(line) for line in lines)
 
 
-def test_limits_maps_and_splits_are_carried(tmp_path: Path) -> None:
-    routing, lines = carried(
+def test_limits_maps_and_splits_are_imported(tmp_path: Path) -> None:
+    routing, lines = import_files(
         tmp_path,
         a="""
         limit_req_zone $remote_addr zone=r:10m rate=120r/m; limit_conn_zone $host zone=c:1m;
@@ -353,19 +363,19 @@
     assert routing.maps["p"] == VariableMap("$http_host", (("*.x", "v"), ("~^n", "v")), "u", True)
     assert routing.splits["s"] == WeightedSplit("$remote_addr", ((6000, "u"), (50, "v")), "u")
     assert (
-        said(lines, "limit_req zone=none") == [(Verdict.NOT_CARRIED, "there is no zone 'none' before it")]
-        and said(lines, "50%")[0][0] is Verdict.NOT_CARRIED
+        reported(lines, "limit_req zone=none") == [(Verdict.NOT_CARRIED, "there is no zone 'none' before it")]
+        and reported(lines, "50%")[0][0] is Verdict.NOT_CARRIED
     )
-    assert said(lines, "~(bad")[0][0] is Verdict.NOT_CARRIED and said(lines, "a b c") == [
+    assert reported(lines, "~(bad")[0][0] is Verdict.NOT_CARRIED and reported(lines, "a b c") == [
         (Verdict.NOT_CARRIED, "not known here")
     ]
 
 
-@pytest.mark.parametrize(("given_", "value"), [("5", 5.0), ("1m30s", 90.0), ("500ms", 0.5), ("1h", 3600.0)])
-def test_times(given_: str, value: float) -> None:
-    assert parse_duration(given_) == value
+@pytest.mark.parametrize(("text", "seconds"), [("5", 5.0), ("1m30s", 90.0), ("500ms", 0.5), ("1h", 3600.0)])
+def test_durations(text: str, seconds: float) -> None:
+    assert parse_duration(text) == seconds
     with pytest.raises(DirectiveError):
-        parse_duration(given_ + "x")
+        parse_duration(text + "x")
 
 
 name = st.from_regex(r"[a-z]{1,6}", fullmatch=True)
@@ -393,7 +403,7 @@
         pattern: str,
         target: Target | None,
         status: int,
-        most: int,
+        max_attempts: int,
         limits: tuple[RequestLimit, ...],
         within: tuple[Location, ...],
     ) -> Location:
@@ -403,7 +413,7 @@
             within = ()
         if not kind.startswith("regex"):
             pattern = "/" + pattern.lstrip("/^~=@*")
-        return Location(kind, pattern, target, status, RetryPolicy(max_attempts=most), limits, within)
+        return Location(kind, pattern, target, status, RetryPolicy(max_attempts=max_attempts), limits, within)
 
     targets = st.sampled_from([None, Target("p"), Target("p", path="/z"), Target(variable="v")])
     limits = st.sampled_from([(), (RequestLimit("$host", 2.0, 3),), (RequestLimit("$host", max_concurrent=3),)])
@@ -423,11 +433,11 @@
 
 
 routings = st.builds(
-    lambda given_, method, hosts, cases: Routing(
+    lambda members, method, hosts, cases: Routing(
         {
             "p": Pool(
                 "p",
-                tuple(s for s in given_ if not (s.backup and method in ("hash", "address-hash"))),
+                tuple(s for s in members if not (s.backup and method in ("hash", "address-hash"))),
                 method,
                 "$uri" if method == "hash" else "",
                 method == "hash",
@@ -454,13 +464,13 @@
 )
 
 
-def inherited(routing: Routing) -> Routing:
-    """RetryPolicy and limits as nginx hands them down to what stands inside."""
+def with_inherited_policies(routing: Routing) -> Routing:
+    """Retries and limits as nginx hands them down to what stands inside."""
 
-    def down(own: Location, around: Location | None) -> Location:
+    def inherit(own: Location, around: Location | None) -> Location:
         limits = own.limits or (around.limits if around else ())
-        most = own.retry.max_attempts or (around.retry.max_attempts if around else 0)
-        made = Location(own.kind, own.pattern, own.target, own.status, RetryPolicy(max_attempts=most), limits)
+        max_attempts = own.retry.max_attempts or (around.retry.max_attempts if around else 0)
+        made = Location(own.kind, own.pattern, own.target, own.status, RetryPolicy(max_attempts=max_attempts), limits)
         return Location(
             made.kind,
             made.pattern,
@@ -468,11 +478,11 @@
             made.status,
             made.retry,
             made.limits,
-            tuple(down(each, made) for each in own.nested),
+            tuple(inherit(each, made) for each in own.nested),
         )
 
     hosts = tuple(
-        VirtualHost(h.names, h.listen, h.is_default, tuple(down(each, None) for each in h.locations))
+        VirtualHost(h.names, h.listen, h.is_default, tuple(inherit(each, None) for each in h.locations))
         for h in routing.hosts
     )
     return Routing(routing.pools, hosts, routing.maps, routing.splits)
@@ -480,15 +490,15 @@
 
 @given(routings)
 @settings(max_examples=150, deadline=None)
-def test_what_is_exported_is_imported_as_the_same(tmp_path_factory: pytest.TempPathFactory, routing: Routing) -> None:
+def test_exported_routing_is_imported_unchanged(tmp_path_factory: pytest.TempPathFactory, routing: Routing) -> None:
     folder = tmp_path_factory.mktemp("ng")
-    made, lines = carried(folder, a=export_blocks(routing))
-    assert made == inherited(routing), "\n".join(map(str, lines))
+    made, lines = import_files(folder, a=export_blocks(routing))
+    assert made == with_inherited_policies(routing), "\n".join(map(str, lines))
 
 
 @given(routings)
 @settings(max_examples=80, deadline=None)
-def test_what_is_written_as_records_is_read_as_the_same(
+def test_routing_written_as_records_is_read_unchanged(
     tmp_path_factory: pytest.TempPathFactory, routing: Routing
 ) -> None:
     path = tmp_path_factory.mktemp("rec") / "a.rec"
@@ -498,7 +508,7 @@
 
 @given(st.text(max_size=8).filter(lambda each: "\n" not in each and "\r" not in each and "\0" not in each))
 @settings(max_examples=150)
-def test_words_are_quoted_so_that_they_come_back(word: str) -> None:
+def test_quoted_words_are_unescaped_unchanged(word: str) -> None:
     made = quote_word(word)
     assert unescape_word(made[1:-1] if made.startswith('"') else made) == word
     with pytest.raises(ExportError):
@@ -506,7 +516,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "told"),
+    ("body", "error_text"),
     [
         ('hosts: [{locations: [{pattern: "/", target: {pool: "u"}}]}]', "there is no pool 'u'"),
         ('hosts: [{locations: [{kind: "regex", pattern: "((", status: 404}]}]', "no expression"),
@@ -515,17 +525,17 @@
         ('hosts: [{locations: [{pattern: "/", within: [{pattrn: "/a"}]}]}]', "pattern"),
     ],
 )
-def test_faults_in_routing_are_told_with_their_place(tmp_path: Path, body: str, told: str) -> None:
+def test_invalid_routing_records_are_reported_with_their_position(tmp_path: Path, body: str, error_text: str) -> None:
     path = tmp_path / "a.rec"
     path.write_text(body)
     with pytest.raises(InvalidConfigurationError) as caught:
         read_routing(path)
     assert any(
-        told in str(fault) and "a.rec:1:" in str(fault) for fault in caught.value.diagnostics
+        error_text in str(fault) and "a.rec:1:" in str(fault) for fault in caught.value.diagnostics
     ), caught.value.diagnostics
 
 
-def test_the_commands(tmp_path: Path) -> None:
+def test_import_route_and_export_commands(tmp_path: Path) -> None:
     (tmp_path / "a.conf").write_text(
         "upstream u { server a:1; }\nserver { server_name x; location / { proxy_pass http://u/z/; fancy on; } }"
     )
@@ -539,8 +549,8 @@
     )
     assert "a.conf:2: fancy on: NOT carried" in (tmp_path / "r").read_text()
     assert run(main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(out), "--strict"]).exit_code == 1
-    told = run(main, ["route", str(out), "x", "/q?a=1"])
-    assert told.exit_code == 0 and "pool      u" in told.output and "asks for  /z/q?a=1" in told.output
+    result = run(main, ["route", str(out), "x", "/q?a=1"])
+    assert result.exit_code == 0 and "pool      u" in result.output and "asks for  /z/q?a=1" in result.output
     assert "proxy_pass http://u/z/;" in run(main, ["export", "nginx", str(out)]).output
     before = out.read_text()
     (tmp_path / "a.conf").write_text("upstream u { server a:1; ")
@@ -554,14 +564,14 @@
 # Traffic
 
 
-def test_traffic_goes_where_the_blocks_say(tmp_path: Path) -> None:
+def test_requests_are_forwarded_as_the_imported_blocks_say(tmp_path: Path) -> None:
     async def work() -> None:
         ports = free_ports(5)
-        came: list[tuple[int, str]] = []
+        received: list[tuple[int, str]] = []
 
         def backend(n: int) -> Any:
             async def answered(request: Request, _writer: asyncio.StreamWriter) -> Response:
-                came.append((n, request.target))
+                received.append((n, request.target))
                 if request.target.startswith("/slow"):
                     await asyncio.sleep(0.3)
                 return Response(503 if n == 2 else 200, {"x-backend": str(n)})
@@ -600,9 +610,9 @@
         weights = Counter([(await ask("/w")).headers["x-backend"] for _ in range(120)])
         assert 70 < weights["0"] < 110
         # A dead server, then the backup; with a path of its own, and nested and first-prefix locations that overlap.
-        assert (await ask("/static/a.css?v=1")).headers["x-backend"] == "1" and came[-1] == (1, "/files/a.css?v=1")
+        assert (await ask("/static/a.css?v=1")).headers["x-backend"] == "1" and received[-1] == (1, "/files/a.css?v=1")
         assert (await ask("/static/a.gif")).status == 404
-        assert (await ask("/static/raw/a.gif")).status == 200 and came[-1] == (1, "/static/raw/a.gif")
+        assert (await ask("/static/raw/a.gif")).status == 200 and received[-1] == (1, "/static/raw/a.gif")
         assert (await ask("/bad")).status == 200 and (await ask("/once")).status == 503
         assert (await ask("/by", team="red")).headers["x-backend"] == "1"
         few = [(await ask("/few", **{"x-client": "c"})).status for _ in range(5)]
@@ -614,15 +624,15 @@
     asyncio.run(work())
 
 
-def test_the_plain_model_and_the_compiled_one_agree_at_size() -> None:
-    chance = Random(4)
+def test_the_compiled_matcher_agrees_with_the_linear_one_on_many_locations() -> None:
+    rng = Random(4)
     level = (
-        [at("prefix", f"/{n % 97}/{n}") for n in range(600)]
-        + [at("regex", f"^/r{n}/") for n in range(300)]
-        + [at("regex", r"\.x$")]
+        [location("prefix", f"/{n % 97}/{n}") for n in range(600)]
+        + [location("regex", f"^/r{n}/") for n in range(300)]
+        + [location("regex", r"\.x$")]
     )
-    one, two = CompiledLocationMatcher(level), LinearLocationMatcher(level)
+    compiled, linear = CompiledLocationMatcher(level), LinearLocationMatcher(level)
     for _ in range(300):
-        n = chance.randrange(700)
-        path = chance.choice([f"/{n % 97}/{n}/a", f"/r{n}/b", f"/r{n}/b.x", "/none", f"/{n}"])
-        assert one.find(path) is two.find(path)
+        n = rng.randrange(700)
+        path = rng.choice([f"/{n % 97}/{n}/a", f"/r{n}/b", f"/r{n}/b.x", "/none", f"/{n}"])
+        assert compiled.find(path) is linear.find(path)
