--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -43,7 +43,7 @@
     reader = RecordReader(record, path.parent)
     controllers = {name: reader.address(text, "controllers", name) for name, text in record["controllers"].items()}
     agents = {name: reader.address(text, "agents", name) for name, text in record["agents"].items()}
-    reader.raise_faults()
+    reader.raise_diagnostics()
     return controllers, agents
 
 
