--- a/onyxhead/fronts/__init__.py
+++ b/onyxhead/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The ways in and out of the controller's core."""
+"""The interfaces of the controller: streams to proxies, files for proxies, NETCONF, nginx configurations."""
--- a/onyxhead/fronts/nginx/upstream_import.py
+++ b/onyxhead/fronts/nginx/upstream_import.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import replace
 
 from onyxhead.fronts.nginx.directives import Directive
@@ -11,6 +12,17 @@
 from onyxhead.routing.model import HASH_METHODS, Pool, Server
 
 DEFAULT_PORT = 80
+SERVER_OPTIONS: dict[str, Callable[[Server, str], Server]] = {
+    "weight": lambda server, value: replace(server, weight=parse_count(value, 1)),
+    "max_conns": lambda server, value: replace(server, max_connections=parse_count(value)),
+    "max_fails": lambda server, value: replace(server, max_fails=parse_count(value)),
+    "fail_timeout": lambda server, value: replace(server, fail_timeout=parse_duration(value)),
+    "slow_start": lambda server, value: replace(server, slow_start=parse_duration(value)),
+}
+SERVER_FLAGS: dict[str, Callable[[Server], Server]] = {
+    "backup": lambda server: replace(server, backup=True),
+    "down": lambda server: replace(server, down=True),
+}
 
 
 def import_upstream(directive: Directive, context: ImportContext) -> None:
@@ -72,21 +84,10 @@
     server, unknown = Server(address), list[str]()
     for argument in arguments[1:]:
         name, _, value = argument.partition("=")
-        match name:
-            case "weight":
-                server = replace(server, weight=parse_count(value, 1))
-            case "max_conns":
-                server = replace(server, max_connections=parse_count(value))
-            case "max_fails":
-                server = replace(server, max_fails=parse_count(value))
-            case "fail_timeout":
-                server = replace(server, fail_timeout=parse_duration(value))
-            case "slow_start":
-                server = replace(server, slow_start=parse_duration(value))
-            case "backup" if not value:
-                server = replace(server, backup=True)
-            case "down" if not value:
-                server = replace(server, down=True)
-            case _:
-                unknown.append(argument)
+        if name in SERVER_OPTIONS:
+            server = SERVER_OPTIONS[name](server, value)
+        elif name in SERVER_FLAGS and not value:
+            server = SERVER_FLAGS[name](server)
+        else:
+            unknown.append(argument)
     return server, unknown
