--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -35,7 +35,7 @@
     rig.set("b4", "draining")
     rig.run(1)
     assert all("b4" not in rig.lines(each) for each in rig.replicas)
-    rig.lose(name)
+    rig.disconnect(name)
     rig.join(name)
     rig.run(1)
     assert rig.lines(name)["b1"] == FULL
@@ -53,7 +53,7 @@
         rig.core.versions.canary is None and rig.core.versions.pin is None and not rig.core.proxy_tables.canary_proxies
     )
     assert rig.lines(name)["b1"] == 1000
-    assert any("worse than the others" in told for work in rig.works for told in work.log_messages)
+    assert any("worse than the others" in told for work in rig.effects for told in work.log_messages)
 
 
 def test_too_few_attempts_decide_nothing_and_do_not_promote_a_canary() -> None:
