--- a/onyxhead/fronts/netconf/editing.py
+++ b/onyxhead/fronts/netconf/editing.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from onyxhead.controller.configuration.datastores import STARTUP
 from onyxhead.controller.configuration.tree import Edit, RpcError, Tree, apply
 from onyxhead.fronts.netconf import schema
 from onyxhead.fronts.netconf.data_trees import read_edits
@@ -51,7 +52,7 @@
 def delete_config(context: SessionContext, request: Element) -> list[Element]:
     """Reset the startup datastore, the only one that can be deleted, to the oldest commit: the settings file's."""
     target = datastore_parameter(request, "target")
-    if target != "startup":
+    if target != STARTUP:
         raise RpcError("operation-not-supported", f"{target} can't be deleted", kind="protocol")
     datastores = context.service.datastores
     oldest = datastores.commits[min(datastores.commits)].tree
--- a/onyxhead/fronts/netconf/retrieval.py
+++ b/onyxhead/fronts/netconf/retrieval.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from onyxhead.controller.configuration.datastores import RUNNING
 from onyxhead.controller.configuration.tree import Node, RpcError, Tree, with_defaults
 from onyxhead.fronts.netconf import schema
 from onyxhead.fronts.netconf.data_trees import tree_element
@@ -23,7 +24,7 @@
 def get(context: SessionContext, request: Element) -> list[Element]:
     """Return the running configuration and the operational state."""
     state = tree_element(schema.state_schema(), context.service.callbacks.state())
-    return [filtered_data(request, [*_configuration(context, "running", request), state])]
+    return [filtered_data(request, [*_configuration(context, RUNNING, request), state])]
 
 
 def get_config(context: SessionContext, request: Element) -> list[Element]:
