--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,4 +1,4 @@
-"""What it takes to find a request's location among 10, 1,000 and 100,000, compiled and by the plain model; and to
+"""What it takes to find a request's location among 10, 1,000 and 100,000, compiled and by the linear matcher; and to
 read the routing records."""
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 from pathlib import Path
 
 from benchmarks.figures import Figures
-from onyxhead.routing.choose import Compiled, Plain
-from onyxhead.routing.files import read, text
-from onyxhead.routing.model import Host, Location, Pool, Routing, Server, Target
+from onyxhead.routing.location_matching import CompiledLocationMatcher, LinearLocationMatcher
+from onyxhead.routing.model import Location, Pool, Routing, Server, Target, VirtualHost
+from onyxhead.routing.routing_file import format_routing, read_routing
 
 LOCATION_COUNTS = (10, 1_000, 100_000)
 PATHS = 2_000
-PLAIN_PATHS_AT_MOST_LOCATIONS = 20
-"""How many paths the plain model looks up among the most locations, where one takes it long."""
+LINEAR_PATHS_AT_MOST_LOCATIONS = 20
+"""How many paths the linear matcher looks up among the most locations, where one takes it long."""
 DEFAULT_RECORDS = 20_000
 FREE_PATTERNS = (r"\.php$", r"\.(gif|png)$", "/edit/")
 """Expressions that may match anywhere in a path."""
@@ -47,18 +47,18 @@
     """Measure lookups among so many locations; both ways have to find the same."""
     locations, paths = create_locations(count), create_paths(count)
     started_at = time.perf_counter()
-    compiled = Compiled(locations)
+    compiled = CompiledLocationMatcher(locations)
     compiling_time = time.perf_counter() - started_at
-    plain = Plain(locations)
-    plain_paths = paths if count < max(LOCATION_COUNTS) else paths[:PLAIN_PATHS_AT_MOST_LOCATIONS]
+    linear = LinearLocationMatcher(locations)
+    linear_paths = paths if count < max(LOCATION_COUNTS) else paths[:LINEAR_PATHS_AT_MOST_LOCATIONS]
     compiled_time = _time_per_path(paths, compiled.find)
 
     def find_both(path: str) -> None:
-        assert plain.find(path) is compiled.find(path)
+        assert linear.find(path) is compiled.find(path)
 
     return {
         "flow_us": round(compiled_time * 1e6, 2),
-        "plain_us": round(_time_per_path(plain_paths, find_both) * 1e6, 1),
+        "plain_us": round(_time_per_path(linear_paths, find_both) * 1e6, 1),
         "compiling_s": round(compiling_time, 3),
     }
 
@@ -72,13 +72,13 @@
 
 def measure_reading(count: int) -> Figures:
     """Measure reading the routing records of so many locations."""
-    host = Host(("x",), locations=tuple(create_locations(count)))
+    host = VirtualHost(("x",), locations=tuple(create_locations(count)))
     routing = Routing({"p": Pool("p", (Server("a:1"),))}, (host,))
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "a.rec"
-        file.write_text(text(routing), encoding="utf-8")
+        file.write_text(format_routing(routing), encoding="utf-8")
         started_at = time.perf_counter()
-        read(file)
+        read_routing(file)
         took = time.perf_counter() - started_at
         return {"lines": len(file.read_text().splitlines()), "read_s": round(took, 2)}
 
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -23,6 +23,8 @@
 from onyxhead.controller.decision_loop import DecisionLoop
 from onyxhead.controller.discovery_watch import DiscoveryWatch
 from onyxhead.controller.endpoint_overlay import EndpointOverlay
+from onyxhead.controller.fleet_commands import FleetCommands
+from onyxhead.controller.fleet_state import FleetState
 from onyxhead.controller.fleet_transport import FleetTransport
 from onyxhead.controller.http_routes import HttpRoutes, Parts
 from onyxhead.controller.join_handler import JoinHandler
@@ -43,7 +45,7 @@
 
 if TYPE_CHECKING:
     from onyxhead.controller.configuration.service import ConfigurationService
-    from onyxhead.fronts.netconf.server import Front
+    from onyxhead.fronts.netconf.server import NetconfServer
 
 HEARTBEAT_INTERVAL_S = 1.0
 COMMIT_CHECK_INTERVAL_S = 0.25
@@ -59,7 +61,7 @@
         self.clock = Clock(time.time, time.monotonic)
         self.store = Store(settings.state_directory)
         self.keys = TlsCredentials(settings.tls) if settings.tls is not None else None
-        self.netconf: Front | None = None
+        self.netconf: NetconfServer | None = None
         self.configuration = self._open_configuration()
         tree = self.configuration.datastores.running if self.configuration is not None else {}
         start = deployment(tree, settings) if self.configuration is not None else settings.deployment
@@ -82,7 +84,10 @@
             self.configuration.notify if self.configuration is not None else None,
         )
         self.operators = OperatorCommands(settings, self.host, self.store, self.watch, self.overlay)
-        self.fleet = self._join_fleet()
+        self.fleet = (
+            FleetState(settings.name, settings.fleet, self.host, self.store) if settings.fleet is not None else None
+        )
+        self.fleet_transport = self._fleet_transport(self.fleet) if self.fleet is not None else None
         self.load_reports = self._open_ingest()
         self.http_server = Server(self._routes().handle_request)
         restore_endpoints(settings, self.store, self.host, self.watch)
@@ -122,19 +127,9 @@
             history,
         )
 
-    def _join_fleet(self) -> FleetTransport | None:
-        settings = self.settings
-        if settings.fleet is None:
-            return None
+    def _fleet_transport(self, fleet: FleetState) -> FleetTransport:
         return FleetTransport(
-            settings.name,
-            settings.fleet,
-            self.host,
-            self.store,
-            self.supervisor,
-            self.keys,
-            self.streams,
-            lambda: self.watch.version or 0,
+            fleet, self.host, self.supervisor, self.keys, self.streams, lambda: self.watch.version or 0
         )
 
     def _open_ingest(self) -> LoadReportIngest | None:
@@ -153,7 +148,8 @@
             overlay=self.overlay,
             joins=JoinHandler(self.settings, self.host, self.streams, self.fleet),
             operators=self.operators,
-            fleet=self.fleet,
+            fleet=self.fleet_transport,
+            fleet_commands=FleetCommands(self.fleet) if self.fleet is not None else None,
             load_reports=self.load_reports,
         )
         return HttpRoutes(parts)
@@ -183,9 +179,9 @@
     async def _start_tasks(self, address: Address, tls: ssl.SSLContext | None) -> None:
         start = self.supervisor.start
         if self.configuration is not None and self.settings.netconf is not None:
-            from onyxhead.fronts.netconf.server import Front
+            from onyxhead.fronts.netconf.server import NetconfServer
 
-            self.netconf = Front(self.settings.netconf, self.configuration)
+            self.netconf = NetconfServer(self.settings.netconf, self.configuration)
             await self.netconf.start(tls)
             start(self._expire_commits(self.configuration))
         if self.keys is not None and self.settings.tls is not None:
@@ -193,11 +189,11 @@
             async def restart_listeners(context: ssl.SSLContext) -> None:
                 await self.http_server.start(*address, context)
                 if self.netconf is not None:
-                    await self.netconf.renew(context)
+                    await self.netconf.replace_tls_context(context)
 
             start(rotate_keys(self.keys, self.settings.tls.interval, restart_listeners, self.streams))
-        if self.fleet is not None:
-            start(self.fleet.run())
+        if self.fleet_transport is not None:
+            start(self.fleet_transport.run())
         if self.load_reports is not None:
             start(self.load_reports.run())
         start(self._record_heartbeats())
--- a/onyxhead/incident/backend_states.py
+++ b/onyxhead/incident/backend_states.py
@@ -10,6 +10,7 @@
 
 from onyxhead.incident.events import Event, EventKind
 from onyxhead.incident.gaps import Gap, find_gaps
+from onyxhead.store.decision_format import DecisionKind
 from onyxhead.store.records import StoredPeriod
 
 FULL_WEIGHT = 0.995
@@ -44,12 +45,12 @@
 
     In a gap it is not known.
     """
-    kept = list(periods)
+    stored = list(periods)
     gaps: dict[str, list[Gap]] = defaultdict(list)
-    for gap in find_gaps(kept, since, until):
+    for gap in find_gaps(stored, since, until):
         gaps[gap.controller].append(gap)
     history: StateHistory = defaultdict(dict)
-    for period in kept:
+    for period in stored:
         for backend, changes in _state_changes(period).items():
             history[backend][period.name] = _intervals(changes, gaps[period.name], since, until)
     return dict(sorted(history.items()))
@@ -63,11 +64,11 @@
             continue
         for decision in record.decisions:
             match decision:
-                case ["withdraw", backend]:
+                case [DecisionKind.WITHDRAW, backend]:
                     changes[backend].append((record.at, BackendState.OUT))
-                case ["readmit", backend]:
+                case [DecisionKind.READMIT, backend]:
                     changes[backend].append((record.at, BackendState.IN))
-                case ["lines", _, weights]:
+                case [DecisionKind.LINES, _, weights]:
                     for backend, weight in weights.items():
                         # A withdrawal holds until the backend is readmitted, whatever weight its lines get.
                         withdrawn = bool(changes[backend]) and changes[backend][-1][1] is BackendState.OUT
--- a/onyxhead/settings/fields.py
+++ b/onyxhead/settings/fields.py
@@ -13,29 +13,29 @@
 
 
 class RecordReader:
-    """A checked record with the directory that its paths are relative to; collects faults with their places."""
+    """A checked record with the directory that its paths are relative to; collects diagnostics with their positions."""
 
     def __init__(self, record: PlainRecord, directory: Path) -> None:
         self.record, self.directory = record, directory
-        self.faults: list[Diagnostic] = []
+        self.diagnostics: list[Diagnostic] = []
 
-    def add_fault(self, text: str, *path: str) -> None:
-        """Add a fault at the place of a value below the record."""
-        self.faults.append(Diagnostic(self.record.position_of(*path), text))
+    def add_diagnostic(self, text: str, *path: str) -> None:
+        """Add a diagnostic at the position of a value below the record."""
+        self.diagnostics.append(Diagnostic(self.record.position_of(*path), text))
 
-    def raise_faults(self) -> None:
-        """Raise InvalidConfigurationError if there are faults so far."""
-        if self.faults:
-            raise InvalidConfigurationError(self.faults)
+    def raise_diagnostics(self) -> None:
+        """Raise InvalidConfigurationError if there are diagnostics so far."""
+        if self.diagnostics:
+            raise InvalidConfigurationError(self.diagnostics)
 
     def address(self, text: str, *path: str, any_port: bool = False) -> Address:
-        """Return host and port of "host:port", or add a fault at `path`; port 0 is allowed with `any_port` only."""
+        """Return host and port of "host:port", or add a diagnostic at `path`; only `any_port` allows port 0."""
         if any_port and text.endswith(":0"):
             return parse_address(text[:-1] + "1")[0], 0
         try:
             return parse_address(text)
         except MalformedViewError as error:
-            self.add_fault(str(error), *path)
+            self.add_diagnostic(str(error), *path)
             return "", 0
 
     def optional_address(self, record: PlainRecord, key: str, *path: str, any_port: bool = False) -> Address | None:
--- a/onyxhead/testbed/routing_proxy.py
+++ b/onyxhead/testbed/routing_proxy.py
@@ -13,8 +13,8 @@
 from onyxhead.http.messages import HttpError, Request, Response
 from onyxhead.http.server import Server
 from onyxhead.routing import model
-from onyxhead.routing.choose import Router, Way
-from onyxhead.routing.files import read
+from onyxhead.routing.router import RouteDecision, Router
+from onyxhead.routing.routing_file import read_routing
 from onyxhead.tables.addresses import parse_address
 from onyxhead.testbed.parameters import Faults, RoutingProxyParameters
 from onyxhead.testbed.process import SimulatedProcess
@@ -31,7 +31,7 @@
 
     def __init__(self, parameters: RoutingProxyParameters) -> None:
         super().__init__(parameters, Faults())
-        self.router = Router(read(Path(parameters.routing)))
+        self.router = Router(read_routing(Path(parameters.routing)))
         self.tokens: dict[LimitKey, tuple[float, float]] = {}
         self.in_flight: defaultdict[LimitKey, int] = defaultdict(int)
 
@@ -44,27 +44,27 @@
         """Route a request, and forward it if its location's limits admit it."""
         variables = {f"http_{name.replace('-', '_')}": value for name, value in request.headers.items()}
         variables["binary_remote_addr"] = variables["remote_addr"] = request.headers.get("x-client", "")
-        route = self.router.way(request.headers.get("host", ""), request.target, variables)
+        route = self.router.route(request.headers.get("host", ""), request.target, variables)
         if not route.pool or route.location is None:
             return Response(route.status)
         counted: list[LimitKey] = []
         try:
             for limit in route.location.limits:
-                key = (repr(limit), self.router.text(limit.key, variables))
-                if limit.at_once:
+                key = (repr(limit), self.router.variables.expand(limit.key, variables))
+                if limit.max_concurrent:
                     self.in_flight[key] += 1
                     counted.append(key)
                 if not self.admits(limit, key):
                     return Response(503, {"x-blocked": "limit"})
-            return await self.forward(route, route.location.tries, request, variables)
+            return await self.forward(route, route.location.retry, request, variables)
         finally:
             for key in counted:
                 self.in_flight[key] -= 1
 
-    def admits(self, limit: model.Limit, key: LimitKey) -> bool:
+    def admits(self, limit: model.RequestLimit, key: LimitKey) -> bool:
         """Whether a limit lets a request through: one on requests in flight, or a token bucket."""
-        if limit.at_once:
-            return self.in_flight[key] <= limit.at_once
+        if limit.max_concurrent:
+            return self.in_flight[key] <= limit.max_concurrent
         now, max_tokens = time.time(), limit.burst + 1.0
         tokens, updated_at = self.tokens.get(key, (max_tokens, now))
         tokens = min(max_tokens, tokens + (now - updated_at) * limit.rate)
@@ -72,12 +72,12 @@
         return tokens >= 1
 
     async def forward(
-        self, route: Way, retry_policy: model.Tries, request: Request, variables: dict[str, str]
+        self, route: RouteDecision, retry_policy: model.RetryPolicy, request: Request, variables: dict[str, str]
     ) -> Response:
         """Forward a request, with retries at other servers of its pool; `x-met` lists the servers that were tried."""
         pool, response = self.router.routing.pools[route.pool], Response(502)
-        deadline = time.time() + (retry_policy.within or DEFAULT_RETRY_TIME_S)
-        max_attempts = (retry_policy.most or len(pool.servers)) if retry_policy.when else 1
+        deadline = time.time() + (retry_policy.timeout or DEFAULT_RETRY_TIME_S)
+        max_attempts = (retry_policy.max_attempts or len(pool.servers)) if retry_policy.conditions else 1
         tried: list[str] = []
         while len(tried) < max_attempts and time.time() < deadline:
             server = self.pick_server(pool, tried, variables)
@@ -90,7 +90,7 @@
                 condition = f"http_{response.status}"
             except (OSError, HttpError, TimeoutError):
                 response, condition = Response(502), "error"
-            if condition not in retry_policy.when:
+            if condition not in retry_policy.conditions:
                 break
         return response._replace(headers={**response.headers, "x-met": " ".join(tried)})
 
@@ -100,7 +100,7 @@
         for backup in (False, True):
             if candidates := [each for each in available if each.backup is backup]:
                 if pool.method in ("hash", "address-hash"):
-                    key = self.router.text(pool.hash_key or "$remote_addr", variables)
+                    key = self.router.variables.expand(pool.hash_key or "$remote_addr", variables)
                     return min(candidates, key=lambda server: _hash(key, server.address))
                 return random.choices(candidates, [each.weight for each in candidates])[0]
         return None
