--- a/onyxhead/scenarios/operator_requests.py
+++ b/onyxhead/scenarios/operator_requests.py
@@ -12,9 +12,12 @@
 
 
 def latest_table_version(port: int) -> int | None:
-    """Return the number of the newest table version of the controller at a port; None if it gives no answer."""
+    """Return the number of the newest table version of the controller at a port.
+
+    None if it gives no answer, or has no version yet: one that no proxy joined decides nothing.
+    """
     answer = _post(port, "/v1/tables/log", {"most": 1})
-    return int(answer[0]["version"]) if isinstance(answer, list) else None
+    return int(answer[0]["version"]) if isinstance(answer, list) and answer else None
 
 
 def roll_back_tables(port: int, version: int, hold_s: float) -> bool:
