--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,4 +1,4 @@
-"""What it takes to find a request's location among 10, 1,000 and 100,000, compiled and by the plain model; and to
+"""What it takes to find a request's location among 10, 1,000 and 100,000, compiled and by the linear matcher; and to
 read the routing records."""
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 LOCATION_COUNTS = (10, 1_000, 100_000)
 PATHS = 2_000
-PLAIN_PATHS_AT_MOST_LOCATIONS = 20
-"""How many paths the plain model looks up among the most locations, where one takes it long."""
+LINEAR_PATHS_AT_MOST_LOCATIONS = 20
+"""How many paths the linear matcher looks up among the most locations, where one takes it long."""
 DEFAULT_RECORDS = 20_000
 FREE_PATTERNS = (r"\.php$", r"\.(gif|png)$", "/edit/")
 """Expressions that may match anywhere in a path."""
@@ -49,16 +49,16 @@
     started_at = time.perf_counter()
     compiled = CompiledLocationMatcher(locations)
     compiling_time = time.perf_counter() - started_at
-    plain = LinearLocationMatcher(locations)
-    plain_paths = paths if count < max(LOCATION_COUNTS) else paths[:PLAIN_PATHS_AT_MOST_LOCATIONS]
+    linear = LinearLocationMatcher(locations)
+    linear_paths = paths if count < max(LOCATION_COUNTS) else paths[:LINEAR_PATHS_AT_MOST_LOCATIONS]
     compiled_time = _time_per_path(paths, compiled.find)
 
     def find_both(path: str) -> None:
-        assert plain.find(path) is compiled.find(path)
+        assert linear.find(path) is compiled.find(path)
 
     return {
         "flow_us": round(compiled_time * 1e6, 2),
-        "plain_us": round(_time_per_path(plain_paths, find_both) * 1e6, 1),
+        "plain_us": round(_time_per_path(linear_paths, find_both) * 1e6, 1),
         "compiling_s": round(compiling_time, 3),
     }
 
