--- a/onyxhead/controller/configuration/tree.py
+++ b/onyxhead/controller/configuration/tree.py
@@ -155,7 +155,7 @@
     return tree | {name: value} if value else {k: v for k, v in tree.items() if k != name}
 
 
-def parsed(node: Node, text: str, where: str) -> Any:  # noqa: ANN401
+def parsed(node: Node, text: str, where: str) -> Any:  # noqa: ANN401  a leaf of the configuration tree
     """The value of a leaf's text. Raises RpcError."""
     value = node.parse(text)
     if value is None:
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -146,7 +146,7 @@
     return Quantity(f"{tenths * 100}us")
 
 
-def _written(value: Any, depth: int) -> str:  # noqa: ANN401
+def _written(value: Any, depth: int) -> str:  # noqa: ANN401  a part of the configuration tree
     if isinstance(value, Quantity):
         return value
     if not isinstance(value, dict):
--- a/onyxhead/controller/endpoint_list.py
+++ b/onyxhead/controller/endpoint_list.py
@@ -70,7 +70,7 @@
 
 
 def _parse_entry(index: int, given: Any) -> EndpointEntry:  # noqa: ANN401  decoded JSON
-    def field(name: str, kind: type, default: object = None) -> Any:  # noqa: ANN401
+    def field(name: str, kind: type, default: object = None) -> Any:  # noqa: ANN401  decoded JSON
         value = given.get(name, default) if isinstance(given, dict) else None
         if kind is float and type(value) is int:
             value = float(value)
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -156,7 +156,7 @@
                 if self.command != "HEAD":
                     self.wfile.write(out)
 
-            do_GET = do_HEAD = do_POST = do_PUT = do_PATCH = answer  # noqa: N815
+            do_GET = do_HEAD = do_POST = do_PUT = do_PATCH = answer  # noqa: N815  the names that http.server calls
 
             def log_message(self, *_: object) -> None:
                 """Nothing is written."""
