--- a/benchmarks/swaps.py
+++ b/benchmarks/swaps.py
@@ -1,106 +1,141 @@
-"""Swaps a second of one agent against a bare write, flush and rename of the same bytes."""
+"""Swaps a second of one agent against a bare write, flush and rename of the same bytes.
+
+Arguments: the number of backends, and the folder in which the files are.
+"""
 
 from __future__ import annotations
 
 import os
 import tempfile
 import time
+from collections.abc import Callable
+from functools import partial
 from pathlib import Path
-from typing import Any
 
-from benchmarks.figures import ratio
-from onyxhead.agent.proxy_files import ProxyFiles
-from onyxhead.agent.state_file import encode_state
+from benchmarks.figures import Figures, ratio
+from onyxhead.agent.proxy_files import ENVOY_ENDPOINTS, NGINX_UPSTREAMS, ProxyFiles
+from onyxhead.agent.state_file import STATE_FILE_NAME, encode_state
 from onyxhead.agent.table_replica import AcceptedUpdate, TableReplica
 from onyxhead.http.messages import JSON_MEDIA_TYPE, MERGE_PATCH_MEDIA_TYPE, STREAM_HEADER, Request, content_digest
 from onyxhead.settings.model import AgentSettings, GroupRoute, LogSettings
 from onyxhead.tables.view import View, canonical_json
+from onyxhead.tables.view_format import Document, ViewValue
+from onyxhead.tables.view_format import Path as EntryPath
 
+REPETITIONS, DEFAULT_BACKENDS = 5, 82
+MEASURING_S = 1.0
+STREAM = "s"
+TABLE = "1.0"
 ROUTES = (GroupRoute("read", "/r", 0.5, 1), GroupRoute("write", "/w", 1.0, 0))
+CHANGED_FILES = (STATE_FILE_NAME, ENVOY_ENDPOINTS, NGINX_UPSTREAMS)
+"""The files that a changed weight changes."""
+
 
+class MeasuredAgent:
+    """An agent's replica and files, without its sockets."""
 
-def measure(args: list[str]) -> dict[str, Any]:
-    rounds, backends = 5, int(args[0]) if args else 82
-    with tempfile.TemporaryDirectory(dir=args[1] if len(args) > 1 else None) as name:
-        folder = Path(name)
-        settings = AgentSettings(
-            "p",
-            "z",
-            ("127.0.0.1", 1),
-            None,
-            folder / "files",
-            folder / "state",
-            (),
-            1.0,
-            ROUTES,
-            1.2,
-            {},
-            None,
-            3.0,
-            0.1,
-            1 << 24,
-            None,
-            LogSettings("error", "json"),
-        )
-        files = ProxyFiles(settings)
-        replica = TableReplica(View.EMPTY)
-        replica.follow("s")
-        leaves: dict[Any, Any] = {("bindings", route.group): "1.0" for route in ROUTES}
+    def __init__(self, folder: Path, backends: int) -> None:
+        self.backends = backends
+        self.files = ProxyFiles(_agent_settings(folder))
+        self.replica = TableReplica(View.EMPTY)
+        self.replica.follow(STREAM)
+        entries: dict[EntryPath, ViewValue] = {("bindings", route.group): TABLE for route in ROUTES}
         for number in range(backends):
-            leaves["tables", "1.0", "lines", f"b{number}"] = line(number, 1000)
-        apply(files, replica, View.from_entries(leaves).to_document(), whole=True)
-        ours, bare = [], []
-        for turn in range(rounds):
-            base = turn * 1000
-            ours.append(rate(lambda n: step(files, replica, base + n, backends)))
-            expected = [(files.state_path, encode_state(replica.view)), *files.render(replica.view)]
-            changed = [
-                (path, body) for path, body in expected if path.name in ("view.json", "eds.json", "upstreams.conf")
-            ]
-            bare.append(rate(lambda _: plain(changed)))
-    made = ratio(ours, bare)
-    return {"backends": backends, "swaps a second": round(max(ours)), "bare": round(max(bare)), "ours/bare": made}
-
-
-def line(number: int, weight: int) -> dict[str, Any]:
+            entries["tables", TABLE, "lines", f"b{number}"] = table_line(number, 1000)
+        self._apply("PUT", JSON_MEDIA_TYPE, View.from_entries(entries).to_document())
+
+    def change_weight(self, number: int) -> None:
+        """Swap in another weight of one backend, as a controller's patch has it."""
+        backend = number % self.backends
+        lines = {f"b{backend}": table_line(backend, 1 + number)}
+        self._apply("PATCH", MERGE_PATCH_MEDIA_TYPE, {"tables": {TABLE: {"lines": lines}}})
+
+    def _apply(self, method: str, media_type: str, document: Document) -> None:
+        body = canonical_json(document)
+        headers = {
+            STREAM_HEADER: STREAM,
+            "if-match": self.replica.view.etag,
+            "content-digest": content_digest(body),
+            "content-type": media_type,
+        }
+        update = self.replica.check_update(Request(method, "/v1/view", headers, body))
+        assert isinstance(update, AcceptedUpdate), update
+        self.files.install(update.view)
+        self.replica.commit(update)
+
+    def changed_files(self) -> list[tuple[Path, bytes]]:
+        """Return the files that a changed weight changes, as they are now."""
+        view = self.replica.view
+        files = [(self.files.state_path, encode_state(view)), *self.files.render(view)]
+        return [(path, body) for path, body in files if path.name in CHANGED_FILES]
+
+
+def _agent_settings(folder: Path) -> AgentSettings:
+    return AgentSettings(
+        name="p",
+        zone="z",
+        listen=("127.0.0.1", 1),
+        advertise=None,
+        output_directory=folder / "files",
+        state_directory=folder / "state",
+        controllers=(),
+        baseline_rate=1.0,
+        routes=ROUTES,
+        attempt_timeout_factor=1.2,
+        static_endpoints={},
+        stats=None,
+        silence_timeout=3.0,
+        reconnect_delay=0.1,
+        max_body=1 << 24,
+        reload=None,
+        log=LogSettings("error", "json"),
+    )
+
+
+def table_line(number: int, weight: int) -> dict[str, ViewValue]:
+    """Return a line of a table as views hold it."""
     return {"address": f"127.0.0.1:{9000 + number}", "weight": weight, "zone": "z"}
 
 
-def step(files: ProxyFiles, replica: TableReplica, number: int, backends: int) -> None:
-    lines = {f"b{number % backends}": line(number % backends, 1 + number)}
-    apply(files, replica, {"tables": {"1.0": {"lines": lines}}}, whole=False)
-
-
-def apply(files: ProxyFiles, replica: TableReplica, document: Any, whole: bool) -> None:
-    body = canonical_json(document)
-    headers = {
-        STREAM_HEADER: "s",
-        "if-match": replica.view.etag,
-        "content-digest": content_digest(body),
-        "content-type": JSON_MEDIA_TYPE if whole else MERGE_PATCH_MEDIA_TYPE,
-    }
-    taken = replica.check_update(Request("PUT" if whole else "PATCH", "/v1/view", headers, body))
-    assert isinstance(taken, AcceptedUpdate), taken
-    files.install(taken.view)
-    replica.commit(taken)
+def _change_weight(agent: MeasuredAgent, first: int, number: int) -> None:
+    agent.change_weight(first + number)
 
 
-def plain(files: list[tuple[Path, bytes]]) -> None:
+def _write_files(files: list[tuple[Path, bytes]], _number: int) -> None:
+    """Replace files one by one with nothing but write, flush and rename."""
     for path, body in files:
-        beside = path.with_name(".bare")
-        handle = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
-        os.write(handle, body)
-        os.fsync(handle)
-        os.close(handle)
-        os.rename(beside, path)
+        temporary = path.with_name(".bare")
+        file = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
+        os.write(file, body)
+        os.fsync(file)
+        os.close(file)
+        os.rename(temporary, path)
         folder = os.open(path.parent, os.O_RDONLY)
         os.fsync(folder)
         os.close(folder)
 
 
-def rate(work: Any, seconds: float = 1.0) -> float:
-    began, count = time.perf_counter(), 0
-    while time.perf_counter() < began + seconds:
-        work(count)
+def calls_per_second(call: Callable[[int], None]) -> float:
+    """Return how often a second a function can be called, with the number of the call."""
+    started_at, count = time.perf_counter(), 0
+    while time.perf_counter() < started_at + MEASURING_S:
+        call(count)
         count += 1
-    return count / (time.perf_counter() - began)
+    return count / (time.perf_counter() - started_at)
+
+
+def measure(arguments: list[str]) -> Figures:
+    """Measure the agent and the bare writes in turn."""
+    backends = int(arguments[0]) if arguments else DEFAULT_BACKENDS
+    with tempfile.TemporaryDirectory(dir=arguments[1] if len(arguments) > 1 else None) as name:
+        agent = MeasuredAgent(Path(name), backends)
+        swaps, bare = [], []
+        for repetition in range(REPETITIONS):
+            swaps.append(calls_per_second(partial(_change_weight, agent, repetition * 1000)))
+            bare.append(calls_per_second(partial(_write_files, agent.changed_files())))
+    return {
+        "backends": backends,
+        "swaps a second": round(max(swaps)),
+        "bare": round(max(bare)),
+        "ours/bare": ratio(swaps, bare),
+    }
