--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -9,7 +9,7 @@
 from click.testing import CliRunner
 
 from onyxhead.cli.main import main
-from onyxhead.trial.run import free_ports
+from onyxhead.testbed.ports import free_ports
 
 VERBS = set(
     "agent check compare config console cordon diff drain export fleet fmt handover import incident keys load load-view "
