--- a/onyxhead/controller/configuration/tree.py
+++ b/onyxhead/controller/configuration/tree.py
@@ -76,11 +76,11 @@
             return _value(child, tree, edit, operation, where)
         case "list":
             return _entry(child, tree, edit, operation, where)
-    held = tree.get(child.name)
-    if (change := _change(held is not None, operation, where)) is not Change.WRITE:
-        return _kept_or_removed(change, tree, child.name)
-    made = _container(child, held or {}, edit, operation, path)
-    if operation == "none" and held is None and not made:
+    current = tree.get(child.name)
+    if (change := _change(current is not None, operation, where)) is not Change.WRITE:
+        return _keep_or_remove(change, tree, child.name)
+    made = _container(child, current or {}, edit, operation, path)
+    if operation == "none" and current is None and not made:
         return tree
     return tree | {child.name: made}
 
@@ -104,39 +104,39 @@
     return Change.WRITE
 
 
-def _kept_or_removed(change: Change, tree: Tree, name: str) -> Tree:
+def _keep_or_remove(change: Change, tree: Tree, name: str) -> Tree:
     return tree if change is Change.KEEP else {key: value for key, value in tree.items() if key != name}
 
 
 def _leaf(node: Node, tree: Tree, edit: Edit, operation: str, where: str) -> Tree:
     if (change := _change(node.name in tree, operation, where)) is not Change.WRITE:
-        return _kept_or_removed(change, tree, node.name)
+        return _keep_or_remove(change, tree, node.name)
     if operation == "none":
         return tree
     return tree | {node.name: parsed(node, edit.text, where)}
 
 
 def _value(node: Node, tree: Tree, edit: Edit, operation: str, where: str) -> Tree:
-    held: list[Any] = tree.get(node.name, [])
+    current: list[Any] = tree.get(node.name, [])
     value = parsed(node, edit.text, where)
-    if (change := _change(value in held, operation, where)) is not Change.WRITE:
-        return tree if change is Change.KEEP else _put(tree, node.name, [each for each in held if each != value])
-    if operation == "none" or value in held:
+    if (change := _change(value in current, operation, where)) is not Change.WRITE:
+        return tree if change is Change.KEEP else _put(tree, node.name, [each for each in current if each != value])
+    if operation == "none" or value in current:
         return tree
-    return tree | {node.name: sorted([*held, value])}
+    return tree | {node.name: sorted([*current, value])}
 
 
 def _entry(node: Node, tree: Tree, edit: Edit, operation: str, where: str) -> Tree:
-    held: list[Tree] = tree.get(node.name, [])
+    current: list[Tree] = tree.get(node.name, [])
     key = []
     for name in node.keys:
-        given = [child for child in edit.children if child.name == name]
-        if len(given) != 1:
+        matching = [child for child in edit.children if child.name == name]
+        if len(matching) != 1:
             raise RpcError("missing-element", f"an entry of {node.name} needs one {name}", where, bad_element=name)
-        key.append(parsed(node.children[name], given[0].text, f"{where}/{name}"))
+        key.append(parsed(node.children[name], matching[0].text, f"{where}/{name}"))
     named = f"{where}[{' and '.join(f'{n}={v!r}' for n, v in zip(node.keys, key, strict=True))}]"
-    own = next((each for each in held if [each[name] for name in node.keys] == key), None)
-    rest = [each for each in held if each is not own]
+    own = next((each for each in current if [each[name] for name in node.keys] == key), None)
+    rest = [each for each in current if each is not own]
     if (change := _change(own is not None, operation, named)) is not Change.WRITE:
         return tree if change is Change.KEEP else _put(tree, node.name, rest)
     if operation == "none" and own is None:
@@ -186,15 +186,15 @@
         return tree
     shown: Tree = {}
     for name, child in node.children.items():
-        held = tree.get(name)
+        current = tree.get(name)
         if child.kind == "container" and child.config:
-            inside = with_defaults(child, held or {}, mode)
-            if inside or held is not None:
+            inside = with_defaults(child, current or {}, mode)
+            if inside or current is not None:
                 shown[name] = inside
-        elif child.kind == "list" and held:
-            shown[name] = [with_defaults(child, each, mode) for each in held]
-        elif held is not None and not (mode == "trim" and held == child.default and name not in node.keys):
-            shown[name] = held
-        elif held is None and mode == "report-all" and child.default is not None:
+        elif child.kind == "list" and current:
+            shown[name] = [with_defaults(child, each, mode) for each in current]
+        elif current is not None and not (mode == "trim" and current == child.default and name not in node.keys):
+            shown[name] = current
+        elif current is None and mode == "report-all" and child.default is not None:
             shown[name] = child.default
     return shown
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -62,22 +62,22 @@
     """The policy's deployment under a tree; all else stays as in the settings. Raises ValueError."""
     start, channel, guards = settings.deployment, tree.get("channel", {}), tree.get("guards", {})
     groups = []
-    for given in tree["group"]:
-        unknown = set(given.get("zone", ())) - set(settings.zones)
+    for group in tree["group"]:
+        unknown = set(group.get("zone", ())) - set(settings.zones)
         if unknown:
-            raise ValueError(f"zone {sorted(unknown)[0]!r} of {given['name']} is not one of this controller's")
-        zones = frozenset(map(settings.zones.index, given["zone"])) if given.get("zone") else None
+            raise ValueError(f"zone {sorted(unknown)[0]!r} of {group['name']} is not one of this controller's")
+        zones = frozenset(map(settings.zones.index, group["zone"])) if group.get("zone") else None
         groups.append(
             TrafficGroup(
-                given["name"],
-                float(given.get("utility", 1)),
-                given["latency-budget"],
-                given["expiry"],
-                RetrySafety(given["repeats"]),
-                given.get("dedup-reach", "all"),
-                given.get("dedup-window", 0),
+                group["name"],
+                float(group.get("utility", 1)),
+                group["latency-budget"],
+                group["expiry"],
+                RetrySafety(group["repeats"]),
+                group.get("dedup-reach", "all"),
+                group.get("dedup-window", 0),
                 zones,
-                given.get("home-zone-only", False),
+                group.get("home-zone-only", False),
             )
         )
     return start._replace(
@@ -94,32 +94,34 @@
     )
 
 
-def overlaid(roster: EndpointList, tree: Tree) -> EndpointList:
+def overlaid(endpoint_list: EndpointList, tree: Tree) -> EndpointList:
     """Discovery's list under the weights and drains of a configuration."""
-    said = {each["id"]: each for each in tree.get("backend", ())}
-    return roster._replace(entries=tuple(_overlaid(entry, said.get(entry.id, {})) for entry in roster.entries))
+    configured = {each["id"]: each for each in tree.get("backend", ())}
+    return endpoint_list._replace(
+        entries=tuple(_overlaid(entry, configured.get(entry.id, {})) for entry in endpoint_list.entries)
+    )
 
 
-def _overlaid(entry: EndpointEntry, said: Tree) -> EndpointEntry:
-    weight = float(said["weight"]) if "weight" in said else entry.weight
-    return entry._replace(weight=weight, state="draining" if said.get("drained") else entry.state)
+def _overlaid(entry: EndpointEntry, configured: Tree) -> EndpointEntry:
+    weight = float(configured["weight"]) if "weight" in configured else entry.weight
+    return entry._replace(weight=weight, state="draining" if configured.get("drained") else entry.state)
 
 
 def as_records(tree: Tree, prefixes: dict[str, str]) -> str:
     """The tree as a settings file that the controller's own file can include in place of these fields."""
     channel, guards = tree.get("channel", {}), tree.get("guards", {})
     groups = {}
-    for given in tree["group"]:
-        groups[given["name"]] = {
-            "utility": Quantity(given.get("utility", "1.0")),
-            "latency_budget": _span(given["latency-budget"]),
-            "expiry": _span(given["expiry"]),
-            "repeats": given["repeats"],
-            "dedup_reach": given.get("dedup-reach", "all"),
-            "dedup_window": _span(given.get("dedup-window", 0)),
-            "home_zone_only": given.get("home-zone-only", False),
-            "prefix": prefixes.get(given["name"], "/"),
-        } | ({"zones": given["zone"]} if "zone" in given else {})
+    for group in tree["group"]:
+        groups[group["name"]] = {
+            "utility": Quantity(group.get("utility", "1.0")),
+            "latency_budget": _span(group["latency-budget"]),
+            "expiry": _span(group["expiry"]),
+            "repeats": group["repeats"],
+            "dedup_reach": group.get("dedup-reach", "all"),
+            "dedup_window": _span(group.get("dedup-window", 0)),
+            "home_zone_only": group.get("home-zone-only", False),
+            "prefix": prefixes.get(group["name"], "/"),
+        } | ({"zones": group["zone"]} if "zone" in group else {})
     backends = {
         each["id"]: ({"weight": Quantity(each["weight"])} if "weight" in each else {})
         | ({"drained": True} if each.get("drained") else {})
--- a/onyxhead/controller/endpoint_list.py
+++ b/onyxhead/controller/endpoint_list.py
@@ -56,7 +56,7 @@
     backends = document.get("backends")
     if not isinstance(backends, list):
         raise InvalidEndpointListError("backends is no list")
-    entries = tuple(_parse_entry(index, given) for index, given in enumerate(backends))
+    entries = tuple(_parse_entry(index, document) for index, document in enumerate(backends))
     _reject_duplicates("id", [entry.id for entry in entries])
     _reject_duplicates("address", [entry.address for entry in entries])
     return EndpointList(document["version"], entries)
@@ -69,9 +69,9 @@
         raise InvalidEndpointListError(f"{what} {duplicates[0]!r} is listed twice")
 
 
-def _parse_entry(index: int, given: Any) -> EndpointEntry:  # noqa: ANN401  decoded JSON
+def _parse_entry(index: int, document: Any) -> EndpointEntry:  # noqa: ANN401  decoded JSON
     def field(name: str, kind: type, default: object = None) -> Any:  # noqa: ANN401  decoded JSON
-        value = given.get(name, default) if isinstance(given, dict) else None
+        value = document.get(name, default) if isinstance(document, dict) else None
         if kind is float and type(value) is int:
             value = float(value)
         if type(value) is not kind:
--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -127,8 +127,8 @@
             response = await fetch_once(
                 member.address, request, timeout_s, self.keys.client_context if self.keys is not None else None
             )
-            given = response.json()
-            self._receive(given["packets"], given.get("news"), packet.to)
+            body = response.json()
+            self._receive(body["packets"], body.get("news"), packet.to)
         except (OSError, HttpError, TimeoutError, ValueError, KeyError, TypeError):
             # To the membership protocol, a packet without a proper answer is a packet that was lost.
             return
@@ -152,9 +152,9 @@
     def handle_packet(self, request: Request) -> Response:
         """Another member's packet. The response carries what goes back to it; the other packets are sent."""
         try:
-            given = request.json()
-            sender = str(given["packet"]["sender"])
-            replies = self._receive([given["packet"]], given.get("news"), sender)
+            body = request.json()
+            sender = str(body["packet"]["sender"])
+            replies = self._receive([body["packet"]], body.get("news"), sender)
         except MalformedPacketError as error:
             if str(error) not in self.logged_errors and len(self.logged_errors) < MAX_LOGGED_ERRORS:
                 self.logged_errors.add(str(error))
--- a/onyxhead/controller/join_handler.py
+++ b/onyxhead/controller/join_handler.py
@@ -95,10 +95,10 @@
 
 def _parse(name: str, request: Request) -> ParsedJoin:
     """Raises ValueError, KeyError, TypeError, MalformedViewError."""
-    given = request.json()
-    view = View.from_document(given["held"])
-    proxy = JoinRequest(name, given["zone"], float(given["usual"]), bool(given["standing"]), view)
-    address, token = parse_address(given["push"]), given.get("token", 0)
-    silence_s = float(given.get("silence", HEARTBEATS_PER_SILENCE * MAX_HEARTBEAT_S))
+    body = request.json()
+    view = View.from_document(body["held"])
+    proxy = JoinRequest(name, body["zone"], float(body["usual"]), bool(body["standing"]), view)
+    address, token = parse_address(body["push"]), body.get("token", 0)
+    silence_s = float(body.get("silence", HEARTBEATS_PER_SILENCE * MAX_HEARTBEAT_S))
     heartbeat_s = max(MIN_HEARTBEAT_S, min(MAX_HEARTBEAT_S, silence_s / HEARTBEATS_PER_SILENCE))
-    return ParsedJoin(proxy, address, token, heartbeat_s, bool(given.get("insist")))
+    return ParsedJoin(proxy, address, token, heartbeat_s, bool(body.get("insist")))
