--- a/onyxhead/node/connection.py
+++ b/onyxhead/node/connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection: reading of messages, and writing that is bounded where the peer does not read."""
+"""One accepted connection: parses messages from it and limits the data buffered for a peer that doesn't read."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 READ_BYTES = 65_536
 MAX_FIRST_MESSAGE_BYTES = 4096
-"""A join has under two hundred."""
+"""Size limit until the connection has joined; a join message has fewer than 200 bytes."""
 MAX_UNSENT_BYTES = 1 << 20
-"""What one peer may leave unread on top of what the kernel buffers."""
+"""Limit of the data that waits for one joined peer in this process, in addition to the kernel's send buffer."""
 MAX_UNSENT_BYTES_BEFORE_JOIN = 4096
 
 CLOSED_BY_PEER = "closed by peer"
@@ -22,26 +22,26 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its listener."""
+    """The part of the listener that a connection uses."""
 
     loop: asyncio.AbstractEventLoop
 
     @property
     def on_message(self) -> Callable[[Connection, RawMessage], None]:
-        """Gets each message."""
+        """Return the callback that receives each complete message."""
 
     def mark_joined(self, connection: Connection) -> None:
-        """The connection no longer counts as pending."""
+        """Remove the connection from those that have yet to join."""
 
     def close(self, connection: Connection, reason: str) -> None:
-        """Closes the connection at once."""
+        """Close the connection at once."""
 
     def reject(self, connection: Connection, reason: str) -> None:
-        """Tells the peer the reason, then closes the connection."""
+        """Send the peer a rejection with the reason, then close the connection."""
 
 
 class Connection:
-    """One accepted connection; `joined` once its first message was accepted."""
+    """An accepted connection; `joined` is set once a join message of a proxy or collector was accepted."""
 
     __slots__ = ("accepted_at", "closed", "joined", "number", "owner", "parser", "sock", "unsent")
 
@@ -52,7 +52,10 @@
         self.joined = self.closed = False
 
     def send(self, data: bytes) -> None:
-        """Writes what the socket takes and buffers the rest; a peer that does not read is closed."""
+        """Send data as far as the socket accepts it and buffer the rest.
+
+        Close the connection if the buffered data exceeds its limit, because the peer doesn't read.
+        """
         if self.closed:
             return
         if self.unsent:
@@ -84,7 +87,7 @@
             self.owner.loop.remove_writer(self.sock)
 
     def read(self) -> None:
-        """Reads what lies in the kernel and hands on each complete message."""
+        """Read what the socket has received and pass on each complete message."""
         try:
             data = self.sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -100,10 +103,10 @@
             while not self.closed and (message := self.parser.next_message()) is not None:
                 self.owner.on_message(self, message)
         except FramingError as error:
-            self.owner.reject(self, f"unreadable: {error}")
+            self.owner.reject(self, f"malformed message: {error}")
 
     def discard_input(self) -> bool:
-        """Reads and drops what the peer sent; True once the peer has closed."""
+        """Read and discard what the peer sent; return whether the peer has closed the connection."""
         try:
             return not self.sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -112,15 +115,19 @@
             return True
 
     def join(self) -> None:
-        """Allows messages of any size that the protocol has, and protects the connection from eviction."""
+        """Mark the connection as joined.
+
+        A joined connection may send messages of full size, and is exempt from eviction and the join timeout.
+        """
         self.joined, self.parser.max_message_bytes = True, MAX_MESSAGE_BYTES
         self.owner.mark_joined(self)
 
     def close_socket(self) -> None:
-        """Frees the descriptor; used by the owner, which does the rest of a close."""
+        """Close the socket; only the owner calls this, after it has removed the connection from its own tables."""
         self.closed = True
         if self.unsent:
-            # What is still buffered must not keep the kernel's part of a dead connection.
+            # A linger time of 0 resets the connection. Otherwise the kernel would keep a connection whose peer doesn't
+            # read until its send buffer is delivered.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
--- a/onyxhead/node/counters.py
+++ b/onyxhead/node/counters.py
@@ -1,4 +1,4 @@
-"""What a node counts, by the names that its `figures` log line has for operators (docs/node.md)."""
+"""Names of a node's counters, as they appear in its `figures` log line (docs/node.md)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 )
 from onyxhead.policy.inputs import HealthCheckResult
 
-# Of the node.
+# Counted in the `NodeContext`.
 INTERNAL_ERRORS = "faults"
 DECISION_ROUNDS = "rounds"
 UPDATES_SENT = "messages"
@@ -21,13 +21,13 @@
 ENDPOINT_UPDATES = "lists"
 DISCOVERY_FAILURES = "discovery failed"
 STALE_HEALTH_CHECKS = "probe outlived"
-HEALTH_CHECKS = {
+HEALTH_CHECKS_BY_RESULT = {
     HealthCheckResult.HEALTHY: "probe served",
     HealthCheckResult.REJECTED: "probe no_room",
     HealthCheckResult.TIMED_OUT: "probe silent",
     HealthCheckResult.UNREACHABLE: "probe out_of_reach",
 }
-MESSAGES = {
+MESSAGES_BY_TYPE = {
     CollectorJoined: "collects",
     ProxyJoined: "joins",
     Acknowledgement: "applied",
@@ -35,14 +35,14 @@
     RequestReport: "flows",
 }
 
-# Of the policy's host.
+# Counted by the `StreamPolicyHost`.
 STREAMS_REPLACED = "replaced"
 PROXIES_JOINED = "joins"
 PROXIES_LEFT = "left"
 SILENT_STREAMS = "silent"
 STREAMS_RESUMED = "spoke again"
 
-# Of the listener.
+# Counted by the `Listener`. Two of the names are also logged as the reason for closing a connection.
 CONNECTIONS_ACCEPTED = "accepted"
 CONNECTIONS_REFUSED = "no room"
 CROWDED_OUT = "crowded out"
@@ -50,5 +50,5 @@
 
 
 def accept_failures(reason: str | None) -> str:
-    """Failed calls of accept, counted by their reason."""
+    """Return the name of the counter of failed `accept` calls with this reason."""
     return f"accept: {reason}"
--- a/onyxhead/node/listener.py
+++ b/onyxhead/node/listener.py
@@ -1,7 +1,9 @@
-"""Accepts connections within a budget of descriptors, and closes those that do not join in time.
+"""Accepts connections up to a limit, and closes those that don't join in time.
 
-These are plain non-blocking sockets under the loop, not asyncio's transports: those accept a whole backlog before the
-first connection can be counted, and close only in a later turn of the loop. Nothing of the protocol is known here.
+The module uses non-blocking sockets with the event loop's readers and writers instead of asyncio's transports. An
+asyncio server accepts the whole backlog before the first connection can be counted, and a transport closes its socket
+only in a later iteration of the loop; either could exceed the limit of descriptors. The module doesn't interpret
+messages.
 """
 
 from __future__ import annotations
@@ -18,19 +20,19 @@
 
 BACKLOG = 2048
 MAX_ACCEPTS_AT_ONCE = 64
-"""Connections accepted in a row before those that are open get their turn."""
+"""Connections accepted in one callback, before the loop serves the open connections again."""
 JOIN_TIMEOUT_S = 1.6
-"""The platform allows closing after one second and asks for it after three."""
+"""The platform allows a node to close an unjoined connection after 1 s and requires it after 3 s."""
 JOIN_CHECK_INTERVAL_S = 0.2
 ACCEPT_BACKOFF_S = 0.05
 DRAIN_CHECK_INTERVAL_S = 0.01
 
 
 class Listener:
-    """Listens, and owns every accepted connection.
+    """Listens on a socket and owns all accepted connections.
 
-    `on_message` gets each message, `on_close` each closed connection with the reason; `encode_rejection` makes the last
-    message to a peer that is rejected.
+    `on_message` receives each message, `on_close` each closed connection with the reason. `encode_rejection` encodes
+    the message that a rejected peer gets before its connection is closed.
     """
 
     def __init__(
@@ -44,14 +46,14 @@
         self.on_message, self.on_close, self.encode_rejection = on_message, on_close, encode_rejection
         self.loop = asyncio.get_running_loop()
         self.connections: dict[int, Connection] = {}
-        self.pending: dict[int, Connection] = {}  # not joined yet, the oldest first
+        self.pending: dict[int, Connection] = {}  # have not joined yet; the oldest first
         self.counts: Counter[str] = Counter()
         self.next_number = 1
         self.socket: socket.socket | None = None
         self.join_timer: asyncio.TimerHandle | None = None
 
     def open(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listens on this address only, and returns it. Raises OSError."""
+        """Listen on the address; return the host and port that the socket is bound to. Raises OSError."""
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -63,12 +65,12 @@
             raise
         self.socket = listening
         self.loop.add_reader(listening, self._accept)
-        self.join_timer = self.loop.call_later(JOIN_CHECK_INTERVAL_S, self._close_late)
+        self.join_timer = self.loop.call_later(JOIN_CHECK_INTERVAL_S, self._close_unjoined)
         host, port = listening.getsockname()[:2]
         return str(host), int(port)
 
     async def drain(self, seconds: float) -> None:
-        """Accepts no more, lets peers read what was written, and closes; waits for so long at the most."""
+        """Stop accepting, let peers read what was written for up to `seconds`, then close all connections."""
         if self.join_timer is not None:
             self.join_timer.cancel()
         if self.socket is not None:
@@ -85,13 +87,15 @@
                         connection.sock.shutdown(socket.SHUT_WR)
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         for connection in list(self.connections.values()):
-            self._forget(connection)
+            self._remove(connection)
 
     def _discard_input(self, connection: Connection) -> None:
-        """What comes now is for another controller. Left unread, it would turn the close into a reset, which loses what
-        the peer has yet to read."""
+        """Discard what the peer sends during the shutdown, and remove the connection once the peer has closed it.
+
+        Closing a socket that has unread data resets the connection, and the peer would lose what it hasn't read yet.
+        """
         if connection.discard_input():
-            self._forget(connection)
+            self._remove(connection)
 
     def _accept(self) -> None:
         assert self.socket is not None
@@ -101,18 +105,19 @@
             except BlockingIOError:
                 return
             except OSError as error:
-                # Out of descriptors all the same, or a peer that left: waiting a little beats a busy loop.
+                # The process is out of descriptors despite the limit, or the peer has already left. Accepting pauses,
+                # because a listening socket that stays readable would keep the loop busy.
                 self.counts[counters.accept_failures(error.strerror)] += 1
                 self.loop.remove_reader(self.socket)
                 self.loop.call_later(ACCEPT_BACKOFF_S, self._resume_accepting)
                 return
-            self._admit(sock)
+            self._add_connection(sock)
 
-    def _admit(self, sock: socket.socket) -> None:
+    def _add_connection(self, sock: socket.socket) -> None:
         while len(self.connections) >= self.max_connections and self.pending:
             self._evict(next(iter(self.pending.values())), counters.CROWDED_OUT)
         if len(self.connections) >= self.max_connections:
-            # All that are open have joined, and none of them is closed for a stranger's sake.
+            # All open connections have joined; a joined connection is never closed in favour of a new one.
             self.counts[counters.CONNECTIONS_REFUSED] += 1
             sock.close()
             return
@@ -128,38 +133,41 @@
         if self.socket is not None and self.socket.fileno() >= 0:
             self.loop.add_reader(self.socket, self._accept)
 
-    def _close_late(self) -> None:
-        self.join_timer = self.loop.call_later(JOIN_CHECK_INTERVAL_S, self._close_late)
+    def _close_unjoined(self) -> None:
+        self.join_timer = self.loop.call_later(JOIN_CHECK_INTERVAL_S, self._close_unjoined)
         deadline = self.loop.time() - JOIN_TIMEOUT_S
-        for connection in [each for each in self.pending.values() if each.accepted_at <= deadline]:
+        for connection in [pending for pending in self.pending.values() if pending.accepted_at <= deadline]:
             self._evict(connection, counters.NEVER_JOINED)
 
     def _evict(self, connection: Connection, reason: str) -> None:
-        """Closes a connection that has not joined, unless its join lies in the kernel: after a slow moment of this
-        process, or among many that come at once, it was sent in time and is only not read yet."""
+        """Close a connection that has not joined, unless its join message has been received but not read yet.
+
+        A join that was sent in time may be unread because the event loop was delayed, or because many connections were
+        accepted in one callback.
+        """
         connection.read()
         if connection.number in self.pending:
             self.counts[reason] += 1
             self.close(connection, reason)
 
     def mark_joined(self, connection: Connection) -> None:
-        """The connection no longer counts as pending."""
+        """Remove the connection from those that have yet to join."""
         self.pending.pop(connection.number, None)
 
     def reject(self, connection: Connection, reason: str) -> None:
-        """Tells the peer the reason, then closes the connection."""
+        """Send the peer a rejection with the reason, then close the connection."""
         if connection.number in self.connections:
             with contextlib.suppress(OSError):
                 connection.sock.send(self.encode_rejection(reason))
             self.close(connection, reason)
 
     def close(self, connection: Connection, reason: str) -> None:
-        """Closes the connection at once; what was not sent is lost."""
+        """Close the connection at once; buffered data that was not sent is lost."""
         if connection.number in self.connections:
-            self._forget(connection)
+            self._remove(connection)
             self.on_close(connection, reason)
 
-    def _forget(self, connection: Connection) -> None:
+    def _remove(self, connection: Connection) -> None:
         del self.connections[connection.number]
         self.pending.pop(connection.number, None)
         self.loop.remove_reader(connection.sock)
--- a/onyxhead/node/proxy_streams.py
+++ b/onyxhead/node/proxy_streams.py
@@ -1,4 +1,4 @@
-"""The streams of proxies and collectors: their messages become events for the policy, updates go out on them."""
+"""The streams of proxies and collectors: passes their messages to the policy's host and sends updates to proxies."""
 
 from __future__ import annotations
 
@@ -33,9 +33,9 @@
 
 
 class ProxyStreams:
-    """Owns the listener and knows which proxy joined on which connection.
+    """Owns the listener and tracks which proxy has joined on which connection.
 
-    `schedule_round` is called after every event that the policy should decide on.
+    `schedule_round` is called after every event that the policy may react to.
     """
 
     def __init__(
@@ -51,15 +51,18 @@
         self.schedule_round = schedule_round
         self.zone_names = {number: name for name, number in known_names.zones.items()}
         self.listener = Listener(max_connections, self.on_message, self.on_close, encode_rejection)
-        self.connections: dict[int, Connection] = {}  # by proxy
-        self.proxies: dict[int, int] = {}  # by the number of their connection
+        self.connections: dict[int, Connection] = {}  # by proxy number
+        self.proxies: dict[int, int] = {}  # by connection number
 
     def start_silence_checks(self) -> None:
-        """Looks for silent streams from now on."""
+        """Start the periodic check for silent streams."""
         asyncio.get_running_loop().call_later(SILENCE_CHECK_INTERVAL_S, self._check_silence)
 
     def on_message(self, connection: Connection, elements: RawMessage) -> None:
-        """One message. What is wrong with it or with us ends neither the loop nor a stream that has joined."""
+        """Handle a message from a proxy or collector.
+
+        An invalid message closes only a connection that has not joined; an internal error closes none.
+        """
         try:
             self._handle(connection, elements)
         except InvalidMessageError as error:
@@ -82,10 +85,10 @@
             connection.send(HEARTBEAT_REPLY)
             return
         if connection.joined == isinstance(message, ProxyJoined | CollectorJoined):
-            where = "on a joined stream" if connection.joined else "before joining"
-            raise InvalidMessageError(f"{elements[0][:SHOWN_KIND_BYTES]!r} has no place {where}")
+            where = "on a stream that has joined" if connection.joined else "before joining"
+            raise InvalidMessageError(f"{elements[0][:SHOWN_KIND_BYTES]!r} is not allowed {where}")
         self._dispatch(now, connection, proxy, message)
-        self.context.counts[counters.MESSAGES[type(message)]] += 1
+        self.context.counts[counters.MESSAGES_BY_TYPE[type(message)]] += 1
         self.schedule_round()
 
     def _dispatch(self, now: int, connection: Connection, proxy: int | None, message: StreamMessage) -> None:
@@ -94,12 +97,12 @@
                 self.host.on_attempt_statistics(now, backend, zone, attempts, failed, mean_latency, window, load)
             case RequestReport(reporter, group, requests, _, window):
                 if proxy not in (None, reporter):
-                    raise InvalidMessageError("flows of another proxy")
+                    raise InvalidMessageError("request report (client_stats) of another proxy")
                 self.host.on_request_rate(now, reporter, group, requests, window)
             case Acknowledgement(sender, round_number, elapsed):
                 stream = connection.number
                 if proxy != sender or not self.host.on_acknowledgement(now, sender, stream, round_number, elapsed):
-                    raise InvalidMessageError("an answer to a mark that was not set on this stream")
+                    raise InvalidMessageError("acknowledgement (done) of a mark that was not sent on this stream")
             case ProxyJoined():
                 self._join(now, connection, message)
             case CollectorJoined(zone):
@@ -116,7 +119,7 @@
                 now, join.proxy, join.zone, join.baseline_rate, join.has_standing_table, connection.number
             )
         except Exception:
-            # Half registered it would never be told anything; it has to join anew.
+            # A proxy that is only partly registered would never get an update. Closing its stream makes it join again.
             self.listener.close(connection, "its join failed")
             raise
         finally:
@@ -125,7 +128,7 @@
                 self.listener.close(replaced, "replaced by a new stream of the same proxy")
 
     def on_close(self, connection: Connection, reason: str) -> None:
-        """A connection was closed."""
+        """Remove the proxy or collector whose connection was closed."""
         proxy = self.proxies.pop(connection.number, None)
         if proxy is not None and self.connections.get(proxy) is connection:
             del self.connections[proxy]
@@ -136,8 +139,8 @@
             self.context.log.event("connection closed", connection=connection.number, reason=reason)
 
     def send_updates(self, updates: Iterable[AddressedUpdate]) -> None:
-        """Sends each update on its stream, if the proxy is still joined on it."""
-        encoded: dict[int, bytes] = {}  # by the identity of the update, which many proxies share
+        """Send each update on its stream, if the proxy is still joined on that stream."""
+        encoded: dict[int, bytes] = {}  # by the object id of the update, which many proxies share
         for proxy, stream, update in updates:
             connection = self.connections.get(proxy)
             if connection is None or connection.number != stream:
@@ -147,7 +150,8 @@
                     data = encoded[id(update)] = self.encoder.encode(update)
                 connection.send(data)
             except Exception as error:
-                # The policy takes it as sent, and repeats it to nobody: this stream alone has to join anew.
+                # The policy regards the update as sent and doesn't repeat it. Closing this stream makes its proxy join
+                # again and get a whole table; the other streams are not affected.
                 self.context.internal_error("update of a proxy", describe_error(error))
                 self.listener.close(connection, "its update could not be sent")
                 continue
--- a/onyxhead/node/serve.py
+++ b/onyxhead/node/serve.py
@@ -1,4 +1,4 @@
-"""Runs a node: puts its parts together, starts them, reloads its configuration, and ends them in order."""
+"""The node's process: creates and starts its parts, reloads the configuration, and shuts down in order."""
 
 from __future__ import annotations
 
@@ -29,17 +29,19 @@
 from onyxhead.policy.inputs import HealthCheckResult, LoadReport
 
 RESERVED_SOCKETS = MAX_CONCURRENT_CHECKS + 16
-"""Not for connections: health checks, the discovery watch and its successor, the listener, the loop's own, standard
-streams."""
+"""Descriptors not available to accepted connections.
+
+They serve health checks, the calls to discovery before and after a move, the listening socket, the event loop and the
+standard streams."""
 DRAIN_TIMEOUT_S = 0.3
-"""After SIGTERM, in which peers may still read what was written; the platform kills after 0.7."""
+"""Time that peers get after SIGTERM to read what was written; the platform sends SIGKILL after 0.7 s."""
 
 EXIT_LISTEN_FAILED = 1
 EXIT_INVALID_CONFIGURATION = 2
 
 
 class NodeServer:
-    """One controller: its sockets, clock and signals around a `StreamPolicyHost`. Nothing here decides anything."""
+    """One node: connects a `StreamPolicyHost` to sockets, clock and signals. It makes no decisions itself."""
 
     def __init__(self, configuration: NodeConfiguration, path: Path, log: JsonLog) -> None:
         self.configuration, self.configuration_path, self.log = configuration, path, log
@@ -54,15 +56,15 @@
         self.endpoints = EndpointSubscription(
             self.host,
             self.context,
-            SettingsIndex(_numbers(configuration.zones), _numbers(configuration.kinds), clock.from_wall_time),
+            SettingsIndex(_numbered(configuration.zones), _numbered(configuration.kinds), clock.from_wall_time),
             configuration.discovery,
             configuration.seed,
             report_failures=configuration.deployment.subscription_required,
             schedule_round=self.decision_loop.schedule_round,
         )
         known_names = KnownNames(
-            _numbers(configuration.groups),
-            _numbers(configuration.zones),
+            _numbered(configuration.groups),
+            _numbered(configuration.zones),
             configuration.deployment.proxy_count,
             self.host.state.endpoints.listed,
         )
@@ -79,19 +81,19 @@
         self.statistics = StatisticsLog(self.context, self.host, self.decision_loop, self.streams.listener)
 
     async def run(self) -> None:
-        """Serves until a signal ends it. Raises OSError if the address can't be listened on."""
+        """Serve until SIGTERM or SIGINT. Raises OSError if the node can't listen on its address."""
         self.endpoints.load_cached(self.configuration.cached_endpoints)
         host, port = self.streams.listener.open(self.configuration.listen)
         self._start(host, port)
-        # What was loaded stays; collections then look only at what is made in service.
+        # Objects created at startup live until the end. Freezing them lets garbage collections scan only later objects.
         gc.collect()
         gc.freeze()
         await self.terminated.wait()
         await self._shut_down()
 
     def _start(self, host: str, port: int) -> None:
-        for each in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(each, self.terminated.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(signal_number, self.terminated.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         name, max_sockets = self.configuration.name, self.configuration.max_sockets
         self.log.event("listening", name=name, host=host, port=port, sockets=max_sockets)
@@ -105,12 +107,15 @@
     async def _shut_down(self) -> None:
         self.log.event("shutting down", name=self.configuration.name)
         await self.endpoints.watch.stop()
-        # Joined proxies are owed what follows from the events so far; no round comes after this one.
+        # The scheduled round is the last one; it sends the joined proxies the updates for all events received so far.
         self.decision_loop.run_scheduled_round()
         await self.streams.listener.drain(DRAIN_TIMEOUT_S)
 
     def reload(self) -> None:
-        """Reads the configuration again and follows discovery to its new address; streams are not touched."""
+        """Read the configuration file again and follow discovery to its new address.
+
+        Other changes need a restart and are not applied. Streams are not affected.
+        """
         try:
             new = read_configuration(self.configuration_path)
         except ConfigurationError as error:
@@ -141,7 +146,7 @@
         if identity != self.endpoints.identity(backend):
             self.context.counts[counters.STALE_HEALTH_CHECKS] += 1
             return
-        self.context.counts[counters.HEALTH_CHECKS[result]] += 1
+        self.context.counts[counters.HEALTH_CHECKS_BY_RESULT[result]] += 1
         try:
             self.host.on_health_check(self.context.clock.now(), backend, result, load)
         except Exception as error:
@@ -149,23 +154,26 @@
         self.decision_loop.schedule_round()
 
     def _on_unhandled_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """A timer or task raised. Timers are set anew before they work, so only this call is lost."""
+        """Count and log an exception that a timer or task raised.
+
+        Each timer schedules its next call before it does its work, so only the call that raised is lost.
+        """
         error = context.get("exception")
         text = describe_error(error) if isinstance(error, Exception) else str(context["message"])
         self.context.internal_error("callback", text)
 
 
-def _numbers(names: tuple[str, ...]) -> dict[str, int]:
+def _numbered(names: tuple[str, ...]) -> dict[str, int]:
     return {name: number for number, name in enumerate(names)}
 
 
 async def serve(configuration: NodeConfiguration, path: Path, log: JsonLog) -> None:
-    """Runs a node until a signal ends it. Raises OSError if the address can't be listened on."""
+    """Run a node until SIGTERM or SIGINT. Raises OSError if the node can't listen on its address."""
     await NodeServer(configuration, path, log).run()
 
 
 def main(environment: dict[str, str], print_error: Callable[[str], None]) -> int:
-    """Runs a node from its environment; returns the exit code."""
+    """Run a node as its environment variables configure it; return the exit code."""
     try:
         configuration, path = read_environment(environment)
     except ConfigurationError as error:
@@ -174,6 +182,6 @@
     try:
         asyncio.run(serve(configuration, path, JsonLog()))
     except OSError as error:
-        print_error(f"listen: {':'.join(map(str, configuration.listen))}: {error.strerror or error}")
+        print_error(f"can't listen on {':'.join(map(str, configuration.listen))}: {error.strerror or error}")
         return EXIT_LISTEN_FAILED
     return 0
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -113,7 +113,7 @@
         monkeypatch.setattr(
             "onyxhead.node.listener.JOIN_TIMEOUT_S", -1.0
         )  # as after a slow moment between accept and read
-        server.listener._close_late()
+        server.listener._close_unjoined()
         assert server.joined == [(b"hello",)] and server.closed == ["never joined"]
         assert silent_client.recv(1) == b""
         good.close()
