--- a/onyxhead/node/decision_loop.py
+++ b/onyxhead/node/decision_loop.py
@@ -1,4 +1,4 @@
-"""Runs decision rounds: soon after an event, no more often than the settings allow, and again when the policy asks."""
+"""Timing of decision rounds: after an event or when the policy asks for one, within the minimum interval."""
 
 from __future__ import annotations
 
@@ -14,18 +14,25 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 RETRY_DELAY_S = 1.0
-"""Until the next round after one that failed: an error must not put the policy to sleep for good."""
+"""Delay of the next round after one that failed.
+
+A failed round doesn't return the time at which the policy wants the next one, so without this retry the policy might not
+run again until the next event.
+"""
 
 
 class RoundDurations(NamedTuple):
-    """Time spent on rounds, in seconds."""
+    """The longest and the total duration of decision rounds, in seconds."""
 
     longest: float
     total: float
 
 
 class DecisionLoop:
-    """Asks the policy for decisions and hands their effects to `apply_effects`; `min_interval` is in ticks."""
+    """Runs decision rounds and passes their effects to `apply_effects`.
+
+    Two rounds start at least `min_interval` ticks apart.
+    """
 
     def __init__(
         self,
@@ -43,24 +50,24 @@
         self.durations = RoundDurations(0.0, 0.0)
 
     def schedule_round(self) -> None:
-        """Runs one round soon, for all events that come in until then."""
+        """Schedule one round, as soon as the minimum interval allows, for all events received before it runs."""
         if self.scheduled is None:
             due = self.last_round_at + self.min_interval_s
             self.scheduled = self.loop.call_at(max(due, self.loop.time()), self._run_round)
 
     def run_scheduled_round(self) -> None:
-        """Runs the round that is due at once, if there is one."""
+        """Run the scheduled round at once; do nothing if no round is scheduled."""
         if self.scheduled is not None:
             self.scheduled.cancel()
             self._run_round()
 
     def take_durations(self) -> RoundDurations:
-        """The durations since the last call."""
+        """Return the durations of the rounds since the last call, and reset them."""
         durations, self.durations = self.durations, RoundDurations(0.0, 0.0)
         return durations
 
     def _run_round(self) -> None:
-        began = self.last_round_at = self.loop.time()
+        started_at = self.last_round_at = self.loop.time()
         self.scheduled = None
         try:
             effects = self.host.decide(self.context.clock.now())
@@ -71,7 +78,7 @@
         if effects.wake_up is not None:
             self._wake_up_after(effects.wake_up / TICKS_PER_SECOND)
         self.apply_effects(effects)
-        duration = self.loop.time() - began
+        duration = self.loop.time() - started_at
         self.durations = RoundDurations(max(self.durations.longest, duration), self.durations.total + duration)
         self.context.counts[counters.DECISION_ROUNDS] += 1
 
--- a/onyxhead/node/decision_round.py
+++ b/onyxhead/node/decision_round.py
@@ -1,4 +1,4 @@
-"""One decision round: the policy's decisions, gathered into one update for each proxy concerned."""
+"""One decision round: combines the policy's decisions into one update for each proxy that they affect."""
 
 from __future__ import annotations
 
@@ -22,12 +22,15 @@
 )
 
 NO_ROUND = 0
-"""The round number of updates that ask for no acknowledgement."""
+"""The round number of an update that requests no acknowledgement."""
 
 
 @dataclass(slots=True)
 class PendingUpdate:
-    """What one round tells one proxy, as it is gathered. Dictionaries without values are ordered sets."""
+    """The update for one proxy while decisions are still being applied.
+
+    `withdrawn` and `restored` are ordered sets of backends; `changed_lines` holds weights by table and backend.
+    """
 
     withdrawn: dict[str, None] = field(default_factory=dict)
     restored: dict[str, None] = field(default_factory=dict)
@@ -37,7 +40,7 @@
 
 
 class AddressedUpdate(NamedTuple):
-    """An update and the stream that it goes to."""
+    """An update with the proxy and the stream that it is sent to."""
 
     proxy: int
     stream: Hashable
@@ -46,7 +49,11 @@
 
 @dataclass(slots=True)
 class Effects:
-    """What is to be carried out after a round. `wake_up` is the delay until the next round, in ticks."""
+    """The actions that follow from a round.
+
+    `wake_up` is the delay in ticks after which the policy asks for another round. `subscribe` asks to follow service
+    discovery.
+    """
 
     updates: list[AddressedUpdate] = field(default_factory=list)
     health_checks: list[str] = field(default_factory=list)
@@ -57,7 +64,7 @@
 
 
 class DecisionRound:
-    """Applies decisions in order to the state of the proxies; `finish` returns what is to be carried out."""
+    """Applies the decisions of a round to the proxy state, in order; `finish` returns the resulting effects."""
 
     def __init__(self, state: ProxyState, now: int) -> None:
         self.state, self.now = state, now
@@ -67,7 +74,7 @@
         self.number = NO_ROUND
 
     def apply(self, decision: Decision, recipients: Iterable[int]) -> None:
-        """Applies one decision; `recipients` are the proxies that the policy counts a message for."""
+        """Apply one decision; `recipients` are the proxies for which the policy has counted a message in this round."""
         match decision:
             case Withdrawal(backend, True):
                 self._withdraw(backend)
@@ -81,7 +88,8 @@
                 self._assign_table(proxy, table, groups)
             case AcknowledgementRequest(round_number, _):
                 self.number = round_number or self.number
-                # Every counted recipient gets a message, also where it only asks for an acknowledgement.
+                # Each proxy that the policy has counted a message for gets one, even if the message holds nothing but
+                # the request for an acknowledgement.
                 for proxy in recipients:
                     if proxy in self.state.joined:
                         self._update_for(proxy)
@@ -95,20 +103,24 @@
                 self.effects.log_messages.append(text)
 
     def finish(self) -> Effects:
-        """Completes the updates of all proxies concerned."""
+        """Build the updates of all affected proxies and return the effects of the round."""
         for backend in self.restored:
-            # Known only now: the line that holds it may come after the decision that restores it.
+            # A line for the backend may be added by a decision that follows the one that restores the backend, so the
+            # proxies to inform are known only after the last decision.
             for proxy, joined in self.state.joined.items():
                 if self.state.may_use(joined, backend):
                     self._update_for(proxy).restored[backend] = None
         awaited_round = AwaitedRound(self.number, self.now)
-        shared: dict[ProxyUpdate, ProxyUpdate] = {}  # equal updates are one object, so that each is encoded once
+        # Proxies with equal updates get the same object, which is then encoded only once.
+        unique_updates: dict[ProxyUpdate, ProxyUpdate] = {}
         for proxy, pending in self.updates.items():
             joined = self.state.joined[proxy]
             if self.number != NO_ROUND:
                 joined.awaited_rounds.append(awaited_round)
             update = self._complete(joined, pending)
-            self.effects.updates.append(AddressedUpdate(proxy, joined.stream, shared.setdefault(update, update)))
+            self.effects.updates.append(
+                AddressedUpdate(proxy, joined.stream, unique_updates.setdefault(update, update))
+            )
         return self.effects
 
     def _update_for(self, proxy: int) -> PendingUpdate:
@@ -120,9 +132,10 @@
         self.state.withdrawn[backend] = None
         self.state.endpoints.returned.discard(backend)
         for proxy, joined in self.state.joined.items():
-            # Tables that are not of this controller may hold anything.
-            holds = self.state.may_use(joined, backend)
-            if not joined.silent and (holds or not joined.tables):
+            # A proxy without tables from this controller may still use those of another one, which may have a line for
+            # the backend.
+            has_line = self.state.may_use(joined, backend)
+            if not joined.silent and (has_line or not joined.tables):
                 self._update_for(proxy).withdrawn[backend] = None
 
     def _restore(self, backend: str) -> None:
--- a/onyxhead/node/policy_host.py
+++ b/onyxhead/node/policy_host.py
@@ -1,7 +1,8 @@
-"""Hosts the policy for proxies on streams, without I/O: events become calls on it, its decisions one update a proxy.
+"""Connects the balancing policy to proxies on streams, without I/O.
 
-Nothing here decides anything. The host remembers what the protocol makes it remember (`proxy_state`). Times are in
-ticks (`onyxhead.time_units`).
+The host passes events on to the policy and turns the policy's decisions into one update for each proxy. It makes no
+decisions itself, and keeps only the state that the stream protocol requires (`proxy_state`). Times are in ticks
+(`onyxhead.time_units`).
 """
 
 from __future__ import annotations
@@ -18,35 +19,41 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 SILENCE_TIMEOUT = 4 * TICKS_PER_SECOND
-"""How long a stream may owe an acknowledgement and say nothing before it counts as silent."""
+"""How long a stream with an outstanding acknowledgement may send nothing before it can count as silent."""
 
 
 class StreamPolicyHost:
-    """One policy and the proxies that joined it; a proxy is known by its number and the identity of its stream."""
+    """A policy and the proxies that have joined.
+
+    Events of a proxy carry its number and the identity of its stream, so that events of a replaced stream are ignored.
+    """
 
     def __init__(self, deployment: Deployment, seed: int, now: int) -> None:
         self.policy = BalancingPolicy(deployment, seed, now)
         self.state = ProxyState()
-        self.last_acknowledged_sent_at = 0  # when the latest round that anyone has acknowledged was sent
+        self.last_acknowledged_sent_at = 0  # send time of the latest round that any proxy has acknowledged
         self.counts: Counter[str] = Counter()
 
     # Events
 
     def on_endpoint_update(self, now: int, event: WatchEvent, endpoints: list[Endpoint]) -> None:
-        """An update of the endpoint list."""
+        """Apply an update of the endpoint list."""
         self.state.endpoints.update(event, endpoints)
         self.policy.on_endpoint_update(now, event, endpoints)
         for backend in self.state.endpoints.forget_departed():
             self.state.withdrawn.pop(backend, None)
 
     def on_discovery_failure(self, now: int) -> None:
-        """Service discovery could not be read."""
+        """Inform the policy of a failed call to service discovery."""
         self.policy.on_endpoint_update(now, WatchEvent.REJECTED, [])
 
     def on_proxy_joined(
         self, now: int, proxy: int, zone: int, baseline_rate: float, has_standing_table: bool, stream: Hashable
     ) -> None:
-        """The proxy joined on this stream; an earlier one is over, whether its end was seen or not."""
+        """Add a proxy that has joined on this stream.
+
+        An earlier stream of the proxy ends, even if its connection has not been closed yet.
+        """
         if proxy in self.state.joined:
             self.counts[counters.STREAMS_REPLACED] += 1
             self._remove(now, proxy)
@@ -55,32 +62,34 @@
         self.counts[counters.PROXIES_JOINED] += 1
 
     def on_stream_closed(self, now: int, proxy: int, stream: Hashable) -> bool:
-        """The proxy left; False if it has joined on another stream meanwhile, and nothing changes."""
-        if self._joined_on(proxy, stream) is None:
+        """Remove the proxy whose stream was closed; return whether it was still joined on this stream."""
+        if self._find_joined(proxy, stream) is None:
             return False
         self._remove(now, proxy)
         self.counts[counters.PROXIES_LEFT] += 1
         return True
 
     def on_message(self, now: int, proxy: int, stream: Hashable) -> None:
-        """Any message came on this stream."""
-        if (joined := self._joined_on(proxy, stream)) is None:
+        """Note that the stream has received a message of any kind, and let a silent stream resume."""
+        if (joined := self._find_joined(proxy, stream)) is None:
             return
         joined.last_message_at = now
         if joined.silent:
-            # The policy was told that it left, and what it holds is no longer known: it joins anew.
+            # The policy regards a silent proxy as having left, and which updates the proxy has applied is unknown. So
+            # the proxy joins the policy again, without a table.
             joined.silent, joined.tables = False, {}
             joined.awaited_rounds.clear()
             self.policy.on_proxy_joined(now, proxy, joined.zone, joined.baseline_rate, False)
             self.counts[counters.STREAMS_RESUMED] += 1
 
     def on_acknowledgement(self, now: int, proxy: int, stream: Hashable, round_number: int, elapsed: int) -> bool:
-        """The proxy applied a round; False if this stream was not asked to acknowledge it."""
-        joined = self._joined_on(proxy, stream)
+        """Record that the proxy has applied a round; return whether this stream awaited that acknowledgement."""
+        joined = self._find_joined(proxy, stream)
         if joined is None or all(round_number != awaited.number for awaited in joined.awaited_rounds):
             return False
         while True:
-            # Messages are applied in order: what was sent earlier is applied too, its acknowledgement lost or invalid.
+            # A proxy applies messages in order, so earlier rounds have been applied too, even if their acknowledgements
+            # were lost or invalid.
             number, sent_at = joined.awaited_rounds.popleft()
             if number == round_number:
                 break
@@ -99,23 +108,24 @@
         window: int,
         load: LoadReport,
     ) -> None:
-        """Attempts at a backend from one zone."""
+        """Pass on the statistics of attempts at a backend from one zone; `window` is the time that they cover."""
         self.policy.on_attempt_statistics(now, backend, zone, attempts, failed, mean_latency, window, load)
 
     def on_request_rate(self, now: int, proxy: int, group: int, requests: int, window: int) -> None:
-        """Requests of a traffic group that reached a proxy."""
+        """Pass on the number of requests of a traffic group that a proxy received within `window`."""
         self.policy.on_request_rate(now, proxy, group, requests, window)
 
     def on_health_check(self, now: int, backend: str, result: HealthCheckResult, load: LoadReport) -> None:
-        """The result of a health check."""
+        """Pass on the result of a health check."""
         self.policy.on_health_check(now, backend, result, load)
 
     def detect_silent_streams(self, now: int) -> list[int]:
-        """Proxies whose streams have just fallen silent.
+        """Mark streams that have become silent, and return their proxies.
 
-        They owe an acknowledgement that the channel, which is in order, has let pass at others, and nothing at all
-        comes from them. The platform says nothing when a machine vanishes; what waits for one must not count as waiting
-        for good, nor a slow channel be taken for silence.
+        The platform doesn't report a machine that has vanished, and its unacknowledged messages must not count as
+        waiting forever. A stream counts as silent if it has sent nothing for `SILENCE_TIMEOUT` while its oldest
+        outstanding round was sent before a round that another proxy has acknowledged. The second condition excludes a
+        slow channel, which delivers messages in order and so delays all proxies.
         """
         silent = [proxy for proxy, joined in self.state.joined.items() if self._is_silent(joined, now)]
         for proxy in silent:
@@ -129,11 +139,11 @@
         if joined.silent or not joined.awaited_rounds:
             return False
         oldest_sent_at = joined.awaited_rounds[0].sent_at
-        passed_elsewhere = oldest_sent_at < self.last_acknowledged_sent_at
-        return passed_elsewhere and now - max(joined.last_message_at, oldest_sent_at) > SILENCE_TIMEOUT
+        later_round_acknowledged = oldest_sent_at < self.last_acknowledged_sent_at
+        return later_round_acknowledged and now - max(joined.last_message_at, oldest_sent_at) > SILENCE_TIMEOUT
 
-    def _joined_on(self, proxy: int, stream: Hashable) -> JoinedProxy | None:
-        """The proxy, if it joined on this stream and on no later one."""
+    def _find_joined(self, proxy: int, stream: Hashable) -> JoinedProxy | None:
+        """Return the proxy, or None unless it is joined on this stream."""
         joined = self.state.joined.get(proxy)
         return joined if joined is not None and joined.stream == stream else None
 
@@ -144,7 +154,7 @@
     # Decisions
 
     def decide(self, now: int) -> Effects:
-        """Runs one decision round of the policy."""
+        """Run one decision round of the policy and return its effects."""
         decision_round = DecisionRound(self.state, now)
         decisions = self.policy.decisions(now)
         while True:
@@ -153,13 +163,14 @@
                     break
                 decision_round.apply(decision, self.policy.round_recipients)
             except Exception as error:
-                # An error of the policy ends its round, one of ours this decision alone: the others still hold, since
-                # the policy takes them as sent and repeats them to nobody.
+                # An error raised by the policy ends the round; an error while a decision is applied affects only that
+                # decision. The other decisions are still carried out, because the policy regards them as sent and
+                # doesn't repeat them.
                 decision_round.effects.errors.append(describe_error(error))
         return decision_round.finish()
 
     def statistics(self) -> dict[str, float]:
-        """The state of the host and of its policy, by the names of the `figures` log line (docs/node.md)."""
+        """Return the fields of the `figures` log line about the host and its policy (docs/node.md)."""
         joined, listed = self.state.joined.values(), self.state.endpoints.listed
         policy = self.policy.statistics()
         return {
--- a/onyxhead/node/proxy_state.py
+++ b/onyxhead/node/proxy_state.py
@@ -1,4 +1,4 @@
-"""What the stream protocol makes a controller remember: joined proxies, the tables they were told, and endpoints."""
+"""The state that the stream protocol requires of a controller: joined proxies, tables sent to them, and endpoints."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from onyxhead.policy.inputs import Endpoint, WatchEvent
 
 MAX_AWAITED_ROUNDS = 256
-"""Rounds that one stream may still acknowledge; older ones are no longer told apart from made-up ones."""
+"""Rounds kept for each stream as awaiting acknowledgement; an acknowledgement of an older round is rejected."""
 MAX_LISTED_ENDPOINTS = 8192
-"""Endpoints remembered as once listed; an update or report on a forgotten one names nothing."""
+"""Limit of the endpoints kept, including departed ones; reports on a backend that was dropped are invalid."""
 
 
 class AwaitedRound(NamedTuple):
-    """A round that a stream was asked to acknowledge."""
+    """A round whose acknowledgement a stream was asked for."""
 
     number: int
     sent_at: int
@@ -25,22 +25,22 @@
 
 @dataclass(slots=True)
 class JoinedProxy:
-    """One proxy on one stream."""
+    """A proxy that has joined on a stream."""
 
     stream: Hashable
     zone: int
     baseline_rate: float
     last_message_at: int
     silent: bool = False
-    tables: dict[int, tuple[int, ...]] = field(default_factory=dict)  # traffic groups by table, as the stream was told
+    tables: dict[int, tuple[int, ...]] = field(default_factory=dict)  # traffic groups by table, as sent
     awaited_rounds: deque[AwaitedRound] = field(default_factory=lambda: deque(maxlen=MAX_AWAITED_ROUNDS))
 
 
 class KnownEndpoints:
-    """Every endpoint listed since the start, as it was last.
+    """The last known state of every endpoint that has been listed since the start.
 
     A proxy keeps withdrawals across streams, so a backend that is ready again may still be withdrawn at a proxy that
-    missed its return: `returned` are those that were seen to go and come back.
+    was not connected when the backend returned. `returned` holds the backends that have departed and come back.
     """
 
     def __init__(self) -> None:
@@ -48,24 +48,25 @@
         self.returned: set[str] = set()
 
     def update(self, event: WatchEvent, endpoints: list[Endpoint]) -> None:
-        """Takes in an update of the list."""
+        """Apply an update of the endpoint list."""
         for endpoint in endpoints:
-            before = self.listed.pop(endpoint.backend, None)
-            # Only what was seen to go and come: after a deploy nearly all have started lately, and a line for each at
-            # every join took a quarter of the channel just when tables had to go out.
-            if endpoint.ready and before is not None and (not before.ready or before.started_at != endpoint.started_at):
+            old = self.listed.pop(endpoint.backend, None)
+            # Only a backend whose departure and return were both observed counts as returned. A recent start alone is
+            # not enough: after a deploy nearly all backends have started recently, and one line for each of them in
+            # every join took a quarter of the channel while tables had to be sent.
+            if endpoint.ready and old is not None and (not old.ready or old.started_at != endpoint.started_at):
                 self.returned.add(endpoint.backend)
             self.listed[endpoint.backend] = endpoint
         if event is WatchEvent.SNAPSHOT:
             self._mark_absent({endpoint.backend for endpoint in endpoints})
         self.returned = {backend for backend in self.returned if self.listed[backend].ready}
 
-    def _mark_absent(self, named: set[str]) -> None:
-        for backend in [name for name, endpoint in self.listed.items() if name not in named and endpoint.ready]:
+    def _mark_absent(self, present: set[str]) -> None:
+        for backend in [name for name, endpoint in self.listed.items() if name not in present and endpoint.ready]:
             self.listed[backend] = self.listed[backend]._replace(ready=False, draining=False)
 
     def forget_departed(self) -> list[str]:
-        """Forgets the oldest departed endpoints if there are too many; returns their names."""
+        """Drop the oldest departed endpoints if the limit is exceeded; return their names."""
         if len(self.listed) <= MAX_LISTED_ENDPOINTS:
             return []
         departed = [name for name, endpoint in self.listed.items() if not endpoint.ready][: len(self.listed) // 2]
@@ -75,7 +76,7 @@
 
 
 class ProxyState:
-    """What all joined proxies together were told. Tables are shared; each proxy has the numbers of those it uses."""
+    """The state sent to all joined proxies. Tables are shared, and each proxy refers to those it uses by number."""
 
     def __init__(self) -> None:
         self.tables: dict[int, dict[str, float]] = {}
@@ -85,9 +86,9 @@
         self.endpoints = KnownEndpoints()
 
     def users_of(self, table: int) -> list[int]:
-        """The proxies that use a table."""
+        """Return the proxies that use a table."""
         return [proxy for proxy, joined in self.joined.items() if table in joined.tables]
 
     def may_use(self, joined: JoinedProxy, backend: str) -> bool:
-        """Whether a line for the backend is in a table that the proxy uses."""
+        """Return whether a table that the proxy uses has a line for the backend."""
         return any(backend in self.tables.get(table, {}) for table in joined.tables)
