--- a/onyxhead/node/discovery.py
+++ b/onyxhead/node/discovery.py
@@ -1,4 +1,4 @@
-"""Follows service discovery: the whole list once, then a watch that is renewed as soon as it is answered."""
+"""Follows service discovery: requests the whole endpoint list once, then long-polls for changes to it."""
 
 from __future__ import annotations
 
@@ -12,25 +12,32 @@
 
 ENDPOINTS_PATH = "/v1/servers"
 WATCH_WAIT_MS = 4000
-"""How long a watch may wait. Shorter finds a dead connection sooner; each answer costs one request."""
+"""How long discovery may hold a watch request open without a change.
+
+A shorter wait detects a dead connection sooner, but costs more requests.
+"""
 RESPONSE_MARGIN_S = 1.0
-"""Past the wait in which an answer must come, and for a connection or a plain answer at all."""
+"""Timeout for connecting and for a request without a wait; a watch request gets this in addition to its wait."""
 INITIAL_BACKOFF_S = 0.25
 MAX_BACKOFF_S = 1.0
 BACKOFF_FACTOR = 1.5
 BACKOFF_JITTER = (0.5, 1.0)
 MAX_LIST_BYTES = 4 * 1024 * 1024
 MAX_CALLS = 3
-"""Calls open at a time, at addresses left and new; descriptors are few."""
+"""Limit of concurrent calls, to the current address and earlier ones; it keeps within the reserved descriptors."""
 OK = 200
 
 
 class DiscoveryWatch:
-    """`on_update` gets every list that says something new, `on_failure` each error; `move` follows another address.
+    """Follows the endpoint list at one address of service discovery at a time.
+
+    `on_update` receives each snapshot and each change, `on_failure` the text of each error. `move` switches to another
+    address.
 
-    Only `stop` ends an open call: discovery counts what an answer holds as delivered once it is written, so one that is
-    half read is read to its end, also after a move. Calls at an address that was left are not renewed once the new one
-    answers.
+    A move doesn't cancel the call that is open at the previous address. Discovery regards the changes in a response as
+    delivered once it has written them, so a partly received response has to be read to its end. The call at the
+    previous address isn't repeated once the new address has answered. Only `stop`, or more than `MAX_CALLS` concurrent
+    calls, cancels a call.
     """
 
     def __init__(
@@ -43,13 +50,13 @@
     ) -> None:
         self.address, self.index, self.on_update, self.on_failure = address, index, on_update, on_failure
         self.uniform = random.Random(seed).uniform
-        self.revision: int | None = None  # of the last update that was taken in
-        self.answered = False  # at the current address, since the move there
+        self.revision: int | None = None  # of the last update that was delivered
+        self.current_address_answered = False  # since the last move
         self.current: asyncio.Task[None] | None = None
-        self.tasks: dict[asyncio.Task[None], None] = {}  # by age; all but the current one end by themselves
+        self.tasks: dict[asyncio.Task[None], None] = {}  # the oldest first; all but the current one end by themselves
 
     def start(self) -> None:
-        """Begins to follow the current address."""
+        """Start to follow the current address."""
         self.current = asyncio.get_running_loop().create_task(self._run(self.address))
         self.tasks[self.current] = None
         self.current.add_done_callback(self._on_task_done)
@@ -57,12 +64,12 @@
             task.cancel()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Follows another address from now on, for what is newer than the known revision."""
-        self.address, self.answered = address, False
+        """Follow discovery at another address from now on, starting after the last delivered revision."""
+        self.address, self.current_address_answered = address, False
         self.start()
 
     async def stop(self) -> None:
-        """Ends all calls."""
+        """Cancel all calls."""
         tasks, self.current = list(self.tasks), None
         for task in tasks:
             task.cancel()
@@ -71,7 +78,8 @@
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
         del self.tasks[task]
         if task is self.current and not task.cancelled():
-            # Nobody else would notice: lists would stop for good. The restart is set first, as reporting may fail too.
+            # Without a restart, no update would ever arrive again. The restart is scheduled before the failure is
+            # reported, because `on_failure` may raise.
             asyncio.get_running_loop().call_later(MAX_BACKOFF_S, self._restart, task)
             self.on_failure(f"the watch ended: {task.exception()!r}")
 
@@ -83,8 +91,8 @@
         return asyncio.current_task() is self.current
 
     def _is_superseded(self) -> bool:
-        """Whether the new address answers, so that this call at the old one need not be renewed."""
-        return not self._is_current() and self.answered
+        """Return whether this call is to a previous address while the current address has answered."""
+        return not self._is_current() and self.current_address_answered
 
     async def _run(self, address: tuple[str, int]) -> None:
         backoff = INITIAL_BACKOFF_S
@@ -96,8 +104,8 @@
             except (OSError, HttpError) as error:
                 self.on_failure(str(error))
             except Exception as error:
-                # What was missed can't be told from such an answer, or was not taken in for an error of ours: the
-                # whole list is asked for.
+                # Either the response was invalid or the update could not be applied because of an internal error. Which
+                # changes are missing is unknown, so the next request is for the whole list.
                 self.revision = None
                 self.on_failure(str(error) if isinstance(error, InvalidEndpointListError) else repr(error))
             else:
@@ -108,36 +116,36 @@
             backoff = min(MAX_BACKOFF_S, BACKOFF_FACTOR * backoff)
 
     async def _follow(self, address: tuple[str, int]) -> None:
-        """Asks on one connection until it fails or is no longer needed."""
+        """Send requests on one connection until it can't be reused or the call is superseded."""
         async with asyncio.timeout(RESPONSE_MARGIN_S):
             connection = await Connection.open(*address)
         async with connection:
             while connection.reusable and not self._is_superseded():
                 known_revision = self.revision
                 update = self._read_response(await _request_list(connection, known_revision), known_revision)
-                self.answered |= self._is_current()
-                self._take_in(update, known_revision)
+                self.current_address_answered |= self._is_current()
+                self._deliver(update, known_revision)
 
     def _read_response(self, response: Response, known_revision: int | None) -> EndpointUpdate:
         if response.status != OK:
-            raise HttpError(f"discovery answers {response.status}")
+            raise HttpError(f"discovery responded with status {response.status}")
         update = parse_endpoint_list(response.body, self.index)
         if known_revision is not None and update.revision < known_revision:
-            raise InvalidEndpointListError(f"revision {update.revision} after {known_revision}")
+            raise InvalidEndpointListError(f"revision {update.revision} is older than {known_revision}")
         if known_revision is None and not update.is_snapshot:
-            raise InvalidEndpointListError("changes where the whole list was asked for")
+            raise InvalidEndpointListError("incomplete list in response to a request for the whole list")
         return update
 
-    def _take_in(self, update: EndpointUpdate, known_revision: int | None) -> None:
+    def _deliver(self, update: EndpointUpdate, known_revision: int | None) -> None:
         if self.revision is not None and self.revision != known_revision and update.revision <= self.revision:
-            return  # another call has delivered as much meanwhile
+            return  # a concurrent call has already delivered this revision or a newer one
         if update.is_snapshot or update.endpoints:
             self.on_update(update)
         self.revision = update.revision
 
 
 async def _request_list(connection: Connection, known_revision: int | None) -> Response:
-    """The whole list, or a watch for what is newer than a known revision."""
+    """Request the whole list, or the changes after the known revision if there is one."""
     target, wait_s = ENDPOINTS_PATH, 0.0
     if known_revision is not None:
         target, wait_s = f"{ENDPOINTS_PATH}?index={known_revision}&wait={WATCH_WAIT_MS}", WATCH_WAIT_MS / 1000
--- a/onyxhead/node/endpoint_list.py
+++ b/onyxhead/node/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as service discovery sends it: endpoints for the policy and their addresses. No I/O."""
+"""Parser of the endpoint list that service discovery sends, without I/O."""
 
 from __future__ import annotations
 
@@ -15,15 +15,18 @@
 MAX_STARTED_MS = 1e14
 MAX_PORT = 65_535
 RESERVED_CHARACTERS = set(" ,:+\r\n\t")
-"""They would break an update that names the backend."""
+"""Separators of the stream protocol; a backend's name must not contain them."""
 
 
 class InvalidEndpointListError(NodeError):
-    """The answer is not a list that can be followed; the list known before stays in force."""
+    """The endpoint list is invalid; the node keeps using the last valid one."""
 
 
 class EndpointUpdate(NamedTuple):
-    """A snapshot of the endpoint list, or the endpoints that changed; addresses by backend."""
+    """A snapshot of the endpoint list, or only the endpoints that changed.
+
+    `addresses` holds the host and port of each backend in `endpoints`.
+    """
 
     revision: int
     is_snapshot: bool
@@ -32,9 +35,10 @@
 
 
 class SettingsIndex(NamedTuple):
-    """Zones and kinds by their number in the settings; kinds that the settings lack are added.
+    """The numbers that the settings give to zones and kinds.
 
-    `ticks_at` turns a Unix time in seconds into the node's time in ticks.
+    A kind that the settings don't have gets the next free number when an endpoint list first names it. `ticks_at`
+    converts a Unix time in seconds into the node's time in ticks.
     """
 
     zones: dict[str, int]
@@ -43,22 +47,22 @@
 
 
 def parse_endpoint_list(body: bytes, index: SettingsIndex) -> EndpointUpdate:
-    """The list in an answer. Raises InvalidEndpointListError."""
+    """Parse the endpoint list in a response body. Raises InvalidEndpointListError."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise InvalidEndpointListError(f"not JSON, perhaps half written: {error}") from error
+        raise InvalidEndpointListError(f"not valid JSON, perhaps half written: {error}") from error
     return read_endpoint_list(document, index)
 
 
 def read_endpoint_list(document: object, index: SettingsIndex) -> EndpointUpdate:
-    """The list in a JSON value.
+    """Read the endpoint list from a parsed JSON document. Raises InvalidEndpointListError.
 
-    Raises InvalidEndpointListError. One bad member invalidates the list: without it, a snapshot would say that the
-    backend has gone.
+    One invalid member invalidates the whole list. If the member were left out instead, a snapshot would report its
+    backend as departed.
     """
     if not isinstance(document, dict):
-        raise InvalidEndpointListError("no object")
+        raise InvalidEndpointListError("not an object")
     revision, complete, members = document.get("revision"), document.get("complete"), document.get("members")
     if type(revision) is not int or type(complete) is not bool or not isinstance(members, list):
         raise InvalidEndpointListError("revision, complete or members is missing or of the wrong type")
--- a/onyxhead/node/endpoints.py
+++ b/onyxhead/node/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints of a node: the list cached in its configuration, then what service discovery says."""
+"""The endpoints of a node, first from the list cached in its configuration, then from service discovery."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 class BackendIdentity(NamedTuple):
-    """Where a backend is and since when; another one may come under its name."""
+    """The address and start time of a backend, which distinguish it from a later backend with the same name."""
 
     address: tuple[str, int] | None
     started_at: int
 
 
 class EndpointSubscription:
-    """Hands endpoint lists to the policy and keeps the addresses of the backends.
+    """Passes endpoint lists to the policy and keeps the addresses of the backends.
 
-    With `report_failures` the policy is told of failed calls to discovery, which it then may repeat.
+    With `report_failures` the policy is informed of failed calls to discovery, so that it may subscribe again.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self.addresses: dict[str, tuple[str, int]] = {}
 
     def load_cached(self, document: object) -> None:
-        """Starts from the list in the configuration, if it has one that can be used."""
+        """Load the endpoint list from the configuration; log if there is none or it is invalid."""
         if document is None:
             self.context.log.event("no cached endpoint list")
             return
@@ -63,23 +63,23 @@
         self.context.log.event("cached endpoint list loaded", endpoints=len(update.endpoints), revision=update.revision)
 
     def subscribe(self) -> None:
-        """Follows service discovery from now on."""
+        """Start to follow service discovery, unless that has been done."""
         if not self.subscribed:
             self.subscribed = True
             self.watch.start()
 
     def move(self, discovery: tuple[str, int]) -> None:
-        """Follows service discovery at another address, if it is followed already."""
+        """Follow service discovery at another address, if the node is subscribed."""
         if self.subscribed:
             self.watch.move(discovery)
 
     def identity(self, backend: str) -> BackendIdentity:
-        """Tells the backend that has this name now from those before and after it."""
+        """Return the identity of the backend that has this name now."""
         endpoint = self.host.state.endpoints.listed.get(backend)
         return BackendIdentity(self.addresses.get(backend), endpoint.started_at if endpoint else 0)
 
     def on_update(self, update: EndpointUpdate) -> None:
-        """Service discovery sent a list that says something new."""
+        """Apply an update from service discovery."""
         self._update_addresses(update)
         event = WatchEvent.SNAPSHOT if update.is_snapshot else WatchEvent.DELTA
         try:
@@ -105,7 +105,7 @@
                 self.addresses.pop(endpoint.backend, None)
 
     def on_failure(self, error: str) -> None:
-        """Service discovery could not be read; the list known before stays in force."""
+        """Handle a failed call to service discovery; the last endpoint list stays in use."""
         self.context.counts[counters.DISCOVERY_FAILURES] += 1
         self.context.log.event_once("discovery failed", error)
         if self.report_failures:
--- a/onyxhead/node/errors.py
+++ b/onyxhead/node/errors.py
@@ -1,7 +1,7 @@
-"""The base of the node's exceptions."""
+"""The base class of the node's exceptions."""
 
 from __future__ import annotations
 
 
 class NodeError(Exception):
-    """Something from outside can't be used by the node; the text says what and why."""
+    """Input such as a file or a response is unusable; the message names the input and the cause."""
