--- a/onyxhead/health_check.py
+++ b/onyxhead/health_check.py
@@ -1,4 +1,4 @@
-"""The request of an active health check, as the node and the controller make it: one, on a connection of its own."""
+"""The HTTP request of an active health check, shared by the node and the controller."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HealthCheckFailedError(Exception):
-    """The backend gave no answer; `result` says in which way."""
+    """The backend gave no valid HTTP response; `result` tells a timeout from a failed connection."""
 
     def __init__(self, result: HealthCheckResult) -> None:
         super().__init__(result.value)
@@ -18,7 +18,10 @@
 
 
 async def request_health(address: tuple[str, int], path: str, timeout_s: float, max_body_bytes: int) -> Response:
-    """The backend's answer. Raises HealthCheckFailedError if there is none in time, or none that is HTTP."""
+    """Request the path on a new connection and return the response, whatever its status.
+
+    Raises HealthCheckFailedError if the backend can't be reached, doesn't respond in time or doesn't speak HTTP.
+    """
     try:
         async with asyncio.timeout(timeout_s):
             async with await Connection.open(*address) as connection:
--- a/onyxhead/node/__main__.py
+++ b/onyxhead/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m onyxhead.node`: one controller on the platform, configured by its environment."""
+"""Entry point of `python -m onyxhead.node`, which runs one node as its environment variables configure it."""
 
 from __future__ import annotations
 
--- a/onyxhead/node/configuration.py
+++ b/onyxhead/node/configuration.py
@@ -1,4 +1,4 @@
-"""How a node is configured: variables of its environment, and the file that they name."""
+"""The configuration of a node: environment variables, and the JSON file that one of them names."""
 
 from __future__ import annotations
 
@@ -25,17 +25,19 @@
 MIN_MAX_SOCKETS = 64
 MAX_PORT = 65_535
 NO_LOAD_REPORTS = "off"
+"""Value of `report.via` in the settings if the backends report no load."""
 
 
 class ConfigurationError(NodeError):
-    """The node can't start with this; one line that names the variable or file, and what is wrong."""
+    """The configuration is unusable; the message is one line that names the variable or file and the error in it."""
 
 
 class NodeConfiguration(NamedTuple):
-    """A node's configuration.
+    """The configuration of a node, as read from its file.
 
-    `max_sockets` is how many sockets the process may have open, `cached_endpoints` the endpoint list to start from (not
-    checked yet), `min_round_interval` the shortest time between two decision rounds in ticks.
+    `max_sockets` limits the sockets that the process has open at a time. `cached_endpoints` is the endpoint list that
+    the node starts with, still as parsed JSON and not validated. `kinds` are the host types of the settings.
+    `min_round_interval` is the shortest time between two decision rounds, in ticks.
     """
 
     name: str
@@ -53,7 +55,10 @@
 
 
 def read_environment(environment: Mapping[str, str]) -> tuple[NodeConfiguration, Path]:
-    """The configuration that an environment names, and where its file is. Raises ConfigurationError."""
+    """Return the configuration that the environment variables name and the path of its file.
+
+    Raises ConfigurationError.
+    """
     for name in VARIABLES:
         if not environment.get(name):
             raise ConfigurationError(f"{name} is not set")
@@ -64,7 +69,7 @@
 
 
 def read_configuration(path: Path) -> NodeConfiguration:
-    """The configuration in a file. Raises ConfigurationError."""
+    """Read the configuration from a file. Raises ConfigurationError."""
     try:
         body = path.read_bytes()
     except OSError as error:
@@ -72,7 +77,7 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise ConfigurationError(f"{path.name}: not JSON, perhaps half written: {error}") from error
+        raise ConfigurationError(f"{path.name}: not valid JSON, perhaps half written: {error}") from error
     if not isinstance(document, dict):
         raise ConfigurationError(f"{path.name}: not an object")
     try:
@@ -84,12 +89,12 @@
 def _read_document(document: dict[str, Any]) -> NodeConfiguration:
     for name in ("name", "listen", "discovery", "seed"):
         if not isinstance(document.get(name), str) or not document[name]:
-            raise InvalidSettingsError(f"{name} is missing or no text")
+            raise InvalidSettingsError(f"{name} is missing, empty or not a string")
     settings = document.get("settings")
     if not isinstance(settings, dict):
-        raise InvalidSettingsError("settings is missing or no object")
-    max_sockets = _max_sockets(document.get("limits", {}))
-    seed = _seed(document["seed"])
+        raise InvalidSettingsError("settings is missing or not an object")
+    max_sockets = _read_max_sockets(document.get("limits", {}))
+    seed = _parse_seed(document["seed"])
     deployment = read_deployment(settings)
     try:
         zones, kinds = (tuple(map(str, settings[name])) for name in ("zones", "hostTypes"))
@@ -113,23 +118,26 @@
     )
 
 
-def _max_sockets(limits: object) -> int:
+def _read_max_sockets(limits: object) -> int:
     sockets = limits.get("sockets", DEFAULT_MAX_SOCKETS) if isinstance(limits, dict) else None
     if type(sockets) is not int or sockets < MIN_MAX_SOCKETS:
-        raise InvalidSettingsError(f"limits: sockets is {sockets!r}, and {MIN_MAX_SOCKETS} are the least to work with")
+        raise InvalidSettingsError(f"limits: sockets is {sockets!r}, not an integer of at least {MIN_MAX_SOCKETS}")
     return sockets
 
 
-def _seed(text: str) -> int:
+def _parse_seed(text: str) -> int:
     try:
         return int(text, 16)
     except ValueError as error:
-        raise InvalidSettingsError(f"seed {text!r} is no hex number") from error
+        raise InvalidSettingsError(f"seed {text!r} is not a hex number") from error
 
 
 def parse_address(text: str, name: str) -> Address:
-    """The address in `host:port`. Raises ConfigurationError, which says whose address it is by `name`."""
+    """Parse an address of the form `host:port`.
+
+    Raises ConfigurationError, which names the setting or variable `name` that holds the address.
+    """
     host, separator, port = text.rpartition(":")
     if not separator or not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) <= MAX_PORT:
-        raise ConfigurationError(f"{name}: {text!r} is no host:port")
+        raise ConfigurationError(f"{name}: {text!r} is not of the form host:port")
     return host, int(port)
--- a/onyxhead/node/context.py
+++ b/onyxhead/node/context.py
@@ -1,4 +1,4 @@
-"""What every part of a node shares: its clock, its log and its counters."""
+"""The clock, log and counters that all parts of a node share."""
 
 from __future__ import annotations
 
@@ -12,13 +12,16 @@
 
 @dataclass(slots=True)
 class NodeContext:
-    """One for each node."""
+    """The clock, log and counters of one node."""
 
     clock: Clock
     log: JsonLog
     counts: Counter[str] = field(default_factory=Counter)
 
     def internal_error(self, operation: str, error: str) -> None:
-        """Counts an error of the node itself and logs it once; it ends nothing else."""
+        """Count an error in the node's own code, and log each distinct error once.
+
+        The node continues to run.
+        """
         self.counts[counters.INTERNAL_ERRORS] += 1
         self.log.event_once("internal error", error, operation=operation)
--- a/onyxhead/node/health_checks.py
+++ b/onyxhead/node/health_checks.py
@@ -1,4 +1,4 @@
-"""Active health checks: one request on one connection, and its outcome."""
+"""Active health checks of backends; each is one HTTP request on a connection of its own."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from onyxhead.policy.inputs import HealthCheckResult, LoadReport
 
 LOAD_PATH = "/load"
-"""Answers with a load report."""
+"""Used instead of `HEALTH_PATH` if backends report their load; the response holds a load report."""
 HEALTH_PATH = "/healthz"
 MAX_CONCURRENT_CHECKS = 16
 CHECK_TIMEOUT_S = 0.5
-"""From the first packet to the answer. A backend that is cut off says nothing at all, so silence counts alike before
-and after the connection stands."""
+"""Covers connecting and the response together. A backend that is cut off from the network responds to neither, so a
+timeout has the same result before and after the connection is established."""
 MAX_REPORT_BYTES = 4096
 OK = 200
 
@@ -23,7 +23,10 @@
 async def check_health(
     address: tuple[str, int], path: str, timeout_s: float = CHECK_TIMEOUT_S
 ) -> tuple[HealthCheckResult, LoadReport]:
-    """The outcome of one health check, and what the backend reported of its load."""
+    """Run one health check; return its result and the load that the backend reported.
+
+    A malformed load report counts as an empty one and doesn't fail the check.
+    """
     try:
         response = await request_health(address, path, timeout_s, MAX_REPORT_BYTES)
     except HealthCheckFailedError as error:
@@ -39,7 +42,7 @@
 
 
 class HealthChecker:
-    """Runs health checks, one at a time for each backend and at most `MAX_CONCURRENT_CHECKS` in all."""
+    """Runs health checks, at most one at a time for each backend and `MAX_CONCURRENT_CHECKS` in total."""
 
     def __init__(self, path: str, on_result: Callable[[str, Hashable, HealthCheckResult, LoadReport], None]) -> None:
         self.path, self.on_result = path, on_result
@@ -47,7 +50,10 @@
         self.running: dict[str, asyncio.Task[None]] = {}
 
     def start(self, backend: str, address: tuple[str, int], identity: Hashable) -> None:
-        """Checks a backend. `identity` comes back with the result, to tell it from a successor of the same name."""
+        """Start a health check, unless one of this backend is running.
+
+        `identity` is passed on to `on_result`, which detects by it that another backend has taken the name meanwhile.
+        """
         if backend not in self.running:
             self.running[backend] = asyncio.get_running_loop().create_task(self._check(backend, address, identity))
 
--- a/onyxhead/node/json_log.py
+++ b/onyxhead/node/json_log.py
@@ -1,7 +1,8 @@
-"""The log of the node: one JSON object a line on standard error, no more than a bounded number of lines a second.
+"""The node's log: one JSON object per line on standard error, with a rate limit.
 
-Fields have the same names in all events: `proxy`, `proxies`, `connection`, `zone`, `endpoints`, `revision`, `reason`
-(why something was closed), `error` (what went wrong) and `operation` (what was being done).
+Common fields have the same name and meaning in all events: `proxy`, `proxies`, `connection`, `zone`, `endpoints`,
+`revision`, `reason` (why a connection was closed), `error` (the text of the error) and `operation` (what the node was
+doing when the error occurred).
 """
 
 from __future__ import annotations
@@ -13,13 +14,16 @@
 from typing import TextIO
 
 LINES_PER_SECOND = 20.0
-"""In the long run. What can be provoked from outside must not fill a disk or the loop's time."""
+"""Sustained rate. Peers can provoke log lines, which must neither fill the disk nor occupy the event loop."""
 MAX_BURST_LINES = 200.0
 MAX_DISTINCT_ERRORS = 256
 
 
 class JsonLog:
-    """Writes events. `suppressed` counts those left out since the last line, which the next line reports."""
+    """Writes log events through a token bucket.
+
+    `suppressed` counts the lines dropped since the last one that was written; the next written line reports the count.
+    """
 
     def __init__(self, sink: TextIO | None = None, clock: Callable[[], float] = time.monotonic) -> None:
         self.sink, self.clock = sink or sys.stderr, clock
@@ -28,7 +32,7 @@
         self.seen_errors: set[str] = set()
 
     def event(self, event: str, **fields: object) -> None:
-        """Writes one line, unless there were too many of late."""
+        """Write one line, or count it as suppressed if the rate limit is exceeded."""
         now = self.clock()
         refill = (now - self.last_refill) * LINES_PER_SECOND
         self.available_lines, self.last_refill = min(MAX_BURST_LINES, self.available_lines + refill), now
@@ -43,10 +47,10 @@
             self.sink.write(line + "\n")
             self.sink.flush()
         except (OSError, ValueError):
-            pass  # the reader of the log has gone; the work goes on
+            pass  # standard error is closed or its reader has gone; the node runs on without a log
 
     def event_once(self, event: str, error: str, **fields: object) -> None:
-        """Writes the line the first time that this error is met, not each time."""
+        """Write a line for the first occurrence of this error text, and none for further occurrences."""
         if error not in self.seen_errors and len(self.seen_errors) < MAX_DISTINCT_ERRORS:
             self.seen_errors.add(error)
             self.event(event, error=error, **fields)
--- a/onyxhead/node/statistics.py
+++ b/onyxhead/node/statistics.py
@@ -1,4 +1,4 @@
-"""The `figures` line of the log: load of the process, the policy's statistics and all counters (docs/node.md)."""
+"""The periodic `figures` log line with process load, policy statistics and all counters (docs/node.md)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StatisticsLog:
-    """Measures the lag of the event loop and logs the statistics in regular intervals."""
+    """Measures how late the event loop runs its timers, and logs the statistics at regular intervals."""
 
     def __init__(
         self, context: NodeContext, host: StreamPolicyHost, decision_loop: DecisionLoop, listener: Listener
@@ -25,7 +25,7 @@
         self.max_lag_s = 0.0
 
     def start(self) -> None:
-        """Measures and logs from now on."""
+        """Start to measure and to log."""
         self._sample_lag_at(self.loop.time() + LAG_SAMPLE_INTERVAL_S)
         self.loop.call_later(LOG_INTERVAL_S, self._log)
 
