--- a/onyxhead/node/decision_loop.py
+++ b/onyxhead/node/decision_loop.py
@@ -16,8 +16,8 @@
 RETRY_DELAY_S = 1.0
 """Delay of the next round after one that failed.
 
-A failed round doesn't return the time at which the policy wants the next one, so without this retry the policy might not
-run again until the next event.
+A failed round doesn't return the time at which the policy wants the next one, so without this retry the policy might
+not run again until the next event.
 """
 
 
