--- a/tests/node_testbed.py
+++ b/tests/node_testbed.py
@@ -1,4 +1,4 @@
-"""Doubles of the platform around a node: discovery and backends, clients of its streams, a node process."""
+"""Doubles of a node's surroundings (service discovery, backends, stream clients), and a node process to test."""
 
 from __future__ import annotations
 
@@ -53,9 +53,9 @@
 }
 
 
-def config(**other: Any) -> dict[str, Any]:
-    given = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ff", "settings": SETTINGS}
-    return given | {"limits": {"sockets": 256}} | other
+def configuration_document(**overrides: Any) -> dict[str, Any]:
+    document = {"name": "n0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ff", "settings": SETTINGS}
+    return document | {"limits": {"sockets": 256}} | overrides
 
 
 MEMBER = {
@@ -70,18 +70,18 @@
 }
 
 
-class Platform:
-    """Discovery and backends as the platform's page describes them, as far as a node sees them."""
+class PlatformDouble:
+    """The platform's service discovery and the load reports of its backends, on one HTTP server."""
 
     def __init__(self) -> None:
         self.members = [
-            MEMBER | {"id": f"s-{n}", "host_port": "127.0.0.1:1", "up_since_ms": 0, "locality": "a", "size": 1.0}
-            for n in range(3)
+            MEMBER | {"id": f"s-{number}", "host_port": "127.0.0.1:1", "up_since_ms": 0, "locality": "a", "size": 1.0}
+            for number in range(3)
         ]
         self.revision, self.changed = 7, asyncio.Event()
-        self.asked: list[str] = []
-        self.bad: list[bytes] = []
-        self.probes = 0
+        self.requested_targets: list[str] = []
+        self.invalid_responses: list[bytes] = []
+        self.health_checks = 0
         self.server: asyncio.Server | None = None
 
     async def start(self) -> int:
@@ -91,11 +91,12 @@
             member["host_port"] = f"127.0.0.1:{port}"
         return port
 
-    def change(self, place: int, **fields: object) -> None:
-        self.members[place] = self.members[place] | fields
+    def change_member(self, index: int, **fields: object) -> None:
+        """Change fields of one member and answer the watches that wait for a new revision."""
+        self.members[index] = self.members[index] | fields
         self.revision += 1
-        before, self.changed = self.changed, asyncio.Event()
-        before.set()
+        previous_event, self.changed = self.changed, asyncio.Event()
+        previous_event.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -103,12 +104,12 @@
                 head = await reader.readuntil(b"\r\n\r\n")
                 target = head.split(b" ")[1].decode()
                 if target == "/load":
-                    self.probes += 1
-                    answer = b"queue=2,latency_ms=41.5"
+                    self.health_checks += 1
+                    body = b"queue=2,latency_ms=41.5"
                 else:
-                    self.asked.append(target)
-                    answer = await self._list(target)
-                writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(answer), answer))
+                    self.requested_targets.append(target)
+                    body = await self._list(target)
+                writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
                 await writer.drain()
         except (asyncio.IncompleteReadError, OSError):
             pass
@@ -116,18 +117,18 @@
             writer.close()
 
     async def _list(self, target: str) -> bytes:
-        if self.bad:
-            return self.bad.pop()
-        known = int(target.split("index=")[1].split("&")[0]) if "index=" in target else None
-        if known is not None and known >= self.revision:
+        if self.invalid_responses:
+            return self.invalid_responses.pop()
+        known_revision = int(target.split("index=")[1].split("&")[0]) if "index=" in target else None
+        if known_revision is not None and known_revision >= self.revision:
             await self.changed.wait()
-        whole = known is None
-        members = self.members if whole else self.members[:1]
-        return json.dumps({"revision": self.revision, "complete": whole, "members": members}).encode()
+        complete = known_revision is None
+        members = self.members if complete else self.members[:1]
+        return json.dumps({"revision": self.revision, "complete": complete, "members": members}).encode()
 
 
-class Client:
-    """One connection to the node."""
+class StreamClient:
+    """A connection to the node, as a proxy or collector opens it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.parser = reader, writer, RespParser()
@@ -136,7 +137,7 @@
         self.writer.write(encode_message(text.encode().split(b" ")))
 
     async def receive(self) -> dict[str, str] | None:
-        """The next message's fields, its kind under ""; None at the end."""
+        """Return the next message's fields, with its kind under the key ""; None once the connection has closed."""
         while (message := self.parser.next_message()) is None:
             try:
                 data = await self.reader.read(65_536)
@@ -148,61 +149,73 @@
         decoded = [element.decode() for element in message]
         return {"": decoded[0]} | dict(zip(decoded[1::2], decoded[2::2], strict=True))
 
-    async def until(self, fits: Callable[[dict[str, str]], bool]) -> dict[str, str]:
+    async def receive_until(self, matches: Callable[[dict[str, str]], bool]) -> dict[str, str]:
+        """Return the first message that matches, and skip those before it."""
         while True:
             message = await self.receive()
             assert message is not None
-            if fits(message):
+            if matches(message):
                 return message
 
 
-class Running:
-    def __init__(self, process: asyncio.subprocess.Process, port: int, path: Path, platform: Platform) -> None:
+class RunningNode:
+    """A node under test with its address, its configuration file and the platform that it is connected to."""
+
+    def __init__(self, process: asyncio.subprocess.Process, port: int, path: Path, platform: PlatformDouble) -> None:
         self.process, self.port, self.path, self.platform = process, port, path, platform
 
-    async def dial(self, text: str = "") -> Client:
-        client = Client(*await asyncio.open_connection("127.0.0.1", self.port))
+    async def connect(self, text: str = "") -> StreamClient:
+        """Connect to the node and send the words of `text` as the first message, if there is one."""
+        client = StreamClient(*await asyncio.open_connection("127.0.0.1", self.port))
         if text:
             client.send(text)
         return client
 
-    async def logged(self, event: str) -> dict[str, Any]:
+    async def wait_for_log(self, event: str) -> dict[str, Any]:
+        """Return the fields of the next log line of this event, and skip those before it."""
         assert self.process.stderr is not None
         while True:
             line = await self.process.stderr.readline()
-            assert line, f"the node ended without {event!r}"
+            assert line, f"the node ended without logging {event!r}"
             fields: dict[str, Any] = json.loads(line)
             if fields["event"] == event:
                 return fields
 
 
 def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        port: int = probe.getsockname()[1]
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        port: int = listener.getsockname()[1]
         return port
 
 
 @asynccontextmanager
-async def running(path: Path, sockets: int = 128, **other: object) -> AsyncIterator[Running]:
-    platform, port = Platform(), free_port()
-    discovery = await platform.start()
-    file = path / "config.json"
-    given = config(listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{discovery}", limits={"sockets": sockets}, **other)
-    file.write_text(json.dumps(given))
-    variables = {"BALANCER_NAME": "n0", "BALANCER_LISTEN": given["listen"], "BALANCER_DISCOVERY": given["discovery"]}
+async def running_node(path: Path, sockets: int = 128, **overrides: object) -> AsyncIterator[RunningNode]:
+    """Run a node as a process against a platform double, and yield once it has loaded the endpoint list."""
+    platform, port = PlatformDouble(), free_port()
+    discovery_port = await platform.start()
+    configuration_path = path / "config.json"
+    document = configuration_document(
+        listen=f"127.0.0.1:{port}", discovery=f"127.0.0.1:{discovery_port}", limits={"sockets": sockets}, **overrides
+    )
+    configuration_path.write_text(json.dumps(document))
+    variables = {
+        "BALANCER_NAME": "n0",
+        "BALANCER_LISTEN": document["listen"],
+        "BALANCER_DISCOVERY": document["discovery"],
+    }
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "onyxhead.node",
-        env=os.environ | variables | {"BALANCER_CONFIG": str(file)},
+        env=os.environ | variables | {"BALANCER_CONFIG": str(configuration_path)},
         stderr=asyncio.subprocess.PIPE,
         limit=1 << 20,
     )
-    node = Running(process, port, file, platform)
+    node = RunningNode(process, port, configuration_path, platform)
     try:
         async with asyncio.timeout(60):
-            await node.logged("endpoint list updated")
+            await node.wait_for_log("endpoint list updated")
             yield node
     finally:
         if process.returncode is None:
--- a/tests/test_health_check_header.py
+++ b/tests/test_health_check_header.py
@@ -1,4 +1,4 @@
-"""The load report in the header of a health check's answer."""
+"""Tests of the load report in a header of the response to a health check."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
         "cpu_utilization": 0.3,
         "queue": 4.0,
     }
-    form = 'JSON {"cpu_utilization": 0.5, "named_metrics": {"queue": 2}, "eps": NaN}'
-    assert parse_load_header({"endpoint-load-metrics": form}) == {"cpu_utilization": 0.5, "queue": 2.0}
+    header = 'JSON {"cpu_utilization": 0.5, "named_metrics": {"queue": 2}, "eps": NaN}'
+    assert parse_load_header({"endpoint-load-metrics": header}) == {"cpu_utilization": 0.5, "queue": 2.0}
     assert parse_load_header({"endpoint-load-metrics": "JSON {"}) == {} == parse_load_header({})
     assert (
         reported_utilization({"cpu_utilization": 9.0}) is None and reported_utilization({"cpu_utilization": 1.2}) == 1.0
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -1,4 +1,4 @@
-"""Failures and shutdown of the node: each bad order of events is forced, on real connections."""
+"""Tests of the node's failures and shutdown, with real connections and a forced order of events."""
 
 from __future__ import annotations
 
@@ -23,18 +23,26 @@
 from onyxhead.node.listener import Listener
 from onyxhead.node.serve import NodeServer
 from onyxhead.policy.decisions import TableChange, Withdrawal
-from tests.node_testbed import SETTINGS, Client, Platform, Running, config, free_port, running
+from tests.node_testbed import (
+    SETTINGS,
+    PlatformDouble,
+    RunningNode,
+    StreamClient,
+    configuration_document,
+    free_port,
+    running_node,
+)
 
 JOIN_MESSAGE = b"attach proxy %d zone a weight 5.0 fresh 1"
 
 
 def members(*phases: str) -> list[dict[str, Any]]:
-    usual = {"host_port": "127.0.0.1:1", "up_since_ms": 0, "locality": "a", "size": 1.0}
-    return [usual | {"id": f"s-{n}", "phase": phase} for n, phase in enumerate(phases)]
+    defaults = {"host_port": "127.0.0.1:1", "up_since_ms": 0, "locality": "a", "size": 1.0}
+    return [defaults | {"id": f"s-{number}", "phase": phase} for number, phase in enumerate(phases)]
 
 
-def answer(revision: int, whole: bool, *phases: str) -> bytes:
-    body = json.dumps({"revision": revision, "complete": whole, "members": members(*phases)}).encode()
+def list_response(revision: int, complete: bool, *phases: str) -> bytes:
+    body = json.dumps({"revision": revision, "complete": complete, "members": members(*phases)}).encode()
     return b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body)
 
 
@@ -42,8 +50,8 @@
 
 
 @asynccontextmanager
-async def discovery(reply: Reply) -> AsyncIterator[tuple[str, int]]:
-    """Hands each request's target to `reply`, which writes what it likes."""
+async def http_server(reply: Reply) -> AsyncIterator[tuple[str, int]]:
+    """Serve HTTP on loopback; `reply` gets the target of each request and writes the response."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -60,20 +68,22 @@
 
 
 @asynccontextmanager
-async def node_here(path: Path, **settings: object) -> AsyncIterator[tuple[NodeServer, Running]]:
-    """A node in this process, so that a test may put a fault into it."""
-    platform = Platform()
-    where = f"127.0.0.1:{await platform.start()}"
-    port, file = free_port(), path / "config.json"
-    given = config(listen=f"127.0.0.1:{port}", discovery=where, settings=SETTINGS | settings)
-    file.write_text(json.dumps(given))
-    node = NodeServer(read_configuration(file), file, JsonLog((path / "log").open("w")))
+async def in_process_node(path: Path, **settings: object) -> AsyncIterator[tuple[NodeServer, RunningNode]]:
+    """Run a node in this process, so that a test can make its parts raise errors."""
+    platform = PlatformDouble()
+    discovery_address = f"127.0.0.1:{await platform.start()}"
+    port, configuration_path = free_port(), path / "config.json"
+    document = configuration_document(
+        listen=f"127.0.0.1:{port}", discovery=discovery_address, settings=SETTINGS | settings
+    )
+    configuration_path.write_text(json.dumps(document))
+    node = NodeServer(read_configuration(configuration_path), configuration_path, JsonLog((path / "log").open("w")))
     serving = asyncio.get_running_loop().create_task(node.run())
     try:
         async with asyncio.timeout(30):
             while not node.context.counts["lists"]:
                 await asyncio.sleep(0)
-            yield node, Running(None, port, file, platform)  # type: ignore[arg-type]
+            yield node, RunningNode(None, port, configuration_path, platform)  # type: ignore[arg-type]
     finally:
         node.terminated.set()
         await serving
@@ -85,7 +95,10 @@
 
 
 class JoiningListener:
-    """A listener whose connections join with their first message; the loop does not run between its steps."""
+    """A listener whose connections join with their first message.
+
+    Tests call its steps directly, so the event loop reads nothing between them.
+    """
 
     def __init__(self, max_connections: int) -> None:
         self.joined: list[RawMessage] = []
@@ -99,49 +112,49 @@
         connection.join()
         self.joined.append(message)
 
-    def dial(self, data: bytes = b"") -> socket.socket:
+    def connect(self, data: bytes = b"") -> socket.socket:
         client = socket.create_connection(self.address)
         client.sendall(data)
         return client
 
 
 def test_an_unread_join_is_read_before_the_join_timeout_closes_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         server = JoiningListener(4)
-        good, silent_client = server.dial(encode_message([b"hello"])), server.dial()
+        joining_client, silent_client = server.connect(encode_message([b"hello"])), server.connect()
         server.listener._accept()
-        monkeypatch.setattr(
-            "onyxhead.node.listener.JOIN_TIMEOUT_S", -1.0
-        )  # as after a slow moment between accept and read
+        # All accepted connections are past their timeout, as if the loop had been delayed between accept and read.
+        monkeypatch.setattr("onyxhead.node.listener.JOIN_TIMEOUT_S", -1.0)
         server.listener._close_unjoined()
         assert server.joined == [(b"hello",)] and server.closed == ["never joined"]
         assert silent_client.recv(1) == b""
-        good.close()
+        joining_client.close()
         await server.listener.drain(0)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_an_unread_join_is_read_before_newer_connections_evict_it() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         server = JoiningListener(3)
-        clients = [server.dial(encode_message([b"hello"])), server.dial(), server.dial(), server.dial()]
+        clients = [server.connect(encode_message([b"hello"])), server.connect(), server.connect(), server.connect()]
         server.listener._accept()
         assert server.joined == [(b"hello",)] and server.closed == ["crowded out"]
         assert clients[1].recv(1) == b""
         await server.listener.drain(0)
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_proxy_that_joins_and_closes_in_one_read_has_left(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with node_here(tmp_path) as (node, here):
+def test_a_proxy_whose_join_and_close_are_read_together_is_removed(tmp_path: Path) -> None:
+    # The second connection also sends a heartbeat and an incomplete message. Neither may leave the proxy registered.
+    async def scenario() -> None:
+        async with in_process_node(tmp_path) as (node, running):
             for data in (
                 encode_message((JOIN_MESSAGE % 3).split(b" ")),
                 encode_message((JOIN_MESSAGE % 3).split(b" ")) + encode_message([b"hb"]) + b"*",
             ):
-                client = await here.dial()
+                client = await running.connect()
                 client.writer.write(data)
                 client.writer.write_eof()
                 while await client.receive() is not None:
@@ -156,243 +169,256 @@
                 and not node.host.policy.proxies.by_id
             )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 # The discovery watch
 
 
 def test_a_half_read_response_of_the_old_address_still_counts_after_a_move(tmp_path: Path) -> None:
-    async def play() -> None:
-        moved, silent_client = asyncio.Event(), asyncio.Event()
+    async def scenario() -> None:
+        moved, new_address_requested = asyncio.Event(), asyncio.Event()
 
-        async def old(target: bytes, writer: asyncio.StreamWriter) -> None:
+        async def reply_old(target: bytes, writer: asyncio.StreamWriter) -> None:
             if b"index" not in target:
-                writer.write(answer(7, True, "SERVING", "SERVING"))
+                writer.write(list_response(7, True, "SERVING", "SERVING"))
                 return
-            whole = answer(8, False, "DRAINING")
-            writer.write(whole[:-9])
+            response = list_response(8, False, "DRAINING")
+            writer.write(response[:-9])
             await writer.drain()
-            half.set()
+            half_written.set()
             await moved.wait()
-            writer.write(whole[-9:])
+            writer.write(response[-9:])
 
-        async def silent(target: bytes, writer: asyncio.StreamWriter) -> None:
-            asked.append(target)
-            silent_client.set()
+        async def reply_nothing(target: bytes, writer: asyncio.StreamWriter) -> None:
+            requested.append(target)
+            new_address_requested.set()
 
-        half, asked = asyncio.Event(), list[bytes]()
+        half_written, requested = asyncio.Event(), list[bytes]()
         received: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
-        names = SettingsIndex({"a": 0}, {}, round)
-        async with discovery(old) as before, discovery(silent) as after, asyncio.timeout(30):
-            watch = DiscoveryWatch(before, names, received.put_nowait, lambda reason: None, 1)
+        index = SettingsIndex({"a": 0}, {}, round)
+        async with (
+            http_server(reply_old) as old_address,
+            http_server(reply_nothing) as new_address,
+            asyncio.timeout(30),
+        ):
+            watch = DiscoveryWatch(old_address, index, received.put_nowait, lambda reason: None, 1)
             watch.start()
             assert (await received.get()).revision == 7
-            await half.wait()
-            watch.move(after)
-            await silent_client.wait()
+            await half_written.wait()
+            watch.move(new_address)
+            await new_address_requested.wait()
             moved.set()
             update = await received.get()
-            assert update.revision == 8 and update.endpoints[0].draining and b"index=7" in asked[0]
+            assert update.revision == 8 and update.endpoints[0].draining and b"index=7" in requested[0]
             await watch.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_overlapping_calls_deliver_each_revision_once_and_in_order() -> None:
-    async def play() -> None:
-        later = asyncio.Event()
+    # After a move, the call that is open at the old address responds when the new address has already delivered a newer
+    # revision.
+    async def scenario() -> None:
+        release_old_response = asyncio.Event()
 
-        async def old(target: bytes, writer: asyncio.StreamWriter) -> None:
+        async def reply_old(target: bytes, writer: asyncio.StreamWriter) -> None:
             if b"index" not in target:
-                writer.write(answer(7, True, "SERVING"))
+                writer.write(list_response(7, True, "SERVING"))
             elif b"index=7" in target:
-                await later.wait()
-                writer.write(answer(8, False, "SERVING"))
+                await release_old_response.wait()
+                writer.write(list_response(8, False, "SERVING"))
 
-        async def new(target: bytes, writer: asyncio.StreamWriter) -> None:
-            asked.append(target)
+        async def reply_new(target: bytes, writer: asyncio.StreamWriter) -> None:
+            requested.append(target)
             if b"index=7" in target:
-                writer.write(answer(9, False, "DRAINING"))
+                writer.write(list_response(9, False, "DRAINING"))
 
-        asked, seen = list[bytes](), list[tuple[int, bool]]()
-        names = SettingsIndex({"a": 0}, {}, round)
-        async with discovery(old) as before, discovery(new) as after, asyncio.timeout(30):
+        requested, updates = list[bytes](), list[tuple[int, bool]]()
+        index = SettingsIndex({"a": 0}, {}, round)
+        async with http_server(reply_old) as old_address, http_server(reply_new) as new_address, asyncio.timeout(30):
             watch = DiscoveryWatch(
-                before, names, lambda found: seen.append((found.revision, found.endpoints[0].draining)), print, 1
+                old_address,
+                index,
+                lambda update: updates.append((update.revision, update.endpoints[0].draining)),
+                print,
+                1,
             )
             watch.start()
-            while not seen:
+            while not updates:
                 await asyncio.sleep(0)
-            first = watch.current
-            watch.move(after)
-            while len(seen) < 2:
+            old_call = watch.current
+            watch.move(new_address)
+            while len(updates) < 2:
                 await asyncio.sleep(0)
-            later.set()
-            assert first is not None
-            await first  # it is not renewed, and ends by itself
-            assert seen == [(7, False), (9, True)] and list(watch.tasks) == [watch.current]
+            release_old_response.set()
+            assert old_call is not None
+            await old_call  # it is not repeated, so its task ends by itself
+            assert updates == [(7, False), (9, True)] and list(watch.tasks) == [watch.current]
             await watch.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_watch_survives_errors_of_its_callbacks() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         async def reply(target: bytes, writer: asyncio.StreamWriter) -> None:
-            asked.append(target)
+            requested.append(target)
             if b"index" not in target:
-                writer.write(answer(7, True, "SERVING"))
+                writer.write(list_response(7, True, "SERVING"))
 
-        def on_update(found: EndpointUpdate) -> None:
-            seen.append(found)
-            if len(seen) == 1:
+        def on_update(update: EndpointUpdate) -> None:
+            updates.append(update)
+            if len(updates) == 1:
                 raise KeyError("an internal error")
 
-        def failed(reason: str) -> None:
+        def on_failure(reason: str) -> None:
             failures.append(reason)
             if len(failures) < 3:
-                raise RuntimeError("and another one, while the first is reported")
+                raise RuntimeError("an error in the failure callback")
 
-        asked, seen, failures = list[bytes](), list[EndpointUpdate](), list[str]()
-        async with discovery(reply) as address, asyncio.timeout(30):
-            watch = DiscoveryWatch(address, SettingsIndex({"a": 0}, {}, round), on_update, failed, 1)
+        requested, updates, failures = list[bytes](), list[EndpointUpdate](), list[str]()
+        async with http_server(reply) as address, asyncio.timeout(30):
+            watch = DiscoveryWatch(address, SettingsIndex({"a": 0}, {}, round), on_update, on_failure, 1)
             watch.start()
-            while len(seen) < 2:
+            while len(updates) < 2:
                 await asyncio.sleep(0.01)
-            # What could not be taken in is requested again, as the whole list.
-            assert asked[:2] == [b"/v1/servers"] * 2
+            # After an update that could not be applied, the whole list is requested again.
+            assert requested[:2] == [b"/v1/servers"] * 2
             assert "KeyError" in failures[0] and "the watch ended" in failures[1]
             await watch.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_response_that_stops_after_its_header_is_requested_again(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("onyxhead.node.discovery.RESPONSE_MARGIN_S", 0.05)
 
-    async def play() -> None:
+    async def scenario() -> None:
         async def reply(target: bytes, writer: asyncio.StreamWriter) -> None:
-            asked.append(target)
-            whole = answer(7, True, "SERVING")
-            writer.write(whole if len(asked) > 1 else whole[:30])
+            requested.append(target)
+            response = list_response(7, True, "SERVING")
+            writer.write(response if len(requested) > 1 else response[:30])
 
-        asked = list[bytes]()
+        requested = list[bytes]()
         received: asyncio.Queue[EndpointUpdate] = asyncio.Queue()
         failures = list[str]()
-        async with discovery(reply) as address, asyncio.timeout(30):
+        async with http_server(reply) as address, asyncio.timeout(30):
             watch = DiscoveryWatch(address, SettingsIndex({"a": 0}, {}, round), received.put_nowait, failures.append, 1)
             watch.start()
             assert (await received.get()).revision == 7 and failures == ["no answer in time"]
             await watch.stop()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_snapshot_without_a_draining_backend_keeps_its_withdrawal(tmp_path: Path) -> None:
-    async def play() -> None:
-        # Two seconds between rounds: both lists come before the round that decides on them.
-        async with node_here(tmp_path, roundNs=2_000_000_000) as (node, here):
-            proxy = await here.dial((JOIN_MESSAGE % 3).decode())
-            table = await proxy.until(lambda m: "rows" in m)
+    # The snapshot arrives before the round that would withdraw the draining backend, and no longer lists it.
+    async def scenario() -> None:
+        # With two seconds between rounds, both lists arrive before the next round.
+        async with in_process_node(tmp_path, roundNs=2_000_000_000) as (node, running):
+            proxy = await running.connect((JOIN_MESSAGE % 3).decode())
+            table = await proxy.receive_until(lambda message: "rows" in message)
             proxy.send(f"done proxy 3 mark {table['stamp']} took_ms 1")
-            here.platform.change(0, phase="DRAINING")
+            running.platform.change_member(0, phase="DRAINING")
             while node.context.counts["lists"] < 2:
                 await asyncio.sleep(0)
-            here.platform.bad = [b"{"]  # makes it ask for the whole list
-            here.platform.members = here.platform.members[1:]
-            here.platform.change(0, size=1.0)
+            running.platform.invalid_responses = [b"{"]  # an invalid response makes the node request the whole list
+            running.platform.members = running.platform.members[1:]
+            running.platform.change_member(0, size=1.0)
             while node.context.counts["lists"] < 3:
                 await asyncio.sleep(0)
-            assert (await proxy.until(lambda m: "drop" in m))["drop"] == "s-0"
+            assert (await proxy.receive_until(lambda message: "drop" in message))["drop"] == "s-0"
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 # Decision rounds and their updates
 
 
-def test_an_update_that_can_not_be_sent_to_one_proxy_reaches_the_others(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with node_here(tmp_path) as (node, here):
-            proxies: list[Client] = []
+def test_an_update_that_cannot_be_sent_to_one_proxy_reaches_the_others(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with in_process_node(tmp_path) as (node, running):
+            proxies: list[StreamClient] = []
             for number in (3, 4):
-                proxies.append(await here.dial((JOIN_MESSAGE % number).decode()))
-                table = await proxies[-1].until(lambda m: "rows" in m)
+                proxies.append(await running.connect((JOIN_MESSAGE % number).decode()))
+                table = await proxies[-1].receive_until(lambda message: "rows" in message)
                 proxies[-1].send(f"done proxy {number} mark {table['stamp']} took_ms 1")
-            encode, faults = node.streams.encoder.encode, [ValueError("65 parts in one message")]
+            encode, errors = node.streams.encoder.encode, [ValueError("65 parts in one message")]
 
-            def message(update: Any) -> bytes:
-                if update.withdrawn and faults:
-                    raise faults.pop()
+            def encode_or_fail(update: Any) -> bytes:
+                if update.withdrawn and errors:
+                    raise errors.pop()
                 return encode(update)
 
-            node.streams.encoder.encode = message  # type: ignore[method-assign]
-            here.platform.change(0, phase="DRAINING")
-            # The first of them must join anew; the other one gets the update at once.
-            assert (await proxies[1].until(lambda m: "drop" in m))["drop"] == "s-0"
+            node.streams.encoder.encode = encode_or_fail  # type: ignore[method-assign]
+            running.platform.change_member(0, phase="DRAINING")
+            # The first proxy has to join again; the other one gets the update at once.
+            assert (await proxies[1].receive_until(lambda message: "drop" in message))["drop"] == "s-0"
             while await proxies[0].receive() is not None:
                 pass
-            again = await here.dial((JOIN_MESSAGE % 3).decode())
-            assert (await again.until(lambda m: "rows" in m)).get("drop") == "s-0"
+            rejoined = await running.connect((JOIN_MESSAGE % 3).decode())
+            assert (await rejoined.receive_until(lambda message: "rows" in message)).get("drop") == "s-0"
             assert node.context.counts["faults"] == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_join_that_fails_closes_its_stream_so_that_the_proxy_joins_anew(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with node_here(tmp_path) as (node, here):
-            join, faults = node.host.policy.on_proxy_joined, [KeyError("an internal error")]
+def test_a_join_that_fails_closes_its_stream_so_that_the_proxy_joins_again(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with in_process_node(tmp_path) as (node, running):
+            join, errors = node.host.policy.on_proxy_joined, [KeyError("an internal error")]
 
-            def joined(*arguments: Any) -> None:
-                if faults:
-                    raise faults.pop()
+            def join_or_fail(*arguments: Any) -> None:
+                if errors:
+                    raise errors.pop()
                 join(*arguments)
 
-            node.host.policy.on_proxy_joined = joined  # type: ignore[method-assign]
-            assert await (await here.dial((JOIN_MESSAGE % 3).decode())).receive() is None
-            assert "rows" in await (await here.dial((JOIN_MESSAGE % 3).decode())).until(lambda m: "rows" in m)
+            node.host.policy.on_proxy_joined = join_or_fail  # type: ignore[method-assign]
+            assert await (await running.connect((JOIN_MESSAGE % 3).decode())).receive() is None
+            assert "rows" in await (await running.connect((JOIN_MESSAGE % 3).decode())).receive_until(
+                lambda message: "rows" in message
+            )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_decision_that_can_not_be_applied_does_not_lose_the_others(tmp_path: Path) -> None:
-    async def play() -> None:
-        async with node_here(tmp_path) as (node, here):
-            proxy = await here.dial((JOIN_MESSAGE % 3).decode())
-            table = await proxy.until(lambda m: "rows" in m)
+def test_a_decision_that_cannot_be_applied_does_not_prevent_the_others(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        async with in_process_node(tmp_path) as (node, running):
+            proxy = await running.connect((JOIN_MESSAGE % 3).decode())
+            table = await proxy.receive_until(lambda message: "rows" in message)
             proxy.send(f"done proxy 3 mark {table['stamp']} took_ms 1")
             decide, invalid = node.host.policy.decisions, [TableChange(0, None)]  # type: ignore[arg-type]
 
-            def decisions(now: int) -> Any:
-                made = list(decide(now))
-                yield from made
-                if invalid and any(isinstance(each, Withdrawal) for each in made):
+            def decide_with_invalid(now: int) -> Any:
+                valid = list(decide(now))
+                yield from valid
+                if invalid and any(isinstance(decision, Withdrawal) for decision in valid):
                     yield invalid.pop()
 
-            node.host.policy.decisions = decisions  # type: ignore[method-assign]
-            here.platform.change(0, phase="DRAINING")
-            assert (await proxy.until(lambda m: "drop" in m))["drop"] == "s-0"
+            node.host.policy.decisions = decide_with_invalid  # type: ignore[method-assign]
+            running.platform.change_member(0, phase="DRAINING")
+            assert (await proxy.receive_until(lambda message: "drop" in message))["drop"] == "s-0"
             assert node.context.counts["faults"] == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_events_before_sigterm_are_decided_on_before_the_end(tmp_path: Path) -> None:
-    async def play() -> None:
-        # Two seconds between pulls: the end comes after the list and before the pull that would tell of it.
-        async with running(tmp_path, settings=SETTINGS | {"roundNs": 2_000_000_000}) as node:
-            proxy = await node.dial((JOIN_MESSAGE % 3).decode())
-            table = await proxy.until(lambda m: "rows" in m)
+def test_events_before_sigterm_reach_the_proxies_before_the_node_exits(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        # With two seconds between rounds, SIGTERM arrives after the new list and before the round that would send it.
+        async with running_node(tmp_path, settings=SETTINGS | {"roundNs": 2_000_000_000}) as node:
+            proxy = await node.connect((JOIN_MESSAGE % 3).decode())
+            table = await proxy.receive_until(lambda message: "rows" in message)
             proxy.send(f"done proxy 3 mark {table['stamp']} took_ms 1")
-            node.platform.change(0, phase="DRAINING")
-            assert (await node.logged("endpoint list updated"))["revision"] == 8
+            node.platform.change_member(0, phase="DRAINING")
+            assert (await node.wait_for_log("endpoint list updated"))["revision"] == 8
             node.process.send_signal(signal.SIGTERM)
-            assert (await proxy.until(lambda m: "drop" in m))["drop"] == "s-0"
+            assert (await proxy.receive_until(lambda message: "drop" in message))["drop"] == "s-0"
             assert await proxy.receive() is None and await node.process.wait() == 0
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
 def test_a_timer_that_raises_runs_again_and_the_error_is_counted(
@@ -400,15 +426,15 @@
 ) -> None:
     monkeypatch.setattr("onyxhead.node.proxy_streams.SILENCE_CHECK_INTERVAL_S", 0.01)
 
-    async def play() -> None:
-        async with node_here(tmp_path) as (node, _):
-            faults = [KeyError("an internal error")]
+    async def scenario() -> None:
+        async with in_process_node(tmp_path) as (node, _):
+            errors = [KeyError("an internal error")]
             calls: list[int] = []
 
             def detect_silent_streams(now: int) -> list[int]:
                 calls.append(now)
-                if faults:
-                    raise faults.pop()
+                if errors:
+                    raise errors.pop()
                 return []
 
             node.host.detect_silent_streams = detect_silent_streams  # type: ignore[method-assign]
@@ -416,29 +442,29 @@
                 await asyncio.sleep(0.01)
             assert node.context.counts["faults"] == 1
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_a_health_check_of_a_replaced_backend_does_not_judge_its_successor(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_the_health_check_of_a_replaced_backend_does_not_count_for_its_successor(tmp_path: Path) -> None:
+    async def scenario() -> None:
         open_checks: asyncio.Queue[asyncio.StreamWriter] = asyncio.Queue()
 
         async def backend(target: bytes, writer: asyncio.StreamWriter) -> None:
             open_checks.put_nowait(writer)
 
-        async with discovery(backend) as (host, port), node_here(tmp_path) as (node, here):
-            here.platform.change(0, host_port=f"{host}:{port}")
+        async with http_server(backend) as (host, port), in_process_node(tmp_path) as (node, running):
+            running.platform.change_member(0, host_port=f"{host}:{port}")
             check = await open_checks.get()
-            here.platform.change(0, host_port="127.0.0.1:1")
+            running.platform.change_member(0, host_port="127.0.0.1:1")
             while node.endpoints.addresses["s-0"][1] != 1:
                 await asyncio.sleep(0)
-            before = node.context.counts["probe served"]
+            successful_checks = node.context.counts["probe served"]
             check.write(b"HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n")
             while not node.context.counts["probe outlived"]:
                 await asyncio.sleep(0)
             assert (
                 not node.host.policy.endpoints.by_id["s-0"].health_check_failed
-                and node.context.counts["probe served"] >= before
+                and node.context.counts["probe served"] >= successful_checks
             )
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/tests/test_node_inputs.py
+++ b/tests/test_node_inputs.py
@@ -1,4 +1,4 @@
-"""What a node reads: its configuration, the settings and endpoint lists; and the limits of its log."""
+"""Tests of the node's input parsers (configuration, settings, endpoint list), and of the rate limit of its log."""
 
 from __future__ import annotations
 
@@ -13,55 +13,64 @@
 from onyxhead.node.json_log import MAX_BURST_LINES, JsonLog
 from onyxhead.policy.inputs import Endpoint
 from onyxhead.settings.instance import InvalidSettingsError, read_deployment
-from tests.node_testbed import MEMBER, SETTINGS, config
+from tests.node_testbed import MEMBER, SETTINGS, configuration_document
 
 
 @pytest.mark.parametrize(
-    ("body", "word"),
+    ("body", "message"),
     [
         ("{", "half written"),
         ("[]", "not an object"),
-        (json.dumps(config(seed="x")), "hex"),
-        (json.dumps(config(settings=1)), "settings"),
-        (json.dumps(config(limits={"sockets": 3})), "sockets"),
-        (json.dumps(config(settings=SETTINGS | {"services": 1})), "settings"),
-        (json.dumps(config(listen="x")), "host:port"),
-        (json.dumps(config(settings={k: v for k, v in SETTINGS.items() if k != "hostTypes"})), "hostTypes"),
+        (json.dumps(configuration_document(seed="x")), "hex"),
+        (json.dumps(configuration_document(settings=1)), "settings"),
+        (json.dumps(configuration_document(limits={"sockets": 3})), "sockets"),
+        (json.dumps(configuration_document(settings=SETTINGS | {"services": 1})), "settings"),
+        (json.dumps(configuration_document(listen="x")), "host:port"),
+        (
+            json.dumps(
+                configuration_document(
+                    settings={name: value for name, value in SETTINGS.items() if name != "hostTypes"}
+                )
+            ),
+            "hostTypes",
+        ),
     ],
 )
-def test_an_invalid_configuration_is_rejected_with_its_cause(body: str, word: str, tmp_path: Path) -> None:
+def test_an_invalid_configuration_is_rejected_with_its_cause(body: str, message: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(body)
-    with pytest.raises(ConfigurationError, match=word):
+    with pytest.raises(ConfigurationError, match=message):
         read_configuration(path)
     with pytest.raises(ConfigurationError, match="can't be read"):
         read_configuration(tmp_path / "none.json")
 
 
 def test_settings_are_converted_to_ticks() -> None:
-    start = read_deployment(SETTINGS)
-    assert start.groups[0].latency_budget == 7_500 and start.safety.drain_grace == 29_000
-    assert start.channel.max_delay == 6_600 and start.report_interval == 10_000
+    deployment = read_deployment(SETTINGS)
+    assert deployment.groups[0].latency_budget == 7_500 and deployment.safety.drain_grace == 29_000
+    assert deployment.channel.max_delay == 6_600 and deployment.report_interval == 10_000
     with pytest.raises(InvalidSettingsError, match="KeyError"):
-        read_deployment({k: v for k, v in SETTINGS.items() if k != "extra"})
+        read_deployment({name: value for name, value in SETTINGS.items() if name != "extra"})
 
 
-NAMES = SettingsIndex({"a": 0, "b": 1}, {"k1": 0}, lambda seconds: round(seconds * 10_000))
+SETTINGS_INDEX = SettingsIndex({"a": 0, "b": 1}, {"k1": 0}, lambda seconds: round(seconds * 10_000))
 
 
-def body(*members: object, **other: object) -> bytes:
-    return json.dumps({"revision": 41, "complete": True, "members": list(members)} | other).encode()
+def list_body(*members: object, **overrides: object) -> bytes:
+    return json.dumps({"revision": 41, "complete": True, "members": list(members)} | overrides).encode()
 
 
-def test_an_endpoint_list_is_converted_to_ticks() -> None:
-    found = parse_endpoint_list(body(MEMBER, MEMBER | {"id": "s-2", "phase": "DRAINING", "up_since_ms": 0}), NAMES)
-    assert found.endpoints == [
+def test_an_endpoint_list_is_parsed_with_its_times_in_ticks() -> None:
+    snapshot = parse_endpoint_list(
+        list_body(MEMBER, MEMBER | {"id": "s-2", "phase": "DRAINING", "up_since_ms": 0}), SETTINGS_INDEX
+    )
+    assert snapshot.endpoints == [
         Endpoint("s-1", 1, 0, True, False, 1.5, 615_000),
         Endpoint("s-2", 1, 0, False, True, 1.5, 0),
     ]
-    assert found.revision == 41 and found.is_snapshot and found.addresses["s-1"] == ("10.1.0.18", 9000)
-    gone = parse_endpoint_list(body(MEMBER | {"phase": "DELETED"}, complete=False), NAMES)
-    assert not gone.is_snapshot and not gone.endpoints[0].ready and not gone.endpoints[0].draining
+    assert snapshot.revision == 41 and snapshot.is_snapshot and snapshot.addresses["s-1"] == ("10.1.0.18", 9000)
+    delta = parse_endpoint_list(list_body(MEMBER | {"phase": "DELETED"}, complete=False), SETTINGS_INDEX)
+    assert not delta.is_snapshot and not delta.endpoints[0].ready and not delta.endpoints[0].draining
 
 
 @pytest.mark.parametrize(
@@ -69,14 +78,14 @@
     [
         b"{",
         b"[]",
-        body(MEMBER)[:-9],
-        body(7),
-        body(MEMBER, MEMBER),
-        body(revision="x"),
-        body(members=None),
+        list_body(MEMBER)[:-9],
+        list_body(7),
+        list_body(MEMBER, MEMBER),
+        list_body(revision="x"),
+        list_body(members=None),
         *(
-            body(MEMBER | {name: bad})
-            for name, bad in (
+            list_body(MEMBER | {name: value})
+            for name, value in (
                 ("id", ""),
                 ("id", "s:1"),
                 ("id", 5),
@@ -95,7 +104,7 @@
 )
 def test_an_invalid_endpoint_list_is_rejected_as_a_whole(invalid: bytes) -> None:
     with pytest.raises(InvalidEndpointListError):
-        parse_endpoint_list(invalid, NAMES)
+        parse_endpoint_list(invalid, SETTINGS_INDEX)
 
 
 def test_log_lines_are_rate_limited_and_suppressed_ones_are_counted() -> None:
--- a/tests/test_policy_host.py
+++ b/tests/test_policy_host.py
@@ -1,4 +1,4 @@
-"""The policy host: what proxies hold on generated schedules, acknowledgements, silence, and bounds on memory."""
+"""Tests of the policy host: updates, acknowledgements, silent streams, generated schedules and memory limits."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from tests import policy_harness
 from tests.node_testbed import SETTINGS
 
-BEGIN = 1_000_000
+START_TIME = 1_000_000
 
 
 class ProxyDouble:
-    """What a proxy on the platform holds across streams: tables by traffic group, and withdrawn backends."""
+    """The state that a proxy on the platform keeps across streams: tables by traffic group, and withdrawn backends."""
 
     def __init__(self) -> None:
-        self.rows: dict[int, dict[str, float]] = {}
+        self.tables: dict[int, dict[str, float]] = {}
         self.withdrawn: set[str] = set()
         self.awaited_rounds: list[int] = []
 
@@ -29,20 +29,20 @@
         self.withdrawn -= set(update.restored)
         for table in update.tables:
             for group in table.groups or (0, 1):
-                held = {} if table.replaces_table else dict(self.rows.get(group, {}))
-                held |= dict(table.lines)
-                self.rows[group] = {name: weight for name, weight in held.items() if weight}
+                lines = {} if table.replaces_table else dict(self.tables.get(group, {}))
+                lines |= dict(table.lines)
+                self.tables[group] = {name: weight for name, weight in lines.items() if weight}
         if update.round_number:
             self.awaited_rounds.append(update.round_number)
 
 
 class HostScenario:
-    """A host and its proxies: updates are applied at once, acknowledgements come when the test says."""
+    """A host and its proxies, which apply updates at once and acknowledge them when the test asks for it."""
 
     def __init__(self, seed: int = 1, proxies: int = 40) -> None:
-        self.now = BEGIN
-        given = SETTINGS | {"extra": SETTINGS["extra"] | {"agents": proxies}}
-        self.host = StreamPolicyHost(read_deployment(given), seed, self.now)
+        self.now = START_TIME
+        settings = SETTINGS | {"extra": SETTINGS["extra"] | {"agents": proxies}}
+        self.host = StreamPolicyHost(read_deployment(settings), seed, self.now)
         self.proxies: dict[int, ProxyDouble] = {}
         self.streams: dict[int, int] = {}
         self.next_stream = 0
@@ -60,12 +60,13 @@
         sent = []
         for proxy, stream, update in effects.updates:
             assert self.streams[proxy] == stream
-            # Lines that the policy did not count are those that end a withdrawal of an earlier stream.
-            counted = self.host.policy.round_recipients[proxy] - self.host.policy.channel.message_cost + 1
-            assert update.line_count <= counted + len(update.restored)
+            # The update may hold more lines than the policy has counted only for backends that it restores, because the
+            # host adds those for withdrawals sent on an earlier stream.
+            counted_lines = self.host.policy.round_recipients[proxy] - self.host.policy.channel.message_cost + 1
+            assert update.line_count <= counted_lines + len(update.restored)
             self.proxies[proxy].apply(update)
             sent.append((proxy, update))
-        assert not recipients_missing(self.host, sent)
+        assert not recipients_without_update(self.host, sent)
         return sent
 
     def acknowledge(self, proxy: int) -> None:
@@ -82,23 +83,23 @@
                 self.acknowledge(proxy)
 
 
-def recipients_missing(host: StreamPolicyHost, sent: list[tuple[int, ProxyUpdate]]) -> set[int]:
-    reached = {proxy for proxy, _ in sent}
-    return {proxy for proxy in host.policy.round_recipients if proxy in host.state.joined} - reached
+def recipients_without_update(host: StreamPolicyHost, sent: list[tuple[int, ProxyUpdate]]) -> set[int]:
+    updated = {proxy for proxy, _ in sent}
+    return {proxy for proxy in host.policy.round_recipients if proxy in host.state.joined} - updated
 
 
-def fleet(*names: str, started: int = 0) -> list[Endpoint]:
-    return [policy_harness.ready_endpoint(name, started) for name in names]
+def ready_endpoints(*names: str, started_at: int = 0) -> list[Endpoint]:
+    return [policy_harness.ready_endpoint(name, started_at) for name in names]
 
 
 def test_a_joining_proxy_gets_the_whole_table_once_and_only_changed_lines_after_it() -> None:
     scenario = HostScenario()
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, fleet("s1", "s2", "s3"))
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, ready_endpoints("s1", "s2", "s3"))
     scenario.decide()
     scenario.join(4)
     scenario.run(1)
-    assert scenario.proxies[4].rows == {0: {"s1": 1, "s2": 1, "s3": 1}, 1: {"s1": 1, "s2": 1, "s3": 1}}
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, fleet("s4"))
+    assert scenario.proxies[4].tables == {0: {"s1": 1, "s2": 1, "s3": 1}, 1: {"s1": 1, "s2": 1, "s3": 1}}
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, ready_endpoints("s4"))
     scenario.now += 20_000
     ((_, update),) = scenario.decide()
     assert [(table.replaces_table, table.lines) for table in update.tables] == [(False, (("s4", 1.0),))]
@@ -106,57 +107,57 @@
 
 def test_a_withdrawal_reaches_every_proxy_and_is_lifted_at_one_that_missed_the_return() -> None:
     scenario = HostScenario()
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, fleet("s1", "s2"))
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, ready_endpoints("s1", "s2"))
     for proxy in (1, 2, 3):
         scenario.join(proxy)
     scenario.run(2)
     scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [policy_harness.draining_endpoint("s2")])
     scenario.decide()
-    assert all("s2" in proxy_double.withdrawn for proxy_double in scenario.proxies.values())
+    assert all("s2" in double.withdrawn for double in scenario.proxies.values())
     scenario.run(3)
-    # One proxy is away while the backend returns; it is still withdrawn there when the proxy joins again.
+    # Proxy 3 is disconnected while the backend returns, so the backend is still withdrawn there when it joins again.
     scenario.host.on_stream_closed(scenario.now, 3, scenario.streams.pop(3))
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, fleet("s2", started=scenario.now))
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, ready_endpoints("s2", started_at=scenario.now))
     scenario.run(4)
     assert (
         "s2" not in scenario.proxies[1].withdrawn
-        and scenario.proxies[1].rows[0]["s2"] > 0
+        and scenario.proxies[1].tables[0]["s2"] > 0
         and "s2" in scenario.proxies[3].withdrawn
     )
     scenario.join(3)
     scenario.run(3)
-    assert "s2" not in scenario.proxies[3].withdrawn and scenario.proxies[3].rows == scenario.proxies[1].rows
+    assert "s2" not in scenario.proxies[3].withdrawn and scenario.proxies[3].tables == scenario.proxies[1].tables
 
 
 def test_an_acknowledgement_counts_once_and_only_on_the_stream_that_was_asked() -> None:
     scenario = HostScenario()
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, fleet("s1"))
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, ready_endpoints("s1"))
     scenario.join(1)
     scenario.run(1, acknowledging=False)
     (round_number,) = scenario.proxies[1].awaited_rounds
-    old = scenario.streams[1]
-    assert not scenario.host.on_acknowledgement(scenario.now, 1, old, round_number + 1, 5)
+    old_stream = scenario.streams[1]
+    assert not scenario.host.on_acknowledgement(scenario.now, 1, old_stream, round_number + 1, 5)
     scenario.join(1)
     assert not scenario.host.on_acknowledgement(
-        scenario.now, 1, old, round_number, 5
-    ) and not scenario.host.on_stream_closed(scenario.now, 1, old)
+        scenario.now, 1, old_stream, round_number, 5
+    ) and not scenario.host.on_stream_closed(scenario.now, 1, old_stream)
     assert not scenario.host.on_acknowledgement(scenario.now, 1, scenario.streams[1], round_number, 5)
     scenario.run(1, acknowledging=False)
-    last = scenario.proxies[1].awaited_rounds[-1]
-    assert scenario.host.on_acknowledgement(scenario.now, 1, scenario.streams[1], last, 5)
+    last_round = scenario.proxies[1].awaited_rounds[-1]
+    assert scenario.host.on_acknowledgement(scenario.now, 1, scenario.streams[1], last_round, 5)
     assert (
-        not scenario.host.on_acknowledgement(scenario.now, 1, scenario.streams[1], last, 5)
+        not scenario.host.on_acknowledgement(scenario.now, 1, scenario.streams[1], last_round, 5)
         and not scenario.host.policy.statistics().unacknowledged_messages
     )
 
 
 def test_a_silent_stream_takes_no_channel_capacity_and_may_resume() -> None:
     scenario = HostScenario()
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, fleet("s1", "s2"))
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, ready_endpoints("s1", "s2"))
     scenario.join(1)
     scenario.run(1, acknowledging=False)
     scenario.now += SILENCE_TIMEOUT + 10_000
-    # Nobody has answered anything since: the channel may be slow, and a slow channel is no silence.
+    # No proxy has acknowledged a later round, so the channel may be slow, and the stream doesn't count as silent.
     assert scenario.host.policy.statistics().unacknowledged_messages and not scenario.host.detect_silent_streams(
         scenario.now
     )
@@ -173,15 +174,15 @@
     assert scenario.decide() == []
     scenario.host.on_message(scenario.now, 1, scenario.streams[1])
     scenario.run(3)
-    assert scenario.proxies[1].rows[0] == {"s1": 1}
-    # One that owes nothing is not silent, however quiet it is.
+    assert scenario.proxies[1].tables[0] == {"s1": 1}
+    # A stream without an outstanding acknowledgement is never silent, however long it sends nothing.
     scenario.now += 10 * SILENCE_TIMEOUT
     assert scenario.host.detect_silent_streams(scenario.now) == []
 
 
 def test_an_error_of_the_policy_keeps_the_decisions_before_it(monkeypatch: pytest.MonkeyPatch) -> None:
     scenario = HostScenario()
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, fleet("s1"))
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, ready_endpoints("s1"))
     scenario.decide()
     scenario.join(1)
     scenario.run(2)
@@ -200,36 +201,38 @@
 @pytest.mark.parametrize(("backends", "proxies"), [(8, 40), (40, 400)], ids=["one table", "narrow tables"])
 def test_on_generated_schedules_proxies_hold_the_tables_of_the_host(backends: int, proxies: int) -> None:
     for seed in range(12):
-        vary = random.Random(seed)
-        scenario, names = HostScenario(seed, proxies), [f"s{n}" for n in range(backends)]
-        scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, fleet(*names))
+        generator = random.Random(seed)
+        scenario, names = HostScenario(seed, proxies), [f"s{number}" for number in range(backends)]
+        scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, ready_endpoints(*names))
         for _ in range(150):
-            scenario.now += vary.randint(40, 6_000)
-            chance, proxy, name = vary.random(), vary.randrange(12), vary.choice(names)
+            scenario.now += generator.randint(40, 6_000)
+            chance, proxy, name = generator.random(), generator.randrange(12), generator.choice(names)
             if chance < 0.25:
                 scenario.join(proxy)
             elif chance < 0.35 and proxy in scenario.streams:
                 assert scenario.host.on_stream_closed(scenario.now, proxy, scenario.streams.pop(proxy))
             elif chance < 0.5:
-                entry = vary.choice(
+                endpoint = generator.choice(
                     [policy_harness.draining_endpoint, policy_harness.departed_endpoint, policy_harness.ready_endpoint]
                 )(name)
-                started = (
+                started_at = (
                     scenario.now
-                    if entry.ready and not scenario.host.state.endpoints.listed[name].ready
+                    if endpoint.ready and not scenario.host.state.endpoints.listed[name].ready
                     else scenario.host.state.endpoints.listed[name].started_at
                 )
-                scenario.host.on_endpoint_update(scenario.now, WatchEvent.DELTA, [entry._replace(started_at=started)])
+                scenario.host.on_endpoint_update(
+                    scenario.now, WatchEvent.DELTA, [endpoint._replace(started_at=started_at)]
+                )
             elif chance < 0.6:
                 scenario.host.on_attempt_statistics(
-                    scenario.now, name, 0, 20, vary.randrange(20), 900, 10_000, LoadReport()
+                    scenario.now, name, 0, 20, generator.randrange(20), 900, 10_000, LoadReport()
                 )
             elif chance < 0.7:
                 scenario.host.on_health_check(
                     scenario.now,
                     name,
-                    vary.choice(list(HealthCheckResult)),
-                    LoadReport(None, vary.choice((None, 500, 9000))),
+                    generator.choice(list(HealthCheckResult)),
+                    LoadReport(None, generator.choice((None, 500, 9000))),
                 )
             elif chance < 0.95 and proxy in scenario.streams:
                 scenario.acknowledge(proxy)
@@ -240,34 +243,35 @@
         assert (scenario.host.policy.statistics().subset_count > 1) == (backends > 8)
         tables = scenario.host.state.tables
         for proxy in scenario.streams:
-            proxy_double, joined = scenario.proxies[proxy], scenario.host.state.joined[proxy]
+            double, joined = scenario.proxies[proxy], scenario.host.state.joined[proxy]
             assert joined.tables, f"seed {seed}: {proxy} was never assigned a table"
             for table, groups in joined.tables.items():
                 for group in groups or (0, 1):
-                    assert proxy_double.rows[group] == tables[table], f"seed {seed}"
-                    # Nothing that carries weight is still withdrawn by an earlier stream.
-                    assert proxy_double.withdrawn & set(tables[table]) <= set(
-                        scenario.host.state.withdrawn
-                    ), f"seed {seed}"
+                    assert double.tables[group] == tables[table], f"seed {seed}"
+                    # A backend with a weight isn't withdrawn at the proxy, unless the host withdraws it now.
+                    assert double.withdrawn & set(tables[table]) <= set(scenario.host.state.withdrawn), f"seed {seed}"
 
 
 def test_memory_of_departed_backends_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("onyxhead.policy.endpoints.MAX_DEPARTED_BACKENDS", 20)
     monkeypatch.setattr("onyxhead.node.proxy_state.MAX_LISTED_ENDPOINTS", 60)
     scenario = HostScenario()
-    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, fleet("s0", "s1"))
+    scenario.host.on_endpoint_update(scenario.now, WatchEvent.CACHED, ready_endpoints("s0", "s1"))
     for proxy in (1, 2):
         scenario.join(proxy)
     scenario.run(2)
-    for n in range(2, 200):
+    for number in range(2, 200):
         scenario.host.on_endpoint_update(
             scenario.now,
             WatchEvent.DELTA,
-            [*fleet(f"s{n}", started=scenario.now), policy_harness.draining_endpoint(f"s{n - 2}")],
+            [
+                *ready_endpoints(f"s{number}", started_at=scenario.now),
+                policy_harness.draining_endpoint(f"s{number - 2}"),
+            ],
         )
         scenario.run(1.2)
         scenario.host.on_endpoint_update(
-            scenario.now, WatchEvent.DELTA, [policy_harness.departed_endpoint(f"s{n - 2}")]
+            scenario.now, WatchEvent.DELTA, [policy_harness.departed_endpoint(f"s{number - 2}")]
         )
     assert (
         scenario.host.policy.statistics().known_backends < 30
@@ -275,10 +279,10 @@
         and len(scenario.host.state.withdrawn) <= 61
     )
     assert all(
-        set(rows) == set(scenario.host.state.tables[0])
-        for rows in (proxy_double.rows[0] for proxy_double in scenario.proxies.values())
+        set(lines) == set(scenario.host.state.tables[0])
+        for lines in (double.tables[0] for double in scenario.proxies.values())
     )
-    # A late word of a forgotten one brings nothing back, and its name alone makes it no trusted backend.
+    # A late report on a dropped backend neither makes it known again nor ends its withdrawal at the proxies.
     scenario.host.on_attempt_statistics(scenario.now, "s5", 0, 50, 0, 500, 10_000, LoadReport())
     scenario.host.on_health_check(scenario.now, "s5", HealthCheckResult.HEALTHY, LoadReport())
     assert "s5" not in scenario.host.policy.endpoints.by_id and "s5" in scenario.proxies[1].withdrawn
