--- a/onyxhead/node/connection.py
+++ b/onyxhead/node/connection.py
@@ -126,8 +126,8 @@
         """Close the socket; only the owner calls this, after it has removed the connection from its own tables."""
         self.closed = True
         if self.unsent:
-            # A linger time of 0 resets the connection. Otherwise the kernel would keep a connection whose peer doesn't
-            # read until its send buffer is delivered.
+            # A linger time of 0 resets the connection. Otherwise the kernel would hold the closed connection until the
+            # peer has read what was sent, which may never happen.
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
--- a/onyxhead/node/decision_loop.py
+++ b/onyxhead/node/decision_loop.py
@@ -1,4 +1,4 @@
-"""Timing of decision rounds: after an event or when the policy asks for one, within the minimum interval."""
+"""Timing of decision rounds: after events and when the policy asks for one, at a limited rate."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 class DecisionLoop:
     """Runs decision rounds and passes their effects to `apply_effects`.
 
-    Two rounds start at least `min_interval` ticks apart.
+    Scheduled rounds start at least `min_interval` ticks apart.
     """
 
     def __init__(
--- a/onyxhead/node/discovery.py
+++ b/onyxhead/node/discovery.py
@@ -24,7 +24,7 @@
 BACKOFF_JITTER = (0.5, 1.0)
 MAX_LIST_BYTES = 4 * 1024 * 1024
 MAX_CALLS = 3
-"""Limit of concurrent calls, to the current address and earlier ones; it keeps within the reserved descriptors."""
+"""Limit of concurrent calls to the current and earlier addresses, so that they fit into the reserved descriptors."""
 OK = 200
 
 
--- a/onyxhead/node/proxy_state.py
+++ b/onyxhead/node/proxy_state.py
@@ -13,7 +13,7 @@
 MAX_AWAITED_ROUNDS = 256
 """Rounds kept for each stream as awaiting acknowledgement; an acknowledgement of an older round is rejected."""
 MAX_LISTED_ENDPOINTS = 8192
-"""Limit of the endpoints kept, including departed ones; reports on a backend that was dropped are invalid."""
+"""Number of endpoints above which departed ones are dropped; a report on a dropped backend is rejected."""
 
 
 class AwaitedRound(NamedTuple):
--- a/onyxhead/node/proxy_streams.py
+++ b/onyxhead/node/proxy_streams.py
@@ -61,7 +61,8 @@
     def on_message(self, connection: Connection, elements: RawMessage) -> None:
         """Handle a message from a proxy or collector.
 
-        An invalid message closes only a connection that has not joined; an internal error closes none.
+        An invalid message closes the connection only if it has not joined. An internal error is counted and logged, and
+        closes the connection only if it made a join fail.
         """
         try:
             self._handle(connection, elements)
