--- a/onyxhead/tables/__init__.py
+++ b/onyxhead/tables/__init__.py
@@ -1,4 +1,4 @@
-"""The state of all tables of a controller: what each proxy holds, the updates that change it, and older versions.
+"""A controller's tables: the view that each proxy holds, the updates that change views, and earlier versions.
 
-Nothing here does I/O or reads a clock.
+Nothing in this package does I/O or reads a clock.
 """
--- a/onyxhead/tables/canary.py
+++ b/onyxhead/tables/canary.py
@@ -1,7 +1,7 @@
-"""A canary: a version tried on some proxies first and taken back if they fail more often than the others. No I/O.
+"""Canary releases: a version is applied to some proxies first and reverted if more of their attempts fail. No I/O.
 
-Failing more often means that the fraction of failed attempts at the canary proxies is higher than at the others by more
-than chance explains (one-sided test of two proportions). Too few attempts on either side decide nothing.
+The failure rate of the canary proxies is compared with that of all other proxies by a one-sided test of two
+proportions. With too few attempts on either side, the verdict stays open.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from enum import Enum
 
 MIN_ATTEMPTS = 60
-"""Attempts on each side before anything is concluded."""
+"""The attempts that each side needs before a verdict is given."""
 MIN_STANDARD_ERRORS = 3.1
-"""A version that is no worse is taken back by chance about once in a thousand verdicts."""
+"""At this threshold, about one verdict in a thousand wrongly finds a version worse that is not."""
 MIN_FAILURE_RATE_INCREASE = 0.02
-"""Smaller differences are not worth a rollback, however sure."""
+"""A smaller increase does not justify a rollback, even if it is statistically significant."""
 MIN_VARIANCE = 1e-12
-"""Keeps the standard error above 0 where all attempts had the same outcome."""
+"""Keeps the standard error above 0 when all attempts had the same outcome."""
 
 
 class Verdict(Enum):
-    """How the canary proxies compare with the others; the values appear in the log."""
+    """The result of comparing the canary proxies with the others; the values are written to the log."""
 
     UNKNOWN = "too few flows to tell"
     WORSE = "worse than the others by more than chance"
@@ -32,22 +32,22 @@
 
 @dataclass(slots=True)
 class AttemptCounts:
-    """Attempts and how many of them failed."""
+    """The number of attempts and of those that failed."""
 
     attempts: int = 0
     failures: int = 0
 
     @property
     def failure_rate(self) -> float:
-        """The fraction of attempts that failed, 0 if there were none."""
+        """The fraction of attempts that failed, or 0 without any attempt."""
         return self.failures / self.attempts if self.attempts else 0.0
 
 
 @dataclass(slots=True)
 class Canary:
-    """`version` is in force on `proxies` from `started_at` to `ends_at`, in ticks.
+    """A running canary: `proxies` hold `version` from `started_at` to `ends_at`, in ticks.
 
-    `canary_counts` are the attempts of these proxies meanwhile, `baseline_counts` those of all others.
+    `canary_counts` holds the attempts of these proxies during that time, `baseline_counts` those of all others.
     """
 
     version: int
@@ -58,13 +58,13 @@
     baseline_counts: AttemptCounts = field(default_factory=AttemptCounts)
 
     def record(self, proxy: str, attempts: int, failures: int) -> None:
-        """Counts what a proxy reported."""
+        """Add the attempts that a proxy reported to the counts of its side."""
         counts = self.canary_counts if proxy in self.proxies else self.baseline_counts
         counts.attempts += attempts
         counts.failures += failures
 
     def verdict(self) -> Verdict:
-        """How the canary proxies compare with the others so far."""
+        """Return how the canary proxies compare with the others so far."""
         canary, baseline = self.canary_counts, self.baseline_counts
         if canary.attempts < MIN_ATTEMPTS or baseline.attempts < MIN_ATTEMPTS:
             return Verdict.UNKNOWN
@@ -75,9 +75,9 @@
 
 
 def select_canary_proxies(proxies: Iterable[str], fraction: float) -> list[str]:
-    """A fraction of the proxies, always the same ones for the same names.
+    """Return about this fraction of the proxies; the same names always give the same choice.
 
-    At least one and never more than half; none of a single proxy.
+    At least one proxy and at most half of them are chosen, and none if there are fewer than second.
     """
     names = sorted(proxies, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
     if len(names) < 2:
@@ -85,7 +85,7 @@
     return names[: max(1, min(len(names) // 2, round(fraction * len(names))))]
 
 
-def _standard_error(one: AttemptCounts, two: AttemptCounts) -> float:
-    """The standard error of the difference of two failure rates, under the hypothesis that they are the same."""
-    pooled = (one.failures + two.failures) / (one.attempts + two.attempts)
-    return math.sqrt(max(MIN_VARIANCE, pooled * (1 - pooled) * (1 / one.attempts + 1 / two.attempts)))
+def _standard_error(first: AttemptCounts, second: AttemptCounts) -> float:
+    """Return the standard error of the difference of two failure rates, assuming that both are equal."""
+    pooled_rate = (first.failures + second.failures) / (first.attempts + second.attempts)
+    return math.sqrt(max(MIN_VARIANCE, pooled_rate * (1 - pooled_rate) * (1 / first.attempts + 1 / second.attempts)))
--- a/onyxhead/tables/errors.py
+++ b/onyxhead/tables/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the table state and its versions."""
+"""Errors of tables, views and versions."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class MalformedViewError(TableError, ValueError):
-    """A document is no view, no patch of one, or no address; the message says where and why."""
+    """A document is not a valid view or merge patch, or an address is malformed; the message says where and why."""
 
 
 class UnknownVersionError(TableError, KeyError):
-    """No version has this number or label, or the version was removed from the history."""
+    """No version in the history has this number or label; an old version may have been removed."""
 
 
 class InvalidLabelError(TableError, ValueError):
-    """A name can't label a version, since it could be taken for a number or for the latest version."""
+    """A name cannot be a label: it is empty, looks like a version number, or is reserved for the latest version."""
 
 
 class RollbackRejectedError(TableError):
-    """A rollback would break a safety rule or change nothing; the message says which."""
+    """A rollback would break a safety rule or change nothing; the message gives the reason."""
--- a/onyxhead/tables/history.py
+++ b/onyxhead/tables/history.py
@@ -1,7 +1,8 @@
-"""Versions of a controller's tables: what changed when and why. No I/O.
+"""The version history of a controller's tables: what changed, when and why. No I/O.
 
-A version is the lines of all tables at one time. Versions share what they have in common, and the digest is the sum of
-the hashes of the lines, as for views, so that a change costs only its own work.
+A version holds the lines of all tables at one time. Versions are persistent maps that share their common lines, and
+the digest of a version is the sum of the hashes of its lines, as for views. So the cost of a new version grows with the
+number of changed lines, not with the size of the tables.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from onyxhead.tables.view import MODULUS, entry_hash
 
 LineKey = tuple[int, str]
-"""A table and a backend: one line of a table."""
+"""The table number and the backend that identify a line."""
 Lines = Map[LineKey, int]
 """The weight of each line, in units of `WEIGHT_SCALE`."""
 
 MAX_VERSIONS = 1_000
 LATEST = "last"
-"""The name by which the latest version is found."""
+"""The name that finds the latest version; it cannot be a label."""
 
 
 class VersionRecord(NamedTuple):
-    """A version by what it changed, as it is stored; a weight of 0 removed the line."""
+    """A version as it is stored: the lines it changed, where a weight of 0 means that the line was removed."""
 
     number: int
     epoch: int
@@ -36,7 +37,7 @@
 
 
 class Version(NamedTuple):
-    """The lines of all tables. `created_at` is in ticks; `epoch` is the controller's incarnation that made it."""
+    """The lines of all tables. `created_at` is in ticks; `epoch` is the incarnation of the controller that made it."""
 
     number: int
     epoch: int
@@ -47,12 +48,12 @@
 
     @property
     def digest_hex(self) -> str:
-        """Equal for versions with equal lines, whoever made them."""
+        """The digest in hexadecimal; equal for versions with equal lines, whichever controller made them."""
         return f"{self.digest:064x}"
 
 
 class LineChange(NamedTuple):
-    """A line that differs between two versions; a weight of 0 means no line."""
+    """A line that differs between two versions, with its weights; 0 means that the version has no such line."""
 
     key: LineKey
     before: int
@@ -60,7 +61,7 @@
 
 
 class History:
-    """The last versions and those that have a label. Numbers go on over restarts."""
+    """The latest versions and all labelled ones. Version numbers continue after a restart of the controller."""
 
     def __init__(self, max_versions: int = MAX_VERSIONS) -> None:
         self.max_versions = max_versions
@@ -69,7 +70,7 @@
         self.latest = Version(0, 0, 0, "", Map(), 0)
 
     def append(self, epoch: int, now: int, cause: str, changes: Mapping[LineKey, int]) -> Version | None:
-        """The version after the changes, of which a weight of 0 removes a line; None if they change nothing."""
+        """Add and return the version after these changes, or None if nothing changes. A weight of 0 removes a line."""
         lines, digest, changed = self.latest.lines.mutate(), self.latest.digest, False
         for key, weight in sorted(changes.items()):
             old = lines.get(key, 0)
@@ -97,9 +98,10 @@
             del self.versions[number]
 
     def restore(self, records: Iterable[VersionRecord]) -> int:
-        """Takes versions of earlier incarnations, oldest first, and returns how many were taken.
+        """Restore stored versions of earlier incarnations, oldest first, and return how many were restored.
 
-        Stops at the first that does not follow the one before, since what comes after it can't be trusted.
+        A record whose number does not follow its predecessor's, or that changes nothing, ends the restore: a record is
+        missing or damaged, and every later version builds on it.
         """
         count = 0
         for number, epoch, created_at, cause, changes in records:
@@ -113,7 +115,7 @@
         return count
 
     def find(self, name: str) -> Version:
-        """The version with this number or label, or the latest. Raises UnknownVersionError."""
+        """Return the version with this number or label, or the latest for `LATEST`. Raises UnknownVersionError."""
         number = self.labels.get(name, int(name) if name.isdigit() else -1)
         if name == LATEST:
             number = self.latest.number
@@ -122,32 +124,34 @@
         return self.versions[number]
 
     def label(self, name: str, number: int) -> None:
-        """Labels a version, which keeps it from being removed. Raises UnknownVersionError, InvalidLabelError."""
+        """Label a version, which protects it from removal. Raises UnknownVersionError, InvalidLabelError."""
         if not name or name.isdigit() or name == LATEST:
-            raise InvalidLabelError(f"{name!r} can't be a label")
+            raise InvalidLabelError(
+                f"{name!r} cannot be a label: it is empty, a number, or reserved for the latest version"
+            )
         self.labels[name] = self.find(str(number)).number
 
     def recent(self, limit: int) -> list[tuple[Version, int]]:
-        """The last versions, newest first, with how many lines each changed."""
-        found, numbers = [], list(self.versions)
+        """Return the latest versions, newest first, with the number of lines that each changed."""
+        result, numbers = [], list(self.versions)
         for index in range(len(numbers) - 1, max(-1, len(numbers) - 1 - limit), -1):
             version = self.versions[numbers[index]]
             before = self.versions[numbers[index - 1]].lines if index else Map()
-            found.append((version, len(diff(before, version.lines))))
-        return found
+            result.append((version, len(diff(before, version.lines))))
+        return result
 
     def blame(self, backend: str) -> list[tuple[Version, list[LineChange]]]:
-        """The versions that changed a backend's lines, newest first, with these changes."""
-        found, before = [], Map[LineKey, int]()
+        """Return the versions that changed lines of a backend, newest first, with these changes."""
+        result, before = [], Map[LineKey, int]()
         for version in self.versions.values():
             changes = [change for change in diff(before, version.lines) if change.key[1] == backend]
             if changes:
-                found.append((version, changes))
+                result.append((version, changes))
             before = version.lines
-        return found[::-1]
+        return result[::-1]
 
 
 def diff(before: Lines, after: Lines) -> list[LineChange]:
-    """The lines that differ, in the order of their keys."""
+    """Return the lines that differ between two versions, sorted by key."""
     keys = [key for key in before if after.get(key) != before[key]] + [key for key in after if key not in before]
     return [LineChange(key, before.get(key, 0), after.get(key, 0)) for key in sorted(keys)]
--- a/onyxhead/tables/rollback.py
+++ b/onyxhead/tables/rollback.py
@@ -1,4 +1,4 @@
-"""Rollback of the tables to an earlier version, restricted to the endpoints that are safe to use now. No I/O."""
+"""Rollback of the tables to an earlier version, as far as its endpoints are safe to use now. No I/O."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from onyxhead.tables.history import LineKey, Version, diff
 
 NOT_READY = "gone or draining"
-STARTED_SINCE = "started since; it keeps its ramp"
+STARTED_SINCE = "started since the version; follows slow start"
 
 
 class CurrentEndpoints(NamedTuple):
-    """The endpoints that are ready now, with the tick since when each is warm, None while it is warming up."""
+    """The endpoints that are ready now, each with the tick since which it is warm, or None while it warms up."""
 
     warm_since: Mapping[str, int | None]
 
     def is_ready(self, backend: str) -> bool:
-        """Whether it may get traffic at all."""
+        """Return whether the endpoint may receive traffic at all."""
         return backend in self.warm_since
 
     def is_steady(self, backend: str, since: int) -> bool:
-        """Whether it is warm and has not started since that tick."""
+        """Return whether the endpoint is warm and was already warm at tick `since`."""
         warm_since = self.warm_since.get(backend)
         return warm_since is not None and warm_since <= since
 
 
 class RollbackPlan(NamedTuple):
-    """What a rollback does: the lines to hold, and why it leaves out the other backends of the version."""
+    """The lines that a rollback restores, and the reason for each backend of the version that it leaves out."""
 
     version: int
     lines: dict[LineKey, int]
@@ -39,23 +39,23 @@
 
 
 class PinnedVersion(NamedTuple):
-    """A version in which tables are held until a tick; what the policy desires is followed again after it."""
+    """A version that the tables are held at until tick `until`; afterwards they follow the policy again."""
 
     version: Version
     until: int
 
     def target(self, desired: Mapping[LineKey, int], endpoints: CurrentEndpoints) -> dict[LineKey, int]:
-        """The lines to hold while the policy desires these."""
+        """Return the lines that proxies should hold while the policy asks for the lines `desired`."""
         return restrict_lines(self.version, desired, endpoints, {table for table, _ in desired})
 
 
 def restrict_lines(
     version: Version, desired: Mapping[LineKey, int], endpoints: CurrentEndpoints, tables: Iterable[int]
 ) -> dict[LineKey, int]:
-    """The lines of a version in these tables, restricted to what is safe now.
+    """Return the lines of a version in these tables, restricted to what is safe now.
 
-    Endpoints that started since the version keep the lines that the policy desires, since their slow start is a safety
-    rule. Endpoints that are draining or gone get no line.
+    An endpoint that started after the version keeps the lines that the policy asks for, because slow start is a safety
+    rule. An endpoint that is draining or gone gets no line.
     """
     lines: dict[LineKey, int] = {}
     known_tables = set(tables)
@@ -72,21 +72,21 @@
 def plan_rollback(
     version: Version, desired: Mapping[LineKey, int], sent: Mapping[LineKey, int], endpoints: CurrentEndpoints
 ) -> RollbackPlan:
-    """What a rollback to a version would do now. Raises RollbackRejectedError."""
+    """Return what a rollback to a version would do now. Raises RollbackRejectedError."""
     tables = {table for table, _ in {**desired, **sent}}
     _require_steady_backend(version, endpoints)
     lines = restrict_lines(version, desired, endpoints, tables)
     _require_warm_tables(version, lines, sent, endpoints, tables)
     changes = diff(Map(sent), Map(lines))
     if not changes:
-        raise RollbackRejectedError(f"the tables are as in version {version.number} already")
+        raise RollbackRejectedError(f"the tables already match version {version.number}")
     return RollbackPlan(version.number, lines, _excluded(version, endpoints), len(changes))
 
 
 def _require_steady_backend(version: Version, endpoints: CurrentEndpoints) -> None:
     backends = {backend for _, backend in version.lines}
     if backends and not any(endpoints.is_steady(backend, version.created_at) for backend in backends):
-        raise RollbackRejectedError(f"no backend of version {version.number} still serves as it did then")
+        raise RollbackRejectedError(f"no backend of version {version.number} has stayed warm since")
 
 
 def _require_warm_tables(
@@ -100,7 +100,7 @@
     warm_tables = {table for table, backend in lines if endpoints.is_steady(backend, version.created_at)}
     for table in sorted(tables):
         if table in tables_in_use and table not in warm_tables:
-            raise RollbackRejectedError(f"table {table} would be left with no warm backend")
+            raise RollbackRejectedError(f"the rollback would leave table {table} with no warm backend")
 
 
 def _excluded(version: Version, endpoints: CurrentEndpoints) -> dict[str, str]:
--- a/onyxhead/tables/table_set.py
+++ b/onyxhead/tables/table_set.py
@@ -1,4 +1,4 @@
-"""The lines of all tables as they are sent to one set of proxies."""
+"""The lines of all tables as they were last sent to one set of proxies."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from onyxhead.tables.history import LineKey
 
 Freeze = Callable[[Mapping[LineKey, int]], dict[LineKey, int]]
-"""Gives the lines to hold in place of those that the policy desires."""
+"""Maps the lines that the policy asks for to the lines that the proxies should hold instead."""
 
 
 class TableSet:
-    """Lines by table and backend, with weights; `freeze` holds them against what the policy desires."""
+    """The weight of each line, by table and backend. While `freeze` is set, it overrides what the policy asks for."""
 
     def __init__(self) -> None:
         self.lines_by_table: dict[int, dict[str, int]] = {}
         self.freeze: Freeze | None = None
 
     def lines(self) -> dict[LineKey, int]:
-        """All lines."""
+        """Return the weights of all lines, by table and backend."""
         return {
             (table, backend): weight
             for table, lines in self.lines_by_table.items()
@@ -27,22 +27,22 @@
         }
 
     def table(self, table: int) -> dict[str, int]:
-        """The lines of one table, which is made if there is none."""
+        """Return the lines of one table, creating the table if it does not exist."""
         return self.lines_by_table.setdefault(table, {})
 
     def set_line(self, table: int, backend: str, weight: int) -> None:
-        """Puts a line at the end of its table; a weight of 0 removes it."""
+        """Set a line, moving it to the end of its table; a weight of 0 removes it."""
         lines = self.table(table)
         lines.pop(backend, None)
         if weight:
             lines[backend] = weight
 
     def target(self, desired: Mapping[LineKey, int]) -> Mapping[LineKey, int]:
-        """The lines that the proxies should hold when the policy desires these."""
+        """Return the lines that the proxies should hold while the policy asks for the lines `desired`."""
         return desired if self.freeze is None else self.freeze(desired)
 
     def pending_lines(self, desired: Mapping[LineKey, int]) -> Iterator[PendingLine]:
-        """The lines that were sent with other weights than their target's, in no particular order."""
+        """Yield the lines whose last sent weight differs from the target, in no particular order."""
         target, sent = self.target(desired), self.lines()
         for key in {*target, *sent}:
             weight, sent_weight = target.get(key, 0), sent.get(key, 0)
@@ -51,7 +51,7 @@
 
 
 class PendingLine(NamedTuple):
-    """A line that should have another weight than it was sent with; a weight of 0 means no line."""
+    """A line whose target weight differs from the weight last sent; a weight of 0 means no line."""
 
     tables: TableSet
     key: LineKey
@@ -59,5 +59,5 @@
     sent_weight: int
 
     def order(self) -> tuple[bool, LineKey, int]:
-        """Sorts lines that gain weight before all others, so that no table runs out of lines on the way."""
+        """Return a sort key that puts lines that gain weight first, so that no table becomes empty in between."""
         return self.weight <= self.sent_weight, self.key, self.weight
--- a/onyxhead/tables/table_state.py
+++ b/onyxhead/tables/table_state.py
@@ -1,6 +1,6 @@
-"""The state of one controller's tables: turns the decisions of a round into at most one update for each proxy.
+"""The state of one controller's tables, which turns the decisions of a round into at most one update for each proxy.
 
-For every joined proxy it knows the view that the proxy will hold once all updates sent to it are applied.
+For every joined proxy, the state holds the view that the proxy will have once it has applied all updates sent to it.
 """
 
 from __future__ import annotations
@@ -21,7 +21,8 @@
 class TableState:
     """Tables, admission levels and withdrawals of one controller, and the view of each joined proxy.
 
-    `groups` are the names of the traffic groups by number; `message_overhead` is what a message costs beyond its lines.
+    `groups` lists the names of the traffic groups by number; `message_overhead` is the cost of a message besides its
+    lines, in lines.
     """
 
     def __init__(self, groups: tuple[str, ...], admission_mode: AdmissionMode, message_overhead: float) -> None:
@@ -32,7 +33,7 @@
         self.revision = 0
         self.desired: dict[LineKey, int] = {}
         self.admission_levels: dict[tuple[int, int], ViewValue] = {}
-        # A dictionary keeps the order in which backends were withdrawn; its values mean nothing.
+        # An ordered set: the dictionary keeps the order in which backends were withdrawn, and its values are unused.
         self.withdrawn: dict[str, None] = {}
         self.views: dict[int, View] = {}
         self.proxies_by_table: dict[int, set[int]] = {}
@@ -42,47 +43,47 @@
 
     @property
     def tables(self) -> dict[int, dict[str, int]]:
-        """Lines by table, as sent to all proxies but those of a canary."""
+        """The lines of each table, as sent to all proxies except canary proxies."""
         return self.main.lines_by_table
 
     def sent_lines(self) -> dict[LineKey, int]:
-        """All lines as sent to all proxies but those of a canary."""
+        """Return all lines as sent to all proxies except canary proxies."""
         return self.main.lines()
 
     def tables_of(self, proxy: int) -> list[int]:
-        """The tables that a proxy is bound to."""
+        """Return the tables that a proxy is bound to."""
         return [table for table, proxies in self.proxies_by_table.items() if proxy in proxies]
 
     def pending_lines(self) -> list[PendingLine]:
-        """Lines that differ from what they should be, because tables are or were frozen."""
+        """Return the lines whose sent weight is off target because tables are or were frozen, in sending order."""
         pending = (line for tables in self._table_sets() for line in tables.pending_lines(self.desired))
         return sorted(pending, key=PendingLine.order)
 
     # Proxies
 
     def join(self, proxy: int, view: View) -> None:
-        """A proxy that holds this view; its own tables go on serving until it is bound to a table here."""
+        """Add a proxy that holds this view; it keeps using that view's tables until it is assigned one here."""
         self.leave(proxy)
         self.views[proxy] = view
 
     def leave(self, proxy: int) -> None:
-        """The proxy's stream is over; nothing is sent to it any more."""
+        """Remove a proxy whose stream has ended; it gets no further updates."""
         self.views.pop(proxy, None)
         self._unbind(proxy)
 
     def begin_canary(self, proxies: frozenset[int], freeze: Freeze) -> None:
-        """From now on these proxies have lines of their own, held by `freeze`."""
+        """Give these proxies separate lines, which `freeze` controls, starting from the lines of all proxies."""
         self.canary.lines_by_table = {table: dict(lines) for table, lines in self.main.lines_by_table.items()}
         self.canary_proxies, self.canary.freeze = proxies, freeze
 
     def end_canary(self) -> None:
-        """The canary proxies return to the lines of all others, as the channel has capacity."""
+        """Let the canary proxies return to the lines of all others, gradually as the channel has capacity."""
         self.canary.freeze = lambda _: self.main.lines()
 
     # Updates
 
     def apply_decisions(self, round_number: int, decisions: Iterable[Decision]) -> list[ProxyUpdate]:
-        """One update for each proxy concerned, in the order in which the decisions first reached them."""
+        """Return one update for each affected proxy, in the order in which the decisions first affect them."""
         updates = RoundUpdates(self.message_overhead)
         for decision in decisions:
             match decision:
@@ -100,9 +101,9 @@
         return updates.finish(round_number, self.views, self._snapshot)
 
     def reconcile(self, capacity: float) -> list[ProxyUpdate]:
-        """Updates that bring frozen or released lines to what they should be, as far as they fit into the capacity.
+        """Return updates that bring the lines of frozen or released tables to their target, as far as capacity allows.
 
-        The capacity is in lines of the channel. No acknowledgement is asked for these updates.
+        `capacity` is in lines of the channel. These updates do not request an acknowledgement.
         """
         updates = RoundUpdates(self.message_overhead)
         for tables, (table, backend), weight, _ in self.pending_lines():
@@ -138,7 +139,7 @@
                 self.desired[table, backend] = max(1, round(listed_weight * WEIGHT_SCALE))
         for tables in self._table_sets():
             sent = tables.table(table)
-            # While tables are frozen, a change goes out only as far as the freeze lets it.
+            # While tables are frozen, a change is sent only as far as the freeze permits it.
             target = tables.target(self.desired)
             for backend, _ in lines:
                 weight = target.get((table, backend), 0)
@@ -170,11 +171,11 @@
         path = view_format.line_path(view_format.table_name(table), backend)
         updates.write(proxies, path, view_format.line_value(self.addresses[backend], weight) if weight else None)
         if weight and backend in self.withdrawn:
-            # Proxies that had no line of the backend were not sent its withdrawal.
+            # Proxies that had no line for the backend were not sent its withdrawal and need it with the new line.
             updates.write(proxies, view_format.withdrawal_path(backend), True)
 
     def _snapshot(self, proxy: int, changes: dict[Path, ViewValue | None]) -> View:
-        """The complete view of a proxy with the bindings among the changes."""
+        """Return the complete view of a proxy; its bindings are taken from the changes."""
         bindings = {path: table for path, table in changes.items() if path[0] == view_format.BINDINGS}
         key = (proxy in self.canary_proxies, *sorted(bindings.items()))
         if (cached := self.snapshot_cache.get(key)) is not None:
@@ -191,7 +192,7 @@
                     entries[view_format.level_path(name, self.groups[group])] = level
         return self.snapshot_cache.setdefault(key, View.from_entries(entries))
 
-    # Parts
+    # Helpers
 
     def _table_sets(self) -> tuple[TableSet, ...]:
         return (self.main, self.canary) if self.canary_proxies else (self.main,)
@@ -208,7 +209,10 @@
             proxies.discard(proxy)
 
     def _may_use(self, proxy: int, backend: str) -> bool:
-        """Whether a withdrawal concerns this proxy: tables that are not of this controller may hold any backend."""
+        """Return whether a withdrawal of the backend must be sent to this proxy.
+
+        A proxy that is bound to no table of this controller may hold any backend.
+        """
         tables = self.tables_of(proxy)
         lines_by_table = self._table_set_of(proxy).lines_by_table
         return not tables or any(backend in lines_by_table.get(table, {}) for table in tables)
--- a/onyxhead/tables/view.py
+++ b/onyxhead/tables/view.py
@@ -1,7 +1,7 @@
-"""What one proxy holds: an immutable set of entries with a digest that a change updates at its own cost.
+"""Views: everything that one proxy holds, as an immutable set of entries with a digest.
 
-The digest is the sum of the hashes of the entries modulo 2**256, so it does not depend on their order. For paths and
-values see `onyxhead.tables.view_format`.
+The digest is the sum of the hashes of the entries modulo 2**256. So it does not depend on their order, and an update
+hashes only the entries that change. For paths and values see `onyxhead.tables.view_format`.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 
 def canonical_json(value: object) -> bytes:
-    """The one spelling of a value that counts for digests: sorted keys, no spaces, no NaN (compare RFC 8785)."""
+    """Return the canonical JSON encoding that digests use: sorted keys, no spaces, no NaN (compare RFC 8785)."""
     return json.dumps(value, sort_keys=True, separators=(",", ":"), allow_nan=False).encode()
 
 
 def entry_hash(path: Path, value: ViewValue) -> int:
-    """What one entry adds to a digest."""
+    """Return the hash of one entry, which is its summand in a digest."""
     return int.from_bytes(hashlib.blake2b(canonical_json([*path, value]), digest_size=HASH_BYTES).digest(), "big")
 
 
 class View:
-    """An immutable value; two views share what they have in common.
+    """An immutable view of a proxy; views derived from each other share their common entries.
 
     >>> View.EMPTY.with_entry(("withdrawn", "b1"), True).to_document()
     {'withdrawn': {'b1': True}}
@@ -43,21 +43,21 @@
 
     @classmethod
     def from_entries(cls, entries: Mapping[Path, ViewValue]) -> View:
-        """The view with these entries, which must be valid."""
+        """Return the view with these entries, which the caller must have validated."""
         digest = sum(entry_hash(path, value) for path, value in entries.items()) % MODULUS
         return cls(Map(entries), digest)
 
     @classmethod
     def from_document(cls, document: object) -> View:
-        """The view that a complete document describes. Raises MalformedViewError."""
+        """Return the view that a complete document describes. Raises MalformedViewError."""
         return cls.from_entries({path: value for path, value in iterate_entries(document) if value is not None})
 
     def with_entry(self, path: Path, value: ViewValue | None) -> View:
-        """The view with one entry set, or with None removed."""
+        """Return the view with one entry set, or removed if the value is None."""
         return self.apply({path: value})
 
     def apply(self, changes: Mapping[Path, ViewValue | None]) -> View:
-        """The view after the changes, of which None removes an entry. What is already so costs nothing."""
+        """Return the view after the changes, where None removes an entry. Entries that do not change are not hashed."""
         digest, entries = self.digest, self.entries.mutate()
         for path, value in changes.items():
             old = entries.get(path)
@@ -72,17 +72,17 @@
         return View(entries.finish(), digest % MODULUS)
 
     def changes_to(self, other: View) -> dict[Path, ViewValue | None]:
-        """The smallest set of changes that makes this view the other."""
+        """Return the smallest set of changes that turns this view into the other."""
         changes: dict[Path, ViewValue | None] = {path: None for path in self.entries if path not in other.entries}
         changes.update({path: value for path, value in other.entries.items() if self.entries.get(path) != value})
         return changes
 
     def to_document(self) -> Document:
-        """The view as a complete JSON document."""
+        """Return the view as a complete JSON document."""
         return merge_patch(dict(self.entries))
 
     def children(self, *parent: str) -> dict[str, ViewValue]:
-        """The entries directly below a path, by the last name of theirs."""
+        """Return the entries directly below a path, by the last element of their paths."""
         depth = len(parent)
         return {
             path[-1]: value for path, value in self.entries.items() if path[:depth] == parent and len(path) == depth + 1
@@ -90,7 +90,7 @@
 
     @property
     def etag(self) -> str:
-        """A strong entity tag (RFC 9110, section 8.8.3); equal for equal views, whoever made them."""
+        """The strong entity tag (RFC 9110, section 8.8.3); equal views have equal tags, whichever process made them."""
         return f'"{self.digest:064x}"'
 
     def __eq__(self, other: object) -> bool:
--- a/tests/test_rollback.py
+++ b/tests/test_rollback.py
@@ -14,36 +14,37 @@
 from tests.table_rig import FULL, lines, rig_with_wrong_table
 
 
-def version_of(at: int, **weights: int) -> History:
+def history_of(created_at: int, **weights: int) -> History:
+    """Return a history whose only version has these lines in table 0."""
     history = History()
-    history.append(1, at, "", lines(**weights))
+    history.append(1, created_at, "", lines(**weights))
     return history
 
 
 def test_a_rollback_is_restricted_to_endpoints_that_are_safe_now() -> None:
-    version = version_of(100, a=FULL, gone=FULL, cold=FULL, young=FULL).latest
-    truth = CurrentEndpoints({"a": 0, "cold": None, "young": 150, "new": 0})
-    now = lines(a=1, cold=5, young=9, new=FULL)
-    back = plan_rollback(version, now, now, truth)
-    assert back.lines == lines(a=FULL, cold=5, young=9)
-    assert back.excluded == {
+    version = history_of(100, a=FULL, gone=FULL, cold=FULL, young=FULL).latest
+    endpoints = CurrentEndpoints({"a": 0, "cold": None, "young": 150, "new": 0})
+    current = lines(a=1, cold=5, young=9, new=FULL)
+    plan = plan_rollback(version, current, current, endpoints)
+    assert plan.lines == lines(a=FULL, cold=5, young=9)
+    assert plan.excluded == {
         "gone": "gone or draining",
-        "cold": "started since; it keeps its ramp",
-        "young": "started since; it keeps its ramp",
+        "cold": "started since the version; follows slow start",
+        "young": "started since the version; follows slow start",
     }
 
 
 def test_a_rollback_that_would_break_a_rule_or_change_nothing_is_rejected() -> None:
-    version = version_of(100, a=FULL, b=FULL).latest
-    now = lines(a=1, c=FULL)
-    with pytest.raises(RollbackRejectedError, match="no backend of version 1 still serves"):
-        plan_rollback(version, now, now, CurrentEndpoints({"c": 0}))
-    with pytest.raises(RollbackRejectedError, match="as in version 1 already"):
-        plan_rollback(version, now, lines(a=FULL, b=FULL), CurrentEndpoints({"a": 0, "b": 0}))
-    two = now | {(1, "c"): FULL}
-    with pytest.raises(RollbackRejectedError, match="table 1 would be left with no warm backend"):
-        plan_rollback(version, two, two, CurrentEndpoints({"a": 0, "b": 0, "c": 0}))
-    assert restrict_lines(Version(0, 0, 0, "", Map(), 0), now, CurrentEndpoints({}), [0]) == {}
+    version = history_of(100, a=FULL, b=FULL).latest
+    current = lines(a=1, c=FULL)
+    with pytest.raises(RollbackRejectedError, match="no backend of version 1 has stayed warm since"):
+        plan_rollback(version, current, current, CurrentEndpoints({"c": 0}))
+    with pytest.raises(RollbackRejectedError, match="already match version 1"):
+        plan_rollback(version, current, lines(a=FULL, b=FULL), CurrentEndpoints({"a": 0, "b": 0}))
+    two_tables = current | {(1, "c"): FULL}
+    with pytest.raises(RollbackRejectedError, match="would leave table 1 with no warm backend"):
+        plan_rollback(version, two_tables, two_tables, CurrentEndpoints({"a": 0, "b": 0, "c": 0}))
+    assert restrict_lines(Version(0, 0, 0, "", Map(), 0), current, CurrentEndpoints({}), [0]) == {}
 
 
 def roll_back(rig: Rig, version: str = "1", seconds: float = 60.0) -> None:
@@ -65,7 +66,7 @@
     assert rig.lines("p0")["b1"] == 1000 and "b3" not in rig.lines("p0")
 
 
-def test_pinned_tables_let_new_endpoints_in_by_slow_start_and_are_released_in_time() -> None:
+def test_pinned_tables_admit_new_endpoints_by_slow_start_and_are_released_on_time() -> None:
     rig = rig_with_wrong_table()
     roll_back(rig, seconds=5.0)
     rig.set("b7", "ready")
@@ -102,10 +103,10 @@
     roll_back(rig, str(first))
     rig.peak_queued_lines = 0.0
     rig.run(3)
-    assert rig.peak_queued_lines <= 0.5 * 3000 and all(rig.lines(n)["b1"] == FULL for n in rig.replicas)
+    assert rig.peak_queued_lines <= 0.5 * 3000 and all(rig.lines(name)["b1"] == FULL for name in rig.replicas)
 
 
-def test_frozen_tables_change_only_as_safety_rules_demand() -> None:
+def test_frozen_tables_change_only_where_safety_rules_require_it() -> None:
     rig = Rig(proxies=2)
     rig.run(2)
     assert rig.core.versions.freeze(rig.now, 60.0) == rig.core.versions.history.latest.number
@@ -116,7 +117,7 @@
     assert rig.lines("p0")["b1"] == FULL and "b2" not in rig.lines("p0")
 
 
-def test_versions_of_two_controllers_with_one_number_are_never_mixed_up() -> None:
+def test_versions_of_two_controllers_with_the_same_number_are_never_confused() -> None:
     first, second = Rig(backends=5, proxies=2, seed=1), Rig(backends=5, seed=2)
     first.run(2)
     second.run(2)
@@ -126,15 +127,17 @@
     second.run(2)
     one, two = first.core.versions.history.latest, second.core.versions.history.latest
     assert one.number == two.number and one.digest_hex != two.digest_hex
-    # The proxy is handed over; a late update of the first controller's version finds another view.
+    # The proxy is handed over to the second controller. The agent rejects a late update of the first controller, because
+    # it is based on a view that the proxy no longer holds.
     late = first.core.proxy_tables.apply_decisions(77, [TableChange(0, (("b2", 0.5),))])[0]
     second.replicas = {"p0": first.replicas["p0"]}
     second.join("p0")
     second.run(2)
-    held = second.replicas["p0"].view.etag
-    refused = second.replicas["p0"].check_update(request_of(late, "p0", second.now))
-    assert not isinstance(refused, AcceptedUpdate) and refused.status == 412 and second.replicas["p0"].view.etag == held
-    # By that number each controller finds its own version, and what a rollback to it would bring back.
+    etag_before = second.replicas["p0"].view.etag
+    rejection = second.replicas["p0"].check_update(request_of(late, "p0", second.now))
+    assert not isinstance(rejection, AcceptedUpdate) and rejection.status == 412
+    assert second.replicas["p0"].view.etag == etag_before
+    # Under the shared number, each controller finds and rolls back to its own version.
     assert second.core.versions.history.find(str(two.number)).digest_hex == two.digest_hex
     with pytest.raises(RollbackRejectedError, match="already"):
         second.core.versions.roll_back(second.now, str(two.number), 60.0)
