--- a/tests/test_table_versions.py
+++ b/tests/test_table_versions.py
@@ -1,4 +1,4 @@
-"""Versions of tables: the history, the store, the commands."""
+"""Versions of tables: history, storage and commands."""
 
 from __future__ import annotations
 
@@ -20,21 +20,27 @@
 from tests.test_controller_server import Running, list_of, play, port_of, shown, until
 
 
-def test_generated_histories_match_a_plain_model() -> None:
-    chance, history, plain = Random(3), History(), list[dict[tuple[int, str], int]]()
+def test_random_histories_match_a_simple_model() -> None:
+    random, history, expected = Random(3), History(), list[dict[tuple[int, str], int]]()
     for step in range(400):
-        changes = {(chance.randrange(3), f"b{chance.randrange(9)}"): chance.choice((0, 1, 2)) for _ in range(3)}
-        before = plain[-1] if plain else {}
-        after = {key: parts for key, parts in {**before, **changes}.items() if parts}
+        changes = {(random.randrange(3), f"b{random.randrange(9)}"): random.choice((0, 1, 2)) for _ in range(3)}
+        before = expected[-1] if expected else {}
+        after = {key: weight for key, weight in {**before, **changes}.items() if weight}
         version = history.append(1, step, "x", changes)
         assert (version is None) == (after == before)
         if version is not None:
-            plain.append(after)
-            assert dict(version.lines) == after and version.number == len(plain)
-            assert version.digest == sum(entry_hash((str(t), b), n) for (t, b), n in after.items()) % MODULUS
-    one, two = history.find("5"), history.find("80")
-    assert {key: new for key, _, new in diff(one.lines, two.lines)} == {
-        key: plain[79].get(key, 0) for key in {*plain[4], *plain[79]} if plain[4].get(key, 0) != plain[79].get(key, 0)
+            expected.append(after)
+            assert dict(version.lines) == after and version.number == len(expected)
+            assert (
+                version.digest
+                == sum(entry_hash((str(table), backend), weight) for (table, backend), weight in after.items())
+                % MODULUS
+            )
+    early, late = history.find("5"), history.find("80")
+    assert {key: new for key, _, new in diff(early.lines, late.lines)} == {
+        key: expected[79].get(key, 0)
+        for key in {*expected[4], *expected[79]}
+        if expected[4].get(key, 0) != expected[79].get(key, 0)
     }
     for version, changes in history.blame("b1"):
         assert all(key[1] == "b1" and old != new for key, old, new in changes)
@@ -60,38 +66,39 @@
     rig = rig_with_wrong_table()
     core, now = rig.core, rig.now
 
-    def to(what: str, **given: object) -> object:
-        return handle_version_request(core.versions, now, what, given, lambda _: None)
+    def request(name: str, **parameters: object) -> object:
+        return handle_version_request(core.versions, now, name, parameters, lambda _: None)
 
-    assert [row["version"] for row in to("log")] == [2, 1]  # type: ignore[attr-defined]
-    assert to("diff", one=1, two=2)[0] == {"table": 0, "backend": "b1", "before": FULL, "after": 1000}  # type: ignore[index]
-    assert to("label", label="good", version=1) and to("show", version="good")["tables"]["0"]["b1"] == FULL  # type: ignore[index]
-    assert len(to("blame", backend="b1")) == 2  # type: ignore[arg-type]
-    assert to("preview", version="good")["lines"] == 2 and core.versions.pin is None  # type: ignore[index]
-    for what, given in (("rollback", {"version": "1", "seconds": -1}), ("what", {}), ("show", {})):
+    assert [row["version"] for row in request("log")] == [2, 1]  # type: ignore[attr-defined]
+    assert request("diff", one=1, two=2)[0] == {"table": 0, "backend": "b1", "before": FULL, "after": 1000}  # type: ignore[index]
+    assert request("label", label="good", version=1) and request("show", version="good")["tables"]["0"]["b1"] == FULL  # type: ignore[index]
+    assert len(request("blame", backend="b1")) == 2  # type: ignore[arg-type]
+    assert request("preview", version="good")["lines"] == 2 and core.versions.pin is None  # type: ignore[index]
+    for name, parameters in (("rollback", {"version": "1", "seconds": -1}), ("what", {}), ("show", {})):
         with pytest.raises((ValueError, KeyError)):
-            to(what, **given)
+            request(name, **parameters)
 
 
 def test_the_longest_run_of_intact_versions_is_restored_and_the_loss_reported(tmp_path: Path) -> None:
-    history = Store(tmp_path)
+    store = Store(tmp_path)
     for number in range(1, 9):
-        history.append_version(VersionRecord(number, 1, number * 10, "x", {(0, "b"): number}))
-    history.close()
-    again = Store(tmp_path)
-    assert [record.number for record in again.load_versions()] == list(range(1, 9)) and not again.warnings
-    again.close()
+        store.append_version(VersionRecord(number, 1, number * 10, "x", {(0, "b"): number}))
+    store.close()
+    reopened = Store(tmp_path)
+    assert [record.number for record in reopened.load_versions()] == list(range(1, 9)) and not reopened.warnings
+    reopened.close()
     with sqlite3.connect(tmp_path / "onyxhead.db") as db:
         db.execute("update versions set changes = replace(changes, '6', '7') where number = 6")
-    broken = Store(tmp_path)
-    assert [record.number for record in broken.load_versions()] == [1, 2, 3, 4, 5] and "version 6" in broken.warnings[0]
-    broken.close()
+    damaged = Store(tmp_path)
+    assert [record.number for record in damaged.load_versions()] == [1, 2, 3, 4, 5]
+    assert "version 6" in damaged.warnings[0]
+    damaged.close()
     history = History()
     records = [VersionRecord(number, 1, 0, "", lines(a=number)) for number in (1, 2, 4)]
     assert history.restore(records) == 2 and dict(history.latest.lines) == lines(a=2)
 
 
-def test_a_wrong_table_is_rolled_back_by_command_and_versions_outlive_the_controller(tmp_path: Path) -> None:
+def test_a_wrong_table_is_rolled_back_by_command_and_versions_survive_a_restart(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         import asyncio
 
@@ -105,18 +112,18 @@
         address = f"127.0.0.1:{port_of(controller)}"
 
         async def command(*words: str) -> tuple[int, str]:
-            done = await asyncio.to_thread(CliRunner().invoke, main, [*words, address])
-            return done.exit_code, done.output
+            result = await asyncio.to_thread(CliRunner().invoke, main, [*words, address])
+            return result.exit_code, result.output
 
-        code, told = await command("tables", "rollback", "--dry-run", str(good))
-        assert code == 0 and "lines" in told
+        code, output = await command("tables", "rollback", "--dry-run", str(good))
+        assert code == 0 and "lines" in output
         assert (await command("tables", "rollback", str(good)))[0] == 0
         await until(lambda: '"load_balancing_weight":10000}' not in (tmp_path / "p1" / "eds.json").read_text())
         assert (await command("tables", "rollback", str(good)))[0] == 1
         assert (await command("tables", "rollback", "999"))[0] == 1
         assert (await command("tables", "label", str(good), "good"))[0] == 0
-        code, told = await command("tables", "release")
-        assert code == 0 and told.endswith("released\n")
+        code, output = await command("tables", "release")
+        assert code == 0 and output.endswith("released\n")
         await until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
         controller.supervisor.stopping.set()
         await until(lambda: running.tasks[0].done())
--- a/tests/test_tables.py
+++ b/tests/test_tables.py
@@ -1,4 +1,4 @@
-"""Views, their digests and changes; the table state, its updates and what they cost."""
+"""Views with their digests and changes; the table state with its updates and their cost."""
 
 from __future__ import annotations
 
@@ -29,21 +29,25 @@
 
 
 def entries(changes: dict[tuple[str, ...], int | None]) -> dict[tuple[str, ...], Any]:
-    return {p: None if v is None else True if p[0] == "withdrawn" else line(p[-1], v) for p, v in changes.items()}
+    """Return changes of a view in which each integer is replaced by a valid value for its path."""
+    return {
+        path: None if weight is None else True if path[0] == "withdrawn" else line(path[-1], weight)
+        for path, weight in changes.items()
+    }
 
 
 @given(st.lists(CHANGES, max_size=6))
-def test_a_view_made_by_changes_equals_the_view_made_at_once(steps: list[dict[tuple[str, ...], int | None]]) -> None:
-    view, plain = View.EMPTY, dict[tuple[str, ...], Any]()
+def test_a_view_built_by_changes_equals_the_view_built_at_once(steps: list[dict[tuple[str, ...], int | None]]) -> None:
+    view, expected = View.EMPTY, dict[tuple[str, ...], Any]()
     for step in map(entries, steps):
         view = view.apply(parse_merge_patch(json.loads(json.dumps(merge_patch(step)))))
-        plain = {p: v for p, v in (plain | step).items() if v is not None}
-    assert view == View.from_entries(plain) and view.etag == View.from_entries(plain).etag
+        expected = {path: value for path, value in (expected | step).items() if value is not None}
+    assert view == View.from_entries(expected) and view.etag == View.from_entries(expected).etag
     assert View.from_document(json.loads(json.dumps(view.to_document()))).etag == view.etag
 
 
 @given(CHANGES, CHANGES)
-def test_changes_between_two_views_lead_from_one_to_the_other(first: Any, second: Any) -> None:
+def test_changes_between_two_views_turn_one_into_the_other(first: Any, second: Any) -> None:
     before, after = View.EMPTY.apply(entries(first)), View.EMPTY.apply(entries(second))
     assert before.apply(before.changes_to(after)).etag == after.etag
     assert (before.etag == after.etag) == (before == after)
@@ -76,43 +80,45 @@
 
 
 def table_state() -> TableState:
-    made = TableState(("read", "write"), AdmissionMode.FRACTION, 6.0)
-    made.addresses = {f"b{n}": EndpointAddress(f"127.0.0.1:{9000 + n}", "north") for n in range(5)}
-    return made
+    state = TableState(("read", "write"), AdmissionMode.FRACTION, 6.0)
+    state.addresses = {f"b{n}": EndpointAddress(f"127.0.0.1:{9000 + n}", "north") for n in range(5)}
+    return state
 
 
 def test_an_assignment_sends_the_full_table_once_and_counts_its_lines() -> None:
     state = table_state()
     state.apply_decisions(0, [TableChange(0, (("b0", 1.0), ("b1", 0.5)))])
     state.join(7, View.from_entries({("standing", "b4"): line("b4")}))
-    (message,) = state.apply_decisions(1, [Withdrawal("b1", True), TableAssignment(7, 0, ())])
-    assert message.full and message.line_cost == 6 + 1 + (1 + 2 + 1) + 1
-    assert message.result.children("tables", "t0", "lines")["b1"]["weight"] == 500_000
-    assert message.result.children("withdrawn") == {"b1": True} and not message.result.children("standing")
+    (update,) = state.apply_decisions(1, [Withdrawal("b1", True), TableAssignment(7, 0, ())])
+    assert update.full and update.line_cost == 6 + 1 + (1 + 2 + 1) + 1
+    assert update.result.children("tables", "t0", "lines")["b1"]["weight"] == 500_000
+    assert update.result.children("withdrawn") == {"b1": True} and not update.result.children("standing")
 
 
-def test_a_change_goes_to_proxies_of_its_table_only_and_a_withdrawal_to_all() -> None:
+def test_a_change_is_sent_to_proxies_of_its_table_only_and_a_withdrawal_to_all() -> None:
     state = table_state()
     state.apply_decisions(0, [TableChange(0, (("b0", 1.0), ("b1", 1.0)))])
     state.join(1, View.EMPTY)
     state.join(2, View.from_entries({("standing", "b0"): line("b0")}))
     state.apply_decisions(1, [TableAssignment(1, 0, ())])
-    assert [m.proxy for m in state.apply_decisions(2, [TableChange(0, (("b2", 0.1),))])] == [1]
+    assert [update.proxy for update in state.apply_decisions(2, [TableChange(0, (("b2", 0.1),))])] == [1]
     updates = state.apply_decisions(3, [Withdrawal("b0", True)])
-    assert [m.proxy for m in updates] == [1, 2] and all(m.urgent and not m.full for m in updates)
+    assert [update.proxy for update in updates] == [1, 2]
+    assert all(update.urgent and not update.full for update in updates)
     assert updates[1].to_document() == {"withdrawn": {"b0": True}}
     assert state.views[2] == View.from_entries({("standing", "b0"): line("b0"), ("withdrawn", "b0"): True})
 
 
 @given(st.lists(st.tuples(st.booleans(), CHANGES), min_size=1, max_size=6))
-def test_coalesced_updates_lead_to_the_same_view_as_the_run(steps: Any) -> None:
+def test_a_coalesced_update_gives_the_same_view_as_its_updates_in_turn(steps: Any) -> None:
     base = view = View.EMPTY.apply(entries({("standing", "b1"): 3}))
-    run = []
+    updates = []
     for round_number, (full, step) in enumerate(steps):
         before, changes = view, entries(step)
-        view = View.from_entries({p: v for p, v in changes.items() if v is not None}) if full else view.apply(changes)
-        run.append(ProxyUpdate(1, round_number, full, before.etag, view, changes, 9.0, False))
-    update = coalesce(run)
+        entries_set = {path: value for path, value in changes.items() if value is not None}
+        view = View.from_entries(entries_set) if full else view.apply(changes)
+        updates.append(ProxyUpdate(1, round_number, full, before.etag, view, changes, 9.0, False))
+    update = coalesce(updates)
     assert update.base_etag == base.etag and update.result is view and update.round_number == len(steps) - 1
     document = json.loads(json.dumps(update.to_document()))
     assert (View.from_document(document) if update.full else base.apply(parse_merge_patch(document))).etag == view.etag
