--- a/onyxhead/fleet/__init__.py
+++ b/onyxhead/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Controllers that share a fleet: membership, ownership of proxies, fencing tokens, slow-start budget.
+"""Controllers that share a fleet: membership, ownership of proxies, fencing tokens and slow-start budget.
 
-Nothing here does I/O or reads a clock, and nothing is needed to keep a safety rule: each controller keeps them alone.
-Sharing makes service better.
+Nothing in this package does I/O or reads a clock. No safety rule depends on it, because each controller keeps the rules
+on its own; cooperation only improves service.
 """
--- a/onyxhead/fleet/assignment.py
+++ b/onyxhead/fleet/assignment.py
@@ -1,7 +1,8 @@
-"""Which member serves which proxy: its own zone first, then evenly by channel capacity, with few moves. No I/O.
+"""Assignment of proxies to members: same zone first, then evenly by channel capacity, with few moves. No I/O.
 
-Weighted rendezvous hashing gives each proxy an order of members of its own. A bound on each member's load, filled in
-the order of the hashes of the proxies' names, keeps the load even. Members that know the same assign the same.
+Weighted rendezvous hashing ranks the members for each proxy. A limit on the load of each member keeps the load even:
+proxies take their places in the order of the hashes of their names, and each goes to its highest-ranked member that is
+not full. The result depends only on the arguments, so members with the same information compute the same assignment.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 from typing import NamedTuple
 
 MAX_LOAD_FACTOR = 1.1
-"""A member may serve so much more than its even part; less would move more proxies at each change."""
+"""The limit on a member's load, relative to an even load. A lower limit would move more proxies at each change."""
 HASH_BYTES = 8
 
 
 class Member(NamedTuple):
-    """A controller. Joins cost lines of its channel, so proxies are assigned by the channel's pace."""
+    """A controller of the fleet; `lines_per_second`, the rate of its channel, bounds its joins and weights its load."""
 
     name: str
     zone: str
@@ -25,16 +26,16 @@
 
 
 def rank_members(proxy: str, zone: str, members: Mapping[str, Member]) -> list[str]:
-    """Members in the order in which this proxy prefers them; those of its zone before all others."""
+    """Return the members in order of preference for a proxy, with those of its zone before all others."""
     return sorted(members, key=lambda name: (members[name].zone != zone, -_score(proxy, members[name]), name))
 
 
 def assign_proxies(proxies: Mapping[str, str], members: Mapping[str, Member]) -> dict[str, str]:
-    """The member of each proxy, for proxies by name with their zones. Empty if there is no member."""
-    total = sum(member.lines_per_second for member in members.values())
-    if not total:
+    """Return the member of each proxy, or nothing if there are no members; `proxies` maps names to zones."""
+    total_rate = sum(member.lines_per_second for member in members.values())
+    if not total_rate:
         return {}
-    even_parts = {name: len(proxies) * member.lines_per_second / total for name, member in members.items()}
+    even_parts = {name: len(proxies) * member.lines_per_second / total_rate for name, member in members.items()}
     capacity = {name: max(math.ceil(part), math.floor(MAX_LOAD_FACTOR * part)) for name, part in even_parts.items()}
     assigned: dict[str, str] = {}
     for proxy in sorted(proxies, key=_name_hash):
--- a/onyxhead/fleet/controller_selector.py
+++ b/onyxhead/fleet/controller_selector.py
@@ -1,8 +1,8 @@
-"""Which controller an agent connects to next. No I/O.
+"""Selection of the controller that an agent connects to next. No I/O.
 
-It asks its controllers in the order of the settings. One that knows a better controller says so and is passed over.
-When all were asked and none accepted, the agent insists: whoever answers then must accept it, since a proxy with a
-controller that is not the best is better off than one with none.
+The agent tries its controllers in the order of the settings. A controller that knows a better one redirects the agent
+to it. Once all controllers were tried and none accepted, the agent insists: a controller that answers then must accept
+the agent, since a proxy is better served by the wrong controller than by none.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from typing import NamedTuple
 
 MAX_BACKOFF_FACTOR = 8
-"""How many times the usual pause the agent waits between two attempts at most."""
+"""The longest pause between two attempts, in multiples of the usual pause."""
 ROUNDS_WITHOUT_BACKOFF = 2
-"""Rounds over all controllers before the pause grows."""
+"""The number of rounds over all controllers before the pause grows."""
 
 
 class ConnectAttempt(NamedTuple):
-    """Whom to ask, whether to insist, and how many times the usual pause to wait before."""
+    """The next attempt: the controller's position, whether to insist, and the pause before, in usual pauses."""
 
     position: int
     insist: bool
@@ -24,7 +24,7 @@
 
 
 class ControllerSelector:
-    """Chooses among `count` controllers, by their positions in the settings."""
+    """Selector among `count` controllers, which are known by their positions in the settings."""
 
     def __init__(self, count: int) -> None:
         self.count, self.position, self.attempts = count, 0, 0
@@ -33,26 +33,26 @@
         self.recommended: int | None = None
 
     def next_attempt(self) -> ConnectAttempt:
-        """The controller to ask now."""
+        """Return the next attempt to make."""
         return ConnectAttempt(self._current(), self.insist, self._backoff_factor())
 
     def on_accepted(self, name: str) -> None:
-        """The controller asked last, of this name, accepted the agent."""
+        """Handle that the controller tried last, whose name is now known, accepted the agent."""
         self.positions[name] = self._current()
         self.attempts, self.redirected, self.insist, self.recommended = 0, False, False, None
 
     def on_redirected(self, name: str, to: str) -> None:
-        """The controller asked last, of this name, recommends another."""
+        """Handle that the controller tried last, whose name is now known, redirected the agent to `to`."""
         self.positions[name] = self._current()
         self.redirected = True
         self._advance(self.positions.get(to))
 
     def on_failed(self) -> None:
-        """The controller asked last gave no answer, or rejected the agent."""
+        """Handle that the controller tried last did not answer, or rejected the agent."""
         self._advance(None)
 
     def on_disconnected(self) -> None:
-        """The stream ended; the first controller of the settings is asked first again, since it may be back."""
+        """Handle the end of the stream: start again with the first controller of the settings, which may be back."""
         self.position = self.attempts = 0
         self.redirected = self.insist = False
         self.recommended = None
@@ -72,7 +72,8 @@
         self.attempts += 1
         if self.recommended is None:
             self.position = (self.position + 1) % self.count
-        # A controller that was recommended and failed is not asked again in this round: the advice may be wrong.
+        # A recommended controller that failed, or redirects to itself, is not tried again at once, because the
+        # recommendation may be wrong.
         self.recommended = None if self.insist or recommended == self._current() else recommended
         if self.attempts >= 2 * self.count or (self.attempts >= self.count and self.redirected):
             self.insist = True
--- a/onyxhead/fleet/errors.py
+++ b/onyxhead/fleet/errors.py
@@ -8,15 +8,15 @@
 
 
 class MalformedPacketError(FleetError, ValueError):
-    """What was received is no gossip packet, or one of another protocol version; the message says which."""
+    """A received value is not a gossip packet, or has another protocol version; the message gives the reason."""
 
 
 class MalformedReportError(FleetError, ValueError):
-    """What was received is no budget report; the message says why."""
+    """A received or stored value is not a valid budget report; the message gives the reason."""
 
 
 class StaleTokenError(FleetError):
-    """An update or a join under a fencing token that does not hold; `current` is the one that does."""
+    """An update or a join has an invalid fencing token; `current` is the agent's current token."""
 
     def __init__(self, text: str, current: int) -> None:
         super().__init__(text)
--- a/onyxhead/fleet/membership.py
+++ b/onyxhead/fleet/membership.py
@@ -1,10 +1,11 @@
-"""Who is alive: SWIM with suspicion and incarnations (Das, Gupta and Motivala, 2002), for up to some dozens of members.
+"""Failure detection by SWIM with suspicion and incarnations (Das, Gupta and Motivala, 2002), for dozens of members.
 
-Each period a member pings another in a shuffled order. With no answer it asks a few others to ping that one for it.
-With none still, the silent member is suspected, and counts as dead after a while unless it denies this with a higher
-incarnation. What is known of members rides along on every packet, so there is nothing else to send.
+In each period, a member pings one other member; it goes through them in shuffled order. If no answer arrives, it asks a
+few others to ping the silent member on its behalf. If still no answer arrives, it suspects the silent member, and later
+declares it dead unless the member refutes this with a higher incarnation. States of members are piggybacked on these
+packets, so no other messages are needed.
 
-Times are in ticks. The same calls give the same packets.
+Times are in ticks. The same sequence of calls and the same random generator give the same packets.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 DEFAULT_TIMEOUT = TICKS_PER_SECOND // 10
 DEFAULT_SUSPICION = TICKS_PER_SECOND
 INDIRECT_PINGS = 2
-"""Members that are asked to ping one that does not answer."""
-PING_GIVEN_UP_AFTER = 3
-REQUESTED_PING_GIVEN_UP_AFTER = 4
-"""Both in timeouts of a direct answer."""
+"""The number of members that are asked to ping a member that does not answer."""
+PING_EXPIRY_TIMEOUTS = 3
+REQUESTED_PING_EXPIRY_TIMEOUTS = 4
+"""When an unanswered ping expires, in timeouts of a direct answer; longer if it was sent for another member."""
 MAX_NUMBER = 2**53
-"""The greatest incarnation and packet number, so that every JSON parser reads them exactly."""
+"""The greatest incarnation and packet number that every JSON parser reads exactly."""
 NEVER_SEEN = -1
-"""The incarnation of a member that was never heard of."""
+"""The incarnation of a member from which nothing was ever heard."""
 
 
 class MemberState(NamedTuple):
-    """What is known of a member, since when."""
+    """The known state of a member; `since` is the tick at which this state was learned."""
 
     status: Status
     incarnation: int
@@ -40,14 +41,18 @@
 
 
 class PingRequester(NamedTuple):
-    """The member that asked for a ping, and the number of its own ping."""
+    """The member that requested a ping on its behalf, and the number of its own unanswered ping."""
 
     member: str
     number: int
 
 
 class PendingPing(NamedTuple):
-    """A ping that is not answered yet; `indirect` once others were asked to ping the member too."""
+    """An unanswered ping.
+
+    `indirect` is set once other members were asked to ping as well. `requester` is the member that this ping was sent
+    for, None for a ping of this member's own.
+    """
 
     member: str
     sent_at: int
@@ -58,7 +63,8 @@
 class Membership:
     """One member's view of all members.
 
-    `period` is the time between two pings, `timeout` for a direct answer, `suspicion` until a suspect counts as dead.
+    `boot` identifies this process among those of the same member. `period` is the time between two pings, `timeout` the
+    time allowed for a direct answer, `suspicion` the time until a suspected member is declared dead.
     """
 
     def __init__(
@@ -75,7 +81,7 @@
         self.own_name, self.boot, self.random = own_name, boot, random
         self.period, self.timeout, self.suspicion = period, timeout, suspicion
         self.incarnation, self.status = 0, Status.ALIVE
-        # Nobody is known to live before having been heard; a start alone must not move proxies about.
+        # Members count as dead until they are heard from, so that a start alone moves no proxies.
         self.members = {name: MemberState(Status.DEAD, NEVER_SEEN, "", now) for name in names if name != own_name}
         self.gossip = GossipQueue(own_name)
         self.ping_order: list[str] = []
@@ -83,69 +89,69 @@
         self.next_ping_at, self.last_number = now, 0
         self.duplicate_boots: set[str] = set()
 
-    # What is known
+    # Queries
 
     def alive(self) -> list[str]:
-        """Members that may serve, this one included; a suspected one still does, a leaving one no more."""
-        found = [name for name, state in self.members.items() if state.status in (Status.ALIVE, Status.SUSPECT)]
-        return sorted([*found, *([self.own_name] if self.status is Status.ALIVE else [])])
+        """Return the members that may serve proxies, including suspected ones and this one, but not leaving ones."""
+        others = [name for name, state in self.members.items() if state.status in (Status.ALIVE, Status.SUSPECT)]
+        return sorted([*others, *([self.own_name] if self.status is Status.ALIVE else [])])
 
     def states(self) -> dict[str, MemberState]:
-        """The state of every member, this one included."""
+        """Return the state of every member, this one included."""
         own = MemberState(self.status, self.incarnation, self.boot, 0)
         return {self.own_name: own, **self.members}
 
-    # Changes
+    # Changes of the fleet
 
     def add(self, name: str, now: int) -> None:
-        """A member that was added to the settings."""
+        """Add a member that the settings now list."""
         if name != self.own_name:
             self.members.setdefault(name, MemberState(Status.DEAD, NEVER_SEEN, "", now))
 
     def remove(self, name: str) -> None:
-        """A member that was removed from the settings."""
+        """Remove a member that the settings no longer list."""
         self.members.pop(name, None)
         self.gossip.remove(name)
-        self.ping_order = [each for each in self.ping_order if each != name]
+        self.ping_order = [other for other in self.ping_order if other != name]
 
     def leave(self) -> None:
-        """Tells all that this member will serve no more (a planned handover)."""
+        """Announce that this member stops serving proxies (a planned handover)."""
         self.status = Status.LEAVING
         self.incarnation += 1
         self.gossip.add(self.own_name)
 
-    # Time
+    # Timers
 
     def tick(self, now: int) -> list[Packet]:
-        """The packets that are due by time alone."""
+        """Run the timers and return the packets that are due."""
         packets = self._check_pending_pings(now)
         self._declare_suspects_dead(now)
         if now >= self.next_ping_at:
-            # A process that stood still must not make up for the pings it missed.
+            # Counted from now, so that a process that was paused does not send all the pings it missed.
             self.next_ping_at = now + self.period
             if (target := self._next_target()) is not None:
-                packets.append(self._ping(target, now, None))
+                packets.append(self._make_ping(target, now, None))
         return packets
 
     def _check_pending_pings(self, now: int) -> list[Packet]:
         packets: list[Packet] = []
         for number, ping in list(self.pending_pings.items()):
-            waited = now - ping.sent_at
+            elapsed = now - ping.sent_at
             if ping.requester is not None:
-                if waited > REQUESTED_PING_GIVEN_UP_AFTER * self.timeout:
+                if elapsed > REQUESTED_PING_EXPIRY_TIMEOUTS * self.timeout:
                     del self.pending_pings[number]
-            elif not ping.indirect and waited >= self.timeout:
+            elif not ping.indirect and elapsed >= self.timeout:
                 self.pending_pings[number] = ping._replace(indirect=True)
                 packets += self._request_pings(ping.member, number)
-            elif waited >= PING_GIVEN_UP_AFTER * self.timeout:
+            elif elapsed >= PING_EXPIRY_TIMEOUTS * self.timeout:
                 del self.pending_pings[number]
                 self._suspect(ping.member, now)
         return packets
 
     def _request_pings(self, member: str, number: int) -> list[Packet]:
         others = [name for name in self.alive() if name not in (self.own_name, member)]
-        chosen = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
-        return [self._packet(name, PacketKind.PING_REQUEST, number, member) for name in chosen]
+        helpers = self.random.sample(others, min(INDIRECT_PINGS, len(others)))
+        return [self._make_packet(name, PacketKind.PING_REQUEST, number, member) for name in helpers]
 
     def _suspect(self, name: str, now: int) -> None:
         state = self.members.get(name)
@@ -167,7 +173,11 @@
     # Packets
 
     def receive(self, packet: Packet, now: int) -> list[Packet]:
-        """The packets that answer one. A packet of a stranger, or for another member, changes nothing."""
+        """Process a packet and return the packets that answer it.
+
+        A packet from an unknown member, or for another member, is ignored. The only exception is a packet from another
+        process under this member's own name, which is recorded as a duplicate.
+        """
         if packet.to != self.own_name or packet.sender not in self.members:
             if packet.sender == self.own_name and packet.boot != self.boot:
                 self.duplicate_boots.add(packet.boot)
@@ -175,13 +185,14 @@
         for update in packet.updates:
             self._apply_update(update, now)
         if self.members[packet.sender].status in (Status.SUSPECT, Status.DEAD):
-            # It lives and does not know what is said of it; the next packet informs it, and it will deny it.
+            # The sender is alive but may not know that it is suspected or declared dead. The next packet tells it, and
+            # it then refutes this with a higher incarnation.
             self.gossip.add(packet.sender)
         match packet.kind:
             case PacketKind.PING:
-                return [self._packet(packet.sender, PacketKind.ACK, packet.number, self.own_name)]
+                return [self._make_packet(packet.sender, PacketKind.ACK, packet.number, self.own_name)]
             case PacketKind.PING_REQUEST if packet.subject in self.members:
-                return [self._ping(packet.subject, now, PingRequester(packet.sender, packet.number))]
+                return [self._make_ping(packet.subject, now, PingRequester(packet.sender, packet.number))]
             case PacketKind.ACK:
                 return self._on_acknowledgement(packet)
         return []
@@ -193,14 +204,14 @@
         del self.pending_pings[packet.number]
         if ping.requester is None:
             return []
-        return [self._packet(ping.requester.member, PacketKind.ACK, ping.requester.number, packet.subject)]
+        return [self._make_packet(ping.requester.member, PacketKind.ACK, ping.requester.number, packet.subject)]
 
-    def _ping(self, name: str, now: int, requester: PingRequester | None) -> Packet:
+    def _make_ping(self, name: str, now: int, requester: PingRequester | None) -> Packet:
         self.last_number = self.last_number + 1 if self.last_number < MAX_NUMBER else 1
         self.pending_pings[self.last_number] = PendingPing(name, now, False, requester)
-        return self._packet(name, PacketKind.PING, self.last_number, name)
+        return self._make_packet(name, PacketKind.PING, self.last_number, name)
 
-    def _packet(self, to: str, kind: PacketKind, number: int, subject: str) -> Packet:
+    def _make_packet(self, to: str, kind: PacketKind, number: int, subject: str) -> Packet:
         names = self.gossip.take(to, len(self.members))
         updates = tuple(update for name in names if (update := self._update_of(name)) is not None)
         return Packet(to, self.own_name, self.boot, kind, number, subject, updates)
@@ -228,11 +239,11 @@
 
     def _apply_update_of_self(self, update: MemberUpdate) -> None:
         if update.boot > self.boot and update.status is not Status.DEAD:
-            # A newer process uses this name. Both would answer to it; operators must be notified.
+            # A process that started later uses the same name, and both answer to it: operators must be notified.
             self.duplicate_boots.add(update.boot)
         elif update.boot > self.boot:
-            # A process that ended, started later by its clock than this one: the clock was set back, or the disk
-            # restored.
+            # A dead process of this member has a greater boot although it started earlier: the clock was set back or an
+            # old disk was restored. This process takes a boot above it, since peers ignore lower ones.
             self.boot, self.incarnation = f"{update.boot}+", 0
             self.gossip.add(self.own_name)
         if update.boot == self.boot and update.status > self.status and update.incarnation >= self.incarnation:
--- a/onyxhead/fleet/ownership.py
+++ b/onyxhead/fleet/ownership.py
@@ -1,4 +1,4 @@
-"""One controller's part in a shared fleet: which proxies it accepts, redirects and hands over, and when. No I/O."""
+"""Ownership of proxies in a shared fleet: which proxies one controller accepts, redirects and hands over. No I/O."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 PROXY_RETENTION = 60 * TICKS_PER_SECOND
-"""For so long a proxy that no member serves any more counts as one of the fleet."""
+"""How long a proxy that no member serves any more still counts as part of the fleet."""
 DEFAULT_SETTLE_TIME = 3 * TICKS_PER_SECOND
 
 
 class PeerReport(NamedTuple):
-    """What a member tells of itself beside being alive; `received_at` by the receiver's clock.
+    """A member's report on itself, which it sends besides gossip packets.
 
-    `proxies` are those it serves, with their zones; `list_version` is that of the endpoint list it follows.
+    `proxies` maps the proxies that it serves to their zones. `list_version` is the version of the endpoint list that it
+    uses. `received_at` is by the receiver's clock.
     """
 
     proxies: dict[str, str]
@@ -28,23 +29,23 @@
 
 
 class KnownProxy(NamedTuple):
-    """A proxy of the fleet, and when a member last served it."""
+    """The zone of a proxy of the fleet, and when a member last served the proxy."""
 
     zone: str
     seen_at: int
 
 
 class Handover(NamedTuple):
-    """A proxy to hand over, and to which member."""
+    """A proxy to hand over and the member that takes it."""
 
     proxy: str
     to: str
 
 
 class OwnershipCoordinator:
-    """Decides together with its peers which member owns which proxy.
+    """Coordinator that decides, consistently with its peers, which member owns which proxy.
 
-    `settle_time` is for how long nothing may have changed among the members before proxies are moved for balance.
+    `settle_time` is how long the members and the known proxies must be unchanged before proxies are moved for balance.
     """
 
     def __init__(
@@ -64,13 +65,13 @@
         return self.membership.own_name
 
     def serving(self) -> dict[str, Member]:
-        """The members that may serve proxies now."""
+        """Return the members that may serve proxies now."""
         return {name: self.members[name] for name in self.membership.alive() if name in self.members}
 
     # Peers
 
     def observe_membership(self, now: int) -> list[str]:
-        """Takes note of members that came or left; returns a text on each for the log."""
+        """Record members that joined or left, and return a log text for each."""
         alive = tuple(self.membership.alive())
         if alive == self.alive:
             return []
@@ -80,32 +81,35 @@
         return changes
 
     def on_peer_report(self, name: str, report: PeerReport) -> None:
-        """A member's report on itself; an older one never replaces a newer one."""
+        """Store a member's report on itself, unless a newer one is stored already."""
         if name not in self.members or name == self.own_name:
             return
         if report.received_at >= self.peer_reports.get(name, report).received_at:
             self.peer_reports[name] = report
 
     def withdrawn_by_peers(self, now: int, max_age: int) -> set[str]:
-        """Backends that other members keep withdrawn, by their recent reports. It only ever adds to caution."""
+        """Return the backends that other members have withdrawn, by reports younger than `max_age`.
+
+        The result may only be used to withdraw more backends, never to return one to service.
+        """
         recent = [report for report in self.peer_reports.values() if now - report.received_at < max_age]
         return {backend for report in recent for backend in report.withdrawn}
 
     # Proxies
 
-    def fleet_proxies(self, own: Mapping[str, str], now: int) -> dict[str, str]:
-        """All proxies of the fleet as far as known, with their zones; `own` are those served here.
+    def fleet_proxies(self, own_proxies: Mapping[str, str], now: int) -> dict[str, str]:
+        """Return all known proxies of the fleet with their zones; `own_proxies` are those that this member serves.
 
-        One that is on its way between two members still counts: were it left out, members would assign the rest
-        differently and hand proxies back and forth.
+        A proxy that is moving between two members is included. Without it, the members would compute other assignments
+        for the remaining proxies and hand them back and forth.
         """
         for name, report in sorted(self.peer_reports.items()):
             if name in self.alive:
                 for proxy, zone in report.proxies.items():
                     self._remember_proxy(proxy, zone, report.received_at, now)
-        for proxy, zone in own.items():
+        for proxy, zone in own_proxies.items():
             self._remember_proxy(proxy, zone, now, now)
-        self._forget_old_proxies(now)
+        self._forget_expired_proxies(now)
         return {proxy: known.zone for proxy, known in self.known_proxies.items()}
 
     def _remember_proxy(self, proxy: str, zone: str, seen_at: int, now: int) -> None:
@@ -116,38 +120,39 @@
             self.known_proxies_changed_at = now
         self.known_proxies[proxy] = KnownProxy(zone, max(seen_at, known.seen_at if known is not None else 0))
 
-    def _forget_old_proxies(self, now: int) -> None:
-        old = [proxy for proxy, known in self.known_proxies.items() if now - known.seen_at > PROXY_RETENTION]
-        for proxy in old:
+    def _forget_expired_proxies(self, now: int) -> None:
+        expired = [proxy for proxy, known in self.known_proxies.items() if now - known.seen_at > PROXY_RETENTION]
+        for proxy in expired:
             del self.known_proxies[proxy]
             self.known_proxies_changed_at = now
 
     # Decisions
 
-    def better_owner(self, proxy: str, zone: str, own: Mapping[str, str], now: int) -> str | None:
-        """The member that should serve this proxy in place of this one; None if it is best served here."""
+    def better_owner(self, proxy: str, zone: str, own_proxies: Mapping[str, str], now: int) -> str | None:
+        """Return the member that should serve a proxy instead of this one, or None if this one should."""
         serving = self.serving()
         if self.own_name not in serving and serving:
             return rank_members(proxy, zone, serving)[0]
         if self.sticky.get(proxy) in serving:
             return None if self.sticky[proxy] == self.own_name else self.sticky[proxy]
-        assigned = assign_proxies(self.fleet_proxies(own, now) | {proxy: zone}, serving)
+        assigned = assign_proxies(self.fleet_proxies(own_proxies, now) | {proxy: zone}, serving)
         owner = assigned.get(proxy, self.own_name)
         return owner if owner != self.own_name else None
 
-    def next_handover(self, own: Mapping[str, str], now: int, gap: int) -> Handover | None:
-        """The next proxy to hand over, if it is time: one at a time and `gap` apart, once all is settled.
+    def next_handover(self, own_proxies: Mapping[str, str], now: int, min_gap: int) -> Handover | None:
+        """Return the next proxy to hand over, or None if none is due; handovers are at least `min_gap` apart.
 
-        A member that leaves hands over at once. For balance alone nothing is moved while members come and go.
+        A leaving member hands over at once. Otherwise proxies are moved only for balance, and only while the fleet is
+        settled.
         """
-        proxies = self.fleet_proxies(own, now)
-        if now - self.last_handover_at < gap or not (self._leaving() or self._settled(now)):
+        proxies = self.fleet_proxies(own_proxies, now)
+        if now - self.last_handover_at < min_gap or not (self._leaving() or self._settled(now)):
             return None
         serving = self.serving()
         if not serving or serving.keys() == {self.own_name}:
             return None
         assigned = assign_proxies(proxies, serving)
-        for proxy in sorted(own):
+        for proxy in sorted(own_proxies):
             to = self.sticky.get(proxy, assigned.get(proxy, self.own_name))
             if to != self.own_name and to in serving:
                 self.last_handover_at = now
@@ -160,10 +165,10 @@
     def _settled(self, now: int) -> bool:
         return now - max(self.membership_changed_at, self.known_proxies_changed_at) >= self.settle_time
 
-    # What operators see
+    # Status for operators
 
     def state(self, now: int) -> dict[str, Any]:
-        """The fleet for operators, as JSON; what is not known is None."""
+        """Return the state of the fleet for operators as JSON, with None for unknown values."""
         states = sorted(self.membership.states().items())
         return {
             "own": self.own_name,
--- a/onyxhead/fleet/packets.py
+++ b/onyxhead/fleet/packets.py
@@ -1,4 +1,4 @@
-"""Gossip packets: what members of a fleet tell each other to learn who is alive."""
+"""Gossip packets, which members of a fleet exchange to detect failures."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import NamedTuple
 
 MAX_UPDATES = 16
-"""Updates that one packet carries at most."""
+"""The maximum number of updates in one packet."""
 
 
 class Status(IntEnum):
-    """The status of a member, in the order in which they win over each other at the same incarnation."""
+    """The status of a member. At the same incarnation, a greater status overrides a smaller one."""
 
     ALIVE = 0
     LEAVING = 1
@@ -19,7 +19,7 @@
 
 
 class PacketKind(StrEnum):
-    """What a packet is for. A ping request asks the recipient to ping another member for the sender."""
+    """The kind of a packet; a ping request asks the recipient to ping another member on behalf of the sender."""
 
     PING = "ping"
     ACK = "ack"
@@ -27,9 +27,9 @@
 
 
 class MemberUpdate(NamedTuple):
-    """The status of a member in an incarnation of one of its processes.
+    """The status of a member at one incarnation of one of its processes.
 
-    `boot` names the process: of two processes of one member, the one with the greater boot started later.
+    `boot` identifies the process: of two processes of one member, the one with the greater boot started later.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 class Packet(NamedTuple):
-    """One packet; `subject` is the member that a ping request or its acknowledgement is about."""
+    """A gossip packet; `subject` is the member to be pinged or, in an acknowledgement, the member that answered."""
 
     to: str
     sender: str
--- a/onyxhead/fleet/slow_start_budget.py
+++ b/onyxhead/fleet/slow_start_budget.py
@@ -1,21 +1,23 @@
-"""The slow-start budget of warming endpoints, shared by number: who uses less lends to who needs more. No I/O.
-
-Alone, each controller bounds what its own proxies bring to a warming endpoint by its own capacity there: the baseline
-rate of its proxies for each unit of weight. All capacities together are what the endpoint bears, so lone controllers
-are safe and wasteful: one whose proxies are idle leaves capacity that another, in a burst, could use.
-
-A grant moves some capacity from one controller, the lender, to another, the borrower. It can't be ended by time, since
-clocks run apart and updates take theirs, nor by the lender, whose message may be lost. It ends for both by what both
-see in the same endpoint list: the incarnation has been up for its warm-up time, or has left, or has started anew. So
-the sum of all capacities never grows, whatever is lost, delayed, doubled or reordered:
-
-- The lender takes the grant off its own capacity, and has it on disk, before it tells anyone.
-- The borrower uses a grant from the moment it first hears of it. It hears of one grant many times and counts it once.
-- A lender that lost its disk can't know what it lent, and borrowers that could tell may be dead, with their proxies
-  still at work. For endpoints that started before it did, it keeps to the part that no one can have borrowed from it.
-- Nothing is lent for endpoints older than the lender's process: proxies that an earlier one served may still use all of
-  its capacity.
-- With no reports nothing is lent, and each keeps to its lone bound.
+"""The slow-start budget of warming endpoints: controllers with spare capacity lend it to those that need more. No I/O.
+
+Without sharing, each controller limits the load that its proxies put on a warming endpoint to its own capacity there:
+the baseline rate of its proxies for each unit of weight. The sum of all capacities is what the endpoint can take. This
+is safe but wasteful, because a controller with idle proxies leaves capacity unused that another could use in a burst.
+
+A grant moves some capacity from one controller, the lender, to another, the borrower. A grant can't expire by time,
+because clocks differ and updates are delayed. The lender can't revoke it either, because its message may be lost. A
+grant ends for both when the shared endpoint list shows that the endpoint's incarnation has been up for its warm-up
+time, has left, or was replaced by a restart. The following rules ensure that the sum of all capacities never grows,
+even if reports are lost, delayed, duplicated or reordered:
+
+- The lender subtracts the grant from its own capacity and stores it on disk before it reports it to anyone.
+- The borrower uses a grant as soon as it first hears of it. Reports repeat a grant, and it is counted once.
+- A lender that lost its disk doesn't know its grants, and the borrowers that could report them may be dead while their
+  proxies still send requests. For endpoints that started before its process, such a lender uses only the part of its
+  capacity that is never lent.
+- Nothing is lent for endpoints older than the lender's process, because proxies that an earlier process served may
+  still use its whole capacity.
+- Without reports nothing is lent, and each controller keeps to its own capacity.
 """
 
 from __future__ import annotations
@@ -26,29 +28,29 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 MAX_GRANTED_FRACTION = 0.5
-"""Of its capacity, what a controller lends at most; the rest is its own whatever anyone says."""
+"""The most of its capacity that a controller lends. The rest is never lent, whatever other members report."""
 GRANTED_SPARE_FRACTION = 0.5
-"""Of what it leaves unused now, what a controller lends: requests come back faster than grants."""
+"""The part of its unused capacity that a controller lends. Its own requests can return faster than a grant ends."""
 MIN_GRANT_FRACTION = 0.05
-"""Of a capacity; smaller grants only make reports longer."""
+"""The smallest grant, as a part of the lender's capacity; smaller ones would mainly lengthen the reports."""
 MAX_GRANTS = 10_000
 MAX_CLOCK_SKEW = 60 * TICKS_PER_SECOND
-"""How far the clock that dates endpoints' starts may be from the controller's own."""
+"""The most that the clock which gives the start times of endpoints may differ from the controller's clock."""
 AMOUNT_DECIMALS = 6
 
 
 class Incarnation(NamedTuple):
-    """One start of a backend, the same in every member's endpoint list."""
+    """One run of a backend, identified by its start time; it is the same in every member's endpoint list."""
 
     backend: str
     started_at: int
 
 
 class IncarnationLoad(NamedTuple):
-    """What a controller may bring to a warming endpoint, and what it would bring.
+    """The load that a controller may put on a warming endpoint, and the load that it would put there.
 
-    `capacity` is its lone bound, as a part of its baseline rate, before slow start and health weights, which each
-    controller applies by itself. `demand` is what its requests would take if nothing held them.
+    `capacity` is its limit without sharing, as a part of its baseline rate, before slow start and health weights, which
+    each controller applies by itself. `demand` is the load of its requests if nothing limited them.
     """
 
     capacity: float
@@ -56,7 +58,7 @@
 
 
 class BudgetGrant(NamedTuple):
-    """Capacity that one controller lends another; known by lender and number, which counts up over restarts."""
+    """Capacity that one controller lends another, identified by lender and number; numbers increase across restarts."""
 
     lender: str
     number: int
@@ -66,18 +68,18 @@
 
 
 class BudgetReport(NamedTuple):
-    """What a member tells of its budget: its shortfalls, and every grant that it knows of as a party."""
+    """A member's report on its budget: its shortfalls, and every known grant of which it is lender or borrower."""
 
     shortfalls: dict[Incarnation, float]
     grants: tuple[BudgetGrant, ...]
 
 
 class SlowStartBudget:
-    """One controller's account of grants.
+    """One controller's share of the budget, with the grants that it made and received.
 
-    `grants` are those of earlier processes, None if the disk knows of no earlier process. `persist` puts all grants on
-    disk before it returns, or raises, and then nothing was lent. `started_at` is the start of this process, by the
-    clock that dates endpoints' starts.
+    `grants` are the stored grants of earlier processes, or None if none were stored, so that earlier grants may be
+    lost. `persist` must have stored all grants when it returns; if it raises, nothing is lent. `started_at` is when
+    this process started, by the clock that gives the start times of endpoints.
     """
 
     def __init__(
@@ -98,15 +100,15 @@
     # Events
 
     def on_loads(self, loads: Mapping[Incarnation, IncarnationLoad]) -> None:
-        """All endpoints that are warming up now, with this controller's own loads; grants on others are over."""
+        """Set this controller's loads on the endpoints that are warming up, and end the grants for all others."""
         self.loads = dict(loads)
-        over = [number for number, grant in self.granted.items() if grant.incarnation not in loads]
-        for number in over:
+        ended = [number for number, grant in self.granted.items() if grant.incarnation not in loads]
+        for number in ended:
             del self.granted[number]
         self.received = {key: grant for key, grant in self.received.items() if grant.incarnation in loads}
 
     def on_report(self, member: str, report: BudgetReport) -> None:
-        """A member's report, as often and as late as it comes."""
+        """Process a member's report, which may be late or a duplicate."""
         self.shortfalls[member] = report.shortfalls
         for grant in report.grants:
             if grant.lender == self.own_name:
@@ -115,26 +117,27 @@
                 self.received.setdefault((grant.lender, grant.number), grant)
 
     def _on_own_grant(self, member: str, grant: BudgetGrant) -> None:
-        # Lost with a disk, or lent by an earlier process: whoever uses it says so, and it stays lent.
+        # The lender may not know its own grant, because its disk was lost or an earlier process made the grant. The
+        # borrower that reports the grant uses it, so the grant still counts as lent.
         if grant.borrower == member and grant.incarnation in self.loads and grant.number not in self.granted:
             self.granted[grant.number] = grant
         self.last_number = max(self.last_number, grant.number)
 
     def on_member_left(self, member: str) -> None:
-        """A member left or died.
+        """Forget the shortfalls of a member that left or died.
 
-        What it lent stays borrowed and what it borrowed stays lent: its proxies may still hold lines that use it.
+        Grants from and to it stay in force, because its proxies may still hold lines that use borrowed capacity.
         """
         self.shortfalls.pop(member, None)
 
     # Decisions
 
     def share(self, incarnation: Incarnation) -> float:
-        """How much of its own capacity this controller may use at a warming endpoint; over 1 where it borrowed."""
+        """Return the part of its capacity that the controller may use at a warming endpoint; above 1 if it borrowed."""
         load = self.loads.get(incarnation)
         may_have_lent = not self.history_complete and self._may_be_older(incarnation)
         if load is None or load.capacity <= 0:
-            # Nothing is known of its own load yet; of whatever its capacity will be, at most so much can be lent.
+            # The own capacity is not known yet. Whatever it is, at most MAX_GRANTED_FRACTION of it can have been lent.
             lent = any(grant.incarnation == incarnation for grant in self.granted.values())
             return 1.0 - MAX_GRANTED_FRACTION if lent or may_have_lent else 1.0
         own_share = max(0.0, 1.0 - self._lent(incarnation) / load.capacity)
@@ -143,31 +146,32 @@
         return own_share + self._borrowed(incarnation) / load.capacity
 
     def grant(self) -> list[BudgetGrant]:
-        """New grants to members with a shortfall, out of what is left unused; on disk before they are returned.
+        """Make, store and return new grants of unused capacity to members with a shortfall.
 
-        The order is fixed, the greatest shortfall at an endpoint first. Raises what `persist` does.
+        At each endpoint, the greatest shortfall is served first, so that the order is deterministic. Raises what
+        `persist` raises, and then grants nothing.
         """
-        made: list[BudgetGrant] = []
+        new_grants: list[BudgetGrant] = []
         for incarnation, load in sorted(self.loads.items()):
-            # Proxies that an earlier process of this controller served may still use all of its capacity.
+            # Proxies that an earlier process of this controller served may still use its whole capacity.
             if not self._may_be_older(incarnation):
-                self._grant_from(incarnation, load, made)
-        if made:
-            self.persist([*self.granted.values(), *made])
-            self.granted |= {grant.number: grant for grant in made}
-        return made
+                self._grant_from(incarnation, load, new_grants)
+        if new_grants:
+            self.persist([*self.granted.values(), *new_grants])
+            self.granted |= {grant.number: grant for grant in new_grants}
+        return new_grants
 
-    def _grant_from(self, incarnation: Incarnation, load: IncarnationLoad, made: list[BudgetGrant]) -> None:
+    def _grant_from(self, incarnation: Incarnation, load: IncarnationLoad, new_grants: list[BudgetGrant]) -> None:
         spare = self._spare(incarnation, load)
         for shortfall, member in self._shortfalls_at(incarnation):
             amount = min(spare, shortfall)
-            if amount < MIN_GRANT_FRACTION * load.capacity or len(self.granted) + len(made) >= MAX_GRANTS:
+            if amount < MIN_GRANT_FRACTION * load.capacity or len(self.granted) + len(new_grants) >= MAX_GRANTS:
                 return
             spare -= amount
             self.last_number += 1
             amount = round(amount, AMOUNT_DECIMALS)
-            made.append(BudgetGrant(self.own_name, self.last_number, member, incarnation, amount))
-            # It reported its shortfall before it heard of this grant; it must report again to get more.
+            new_grants.append(BudgetGrant(self.own_name, self.last_number, member, incarnation, amount))
+            # The member reported its shortfall before it heard of this grant; only a new report can get it more.
             remaining = {key: value for key, value in self.shortfalls[member].items() if key != incarnation}
             self.shortfalls[member] = remaining
 
@@ -177,9 +181,9 @@
         return min(lendable, GRANTED_SPARE_FRACTION * unused)
 
     def _shortfalls_at(self, incarnation: Incarnation) -> list[tuple[float, str]]:
-        """Shortfalls with the members that have them, the greatest first."""
-        found = [(each.get(incarnation, 0.0), member) for member, each in self.shortfalls.items()]
-        return sorted((each for each in found if each[0] > 0), key=lambda each: (-each[0], each[1]))
+        """Return the shortfalls at an endpoint with their members, the greatest first."""
+        by_member = [(shortfalls.get(incarnation, 0.0), member) for member, shortfalls in self.shortfalls.items()]
+        return sorted((item for item in by_member if item[0] > 0), key=lambda item: (-item[0], item[1]))
 
     def _may_be_older(self, incarnation: Incarnation) -> bool:
         return incarnation.started_at <= self.started_at + MAX_CLOCK_SKEW
@@ -193,7 +197,7 @@
     # Reports
 
     def report(self) -> BudgetReport:
-        """What to tell all other members."""
+        """Return the report for all other members."""
         shortfalls = {}
         for incarnation, load in self.loads.items():
             shortfall = load.demand - load.capacity * self.share(incarnation)
@@ -202,7 +206,7 @@
         return BudgetReport(shortfalls, (*self.granted.values(), *self.received.values()))
 
     def status(self) -> dict[str, Any]:
-        """The budget for operators, as JSON by backend."""
+        """Return the state of the budget for operators as JSON, by backend."""
         return {incarnation.backend: self._incarnation_status(incarnation) for incarnation in sorted(self.loads)}
 
     def _incarnation_status(self, incarnation: Incarnation) -> dict[str, Any]:
--- a/onyxhead/fleet/wire_format.py
+++ b/onyxhead/fleet/wire_format.py
@@ -1,7 +1,7 @@
-"""How gossip packets and budget reports are written in JSON, and how grants are stored.
+"""The JSON encoding of gossip packets, budget reports and stored grants.
 
-Their field names are part of the protocol between controllers. In the code, a packet's `about` is its subject, `lacks`
-are shortfalls, and `loans` are grants, written as lists: lender, number, borrower, backend, start, amount.
+The field names are part of the protocol between controllers. In the code, `about` is the subject of a packet, `lacks`
+are shortfalls, and `loans` are grants. A grant is a list of lender, number, borrower, backend, start time and amount.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from onyxhead.fleet.slow_start_budget import MAX_GRANTS, BudgetGrant, BudgetReport, Incarnation
 
 PROTOCOL_VERSION = 1
-"""Packets of any other version are rejected."""
+"""The version of the gossip protocol; packets of any other version are rejected."""
 MAX_UPDATES_READ = 4 * MAX_UPDATES
 MAX_PACKET_NUMBER = 2**53
-"""The greatest whole number that every JSON parser reads exactly."""
+"""The greatest number that every JSON parser reads exactly."""
 MAX_REPORT_NUMBER = 2**62
 MAX_AMOUNT = 1e9
 MAX_NAME_IN_ERROR = 80
@@ -31,7 +31,7 @@
 
 
 def encode_packet(packet: Packet) -> dict[str, Any]:
-    """The JSON object of a packet."""
+    """Return the JSON object of a packet."""
     return {
         TO: packet.to,
         SENDER: packet.sender,
@@ -45,34 +45,36 @@
 
 
 def decode_packet(value: Any) -> Packet:  # noqa: ANN401  any JSON value
-    """The packet of a JSON object. Raises MalformedPacketError."""
+    """Return the packet of a JSON object. Raises MalformedPacketError."""
     try:
         if value[VERSION] != PROTOCOL_VERSION:
             sender = str(value[SENDER])[:MAX_NAME_IN_ERROR]
-            raise MalformedPacketError(f"{sender} speaks version {value[VERSION]!r}, this is {PROTOCOL_VERSION}")
+            raise MalformedPacketError(
+                f"{sender} uses gossip protocol version {value[VERSION]!r}, this member uses {PROTOCOL_VERSION}"
+            )
         updates = tuple(
             MemberUpdate(str(name), Status(status), _packet_number(incarnation), str(boot))
             for name, status, incarnation, boot in value[UPDATES][:MAX_UPDATES_READ]
         )
         texts = [value[name] for name in (TO, SENDER, BOOT, KIND, ABOUT)]
         if not all(isinstance(text, str) for text in texts) or value[KIND] not in _KINDS:
-            raise MalformedPacketError("not a packet")
+            raise MalformedPacketError("not a gossip packet: a field has the wrong type, or the kind is unknown")
         to, sender, boot, kind, subject = texts
         return Packet(to, sender, boot, PacketKind(kind), _packet_number(value[NUMBER]), subject, updates)
     except MalformedPacketError:
         raise
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedPacketError(f"not a packet: {error}") from error
+        raise MalformedPacketError(f"not a gossip packet: {error}") from error
 
 
 def _packet_number(value: object) -> int:
     if type(value) is not int or not 0 <= value <= MAX_PACKET_NUMBER:
-        raise ValueError(f"{value!r} is out of range")
+        raise ValueError(f"{value!r} is not a whole number from 0 to {MAX_PACKET_NUMBER}")
     return value
 
 
 def encode_budget_report(report: BudgetReport) -> dict[str, Any]:
-    """The JSON object of a budget report."""
+    """Return the JSON object of a budget report."""
     return {
         LACKS: [
             [incarnation.backend, incarnation.started_at, round(shortfall, AMOUNT_DECIMALS)]
@@ -83,7 +85,7 @@
 
 
 def decode_budget_report(value: Any) -> BudgetReport:  # noqa: ANN401  any JSON value
-    """The budget report of a JSON object. Raises MalformedReportError."""
+    """Return the budget report of a JSON object. Raises MalformedReportError."""
     try:
         shortfalls = {
             Incarnation(str(backend), _report_number(started_at)): _amount(shortfall)
@@ -100,14 +102,14 @@
             for lender, number, borrower, backend, started_at, amount in value[LOANS]
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedReportError(f"no word of a budget: {error}") from error
+        raise MalformedReportError(f"not a budget report: {error}") from error
     if len(shortfalls) > MAX_GRANTS or len(grants) > MAX_GRANTS:
-        raise MalformedReportError("too much said of a budget")
+        raise MalformedReportError(f"a budget report may have at most {MAX_GRANTS} shortfalls and {MAX_GRANTS} grants")
     return BudgetReport(shortfalls, grants)
 
 
 def encode_grants(grants: Iterable[BudgetGrant]) -> list[list[Any]]:
-    """Grants as they are sent and stored."""
+    """Return grants in the form in which they are sent and stored."""
     return [
         [
             grant.lender,
@@ -122,17 +124,17 @@
 
 
 def decode_grants(value: Any) -> tuple[BudgetGrant, ...]:  # noqa: ANN401  any JSON value
-    """Grants as `encode_grants` wrote them. Raises MalformedReportError."""
+    """Return the grants that `encode_grants` encoded. Raises MalformedReportError."""
     return decode_budget_report({LACKS: [], LOANS: value}).grants
 
 
 def _report_number(value: object) -> int:
     if type(value) is not int or not 0 <= value < MAX_REPORT_NUMBER:
-        raise MalformedReportError(f"{value!r} is no number of a loan or a start")
+        raise MalformedReportError(f"{value!r} is not a valid grant number or start time")
     return value
 
 
 def _amount(value: object) -> float:
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value < MAX_AMOUNT:
-        raise MalformedReportError(f"{value!r} is no amount")
+        raise MalformedReportError(f"{value!r} is not a valid amount")
     return float(value)
