--- a/tests/test_controller_selector.py
+++ b/tests/test_controller_selector.py
@@ -1,4 +1,4 @@
-"""Which controller an agent connects to next."""
+"""Selection of the controller that an agent connects to next."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
     assert selector.next_attempt() == (0, False, 0.0)
 
 
-@pytest.mark.parametrize("answers", list(itertools.product("fs", repeat=4)))
-def test_an_agent_asks_every_controller_before_it_insists_and_always_insists_in_the_end(answers: Any) -> None:
-    selector, asked = ControllerSelector(4), list[int]()
+@pytest.mark.parametrize("answers", list(itertools.product(("failed", "redirected"), repeat=4)))
+def test_an_agent_tries_every_controller_before_it_insists_and_always_insists_eventually(answers: Any) -> None:
+    selector, tried = ControllerSelector(4), list[int]()
     for step in range(40):
         attempt = selector.next_attempt()
         if attempt.insist:
             break
-        asked.append(attempt.position)
-        if answers[step % 4] == "f":
+        tried.append(attempt.position)
+        if answers[step % 4] == "failed":
             selector.on_failed()
         else:
             selector.on_redirected(f"c{attempt.position}", f"c{(attempt.position + 1) % 4}")
-    assert selector.next_attempt().insist and set(asked) == {0, 1, 2, 3}
+    assert selector.next_attempt().insist and set(tried) == {0, 1, 2, 3}
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -1,4 +1,4 @@
-"""Fencing tokens: an agent between controllers that each believe they lead it."""
+"""Fencing tokens: controllers that each believe that they own an agent's proxy."""
 
 from __future__ import annotations
 
@@ -10,8 +10,13 @@
 from onyxhead.fleet.fencing import MAX_TOKEN, FencingTokenGuard, next_token
 
 
-class World(NamedTuple):
-    """The state of a small configuration of controllers and one agent."""
+class SystemState(NamedTuple):
+    """The state of some controllers and one agent.
+
+    `current` is the agent's token and `stream` the controller that it follows. `offers` holds the joins whose answer is
+    in flight, and `in_flight` the updates, each as (controller, token). `believed` gives the token under which each
+    controller believes that it owns the proxy, 0 for none. `joins` and `updates` say how many may still be sent.
+    """
 
     current: int
     stream: int
@@ -22,70 +27,79 @@
     updates: int
 
 
-def transitions(world: World, check: Any = FencingTokenGuard.check) -> list[tuple[World, tuple[int, int] | None]]:
-    """What may happen next, and the (controller, token) whose update took effect, if one did."""
-    found: list[tuple[World, tuple[int, int] | None]] = []
-    for who in range(len(world.believed)):
-        if world.joins:
-            # The agent asks; the controller offers a token above the one told. The answer may be lost or late.
-            offer = (who, next_token(world.current))
-            found.append((world._replace(offers=(*world.offers, offer), joins=world.joins - 1), None))
-        if world.believed[who] and world.updates:
-            found.append(
+def transitions(
+    state: SystemState, check: Any = FencingTokenGuard.check
+) -> list[tuple[SystemState, tuple[int, int] | None]]:
+    """Return all next states, each with the (controller, token) whose update took effect, if one did."""
+    successors: list[tuple[SystemState, tuple[int, int] | None]] = []
+    for controller in range(len(state.believed)):
+        if state.joins:
+            # The agent joins, and the controller offers a token above the agent's. The answer may be lost or late.
+            offer = (controller, next_token(state.current))
+            successors.append((state._replace(offers=(*state.offers, offer), joins=state.joins - 1), None))
+        if state.believed[controller] and state.updates:
+            successors.append(
                 (
-                    world._replace(in_flight=(*world.in_flight, (who, world.believed[who])), updates=world.updates - 1),
+                    state._replace(
+                        in_flight=(*state.in_flight, (controller, state.believed[controller])),
+                        updates=state.updates - 1,
+                    ),
                     None,
                 )
             )
-    for place, (who, token) in enumerate(world.offers):
-        rest = world.offers[:place] + world.offers[place + 1 :]
-        believed = tuple(token if n == who else t for n, t in enumerate(world.believed))
-        guard = FencingTokenGuard(world.current)
-        found.append(
-            (world._replace(offers=rest, believed=believed), None)
-        )  # the answer is lost: only the controller believes it
+    for index, (controller, token) in enumerate(state.offers):
+        rest = state.offers[:index] + state.offers[index + 1 :]
+        believed = tuple(token if n == controller else held for n, held in enumerate(state.believed))
+        guard = FencingTokenGuard(state.current)
+        # The answer is lost: only the controller believes that the join succeeded.
+        successors.append((state._replace(offers=rest, believed=believed), None))
         try:
             guard.advance(token)
         except StaleTokenError:
             continue
-        found.append((world._replace(offers=rest, believed=believed, current=guard.current, stream=who), None))
-    for place, (who, token) in enumerate(world.in_flight):
-        rest = world.in_flight[:place] + world.in_flight[place + 1 :]
-        found.append((world._replace(in_flight=rest), None))
-        guard = FencingTokenGuard(world.current)
+        successors.append(
+            (state._replace(offers=rest, believed=believed, current=guard.current, stream=controller), None)
+        )
+    for index, (controller, token) in enumerate(state.in_flight):
+        rest = state.in_flight[:index] + state.in_flight[index + 1 :]
+        successors.append((state._replace(in_flight=rest), None))
+        guard = FencingTokenGuard(state.current)
         try:
             check(guard, token)
-            # Two offers of one token may be out; the stream's own name tells them apart, as on the wire.
-            if who == world.stream:
-                found.append((world._replace(in_flight=rest), (who, token)))
+            # Two controllers may offer the same token; the name of the stream distinguishes them, as on the wire.
+            if controller == state.stream:
+                successors.append((state._replace(in_flight=rest), (controller, token)))
         except StaleTokenError:
             pass
-    return found
+    return successors
 
 
 def explore(check: Any = FencingTokenGuard.check) -> tuple[int, list[str]]:
-    """Every reachable state of two controllers and an agent with three joins and three updates in flight."""
-    first = World(0, -1, (), (0, 0), (), 3, 3)
-    seen, stack, broken = {first}, [first], list[str]()
+    """Visit every reachable state of two controllers and an agent with three joins and three updates.
+
+    Return the number of states, and a text on each violated invariant.
+    """
+    initial = SystemState(0, -1, (), (0, 0), (), 3, 3)
+    seen, stack, violations = {initial}, [initial], list[str]()
     while stack:
-        world = stack.pop()
-        for after, effect in transitions(world, check):
-            if effect is not None and effect != (world.stream, world.current):
-                broken.append(f"{effect} took effect while {(world.stream, world.current)} current")
-            if after.current < world.current:
-                broken.append("the token fell")
+        state = stack.pop()
+        for after, effect in transitions(state, check):
+            if effect is not None and effect != (state.stream, state.current):
+                violations.append(f"{effect} took effect while {(state.stream, state.current)} was current")
+            if after.current < state.current:
+                violations.append("the token decreased")
             if after not in seen:
                 seen.add(after)
                 stack.append(after)
-    return len(seen), broken
+    return len(seen), violations
 
 
 def test_in_every_reachable_state_only_updates_of_the_newest_controller_take_effect() -> None:
-    count, broken = explore()
-    assert count > 3_000 and not broken
+    count, violations = explore()
+    assert count > 3_000 and not violations
 
 
-def test_a_guard_that_lets_older_updates_through_is_found() -> None:
+def test_the_exploration_detects_a_guard_that_accepts_older_tokens() -> None:
     def weak_check(guard: FencingTokenGuard, token: int) -> None:
         if token < guard.current - 1:
             raise StaleTokenError("", guard.current)
@@ -99,6 +113,6 @@
         next_token(MAX_TOKEN)
     guard = FencingTokenGuard(5)
     for token in (5, 4, MAX_TOKEN + 1):
-        with pytest.raises(StaleTokenError) as caught:
+        with pytest.raises(StaleTokenError) as error:
             guard.advance(token)
-        assert caught.value.current == 5
+        assert error.value.current == 5
--- a/tests/test_fleet_ownership.py
+++ b/tests/test_fleet_ownership.py
@@ -1,4 +1,4 @@
-"""Which member owns which proxy: assignment, redirection, handover."""
+"""Ownership of proxies: assignment to members, redirection and handover."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 SECOND = 10_000
 
 
-def members(*names: str, pace: float = 1000.0) -> dict[str, Member]:
-    return {name: Member(name, f"z{int(name[1:]) % 3}", pace) for name in names}
+def members(*names: str, lines_per_second: float = 1000.0) -> dict[str, Member]:
+    return {name: Member(name, f"z{int(name[1:]) % 3}", lines_per_second) for name in names}
 
 
 PROXIES = {f"p{n}": f"z{n % 3}" for n in range(143)}
@@ -33,16 +33,16 @@
     assert assign_proxies(PROXIES, {}) == {}
 
 
-def test_a_members_part_follows_its_channel_capacity() -> None:
-    members_of_two_paces = {"c0": Member("c0", "z0", 3000.0), "c1": Member("c1", "z0", 1000.0)}
-    loads = Counter(assign_proxies({f"p{n}": "z0" for n in range(400)}, members_of_two_paces).values())
+def test_a_members_load_is_proportional_to_its_channel_rate() -> None:
+    members_of_two_rates = {"c0": Member("c0", "z0", 3000.0), "c1": Member("c1", "z0", 1000.0)}
+    loads = Counter(assign_proxies({f"p{n}": "z0" for n in range(400)}, members_of_two_rates).values())
     assert 2.2 < loads["c0"] / loads["c1"] < 4.2
 
 
-def make_coordinator(own: str, alive: tuple[str, ...], now: int = 0) -> OwnershipCoordinator:
-    membership = Membership(own, "1", ("c0", "c1", "c2"), Random(1), now)
+def make_coordinator(own_name: str, alive: tuple[str, ...], now: int = 0) -> OwnershipCoordinator:
+    membership = Membership(own_name, "1", ("c0", "c1", "c2"), Random(1), now)
     for name in alive:
-        if name != own:
+        if name != own_name:
             membership.members[name] = membership.members[name]._replace(status=Status.ALIVE, incarnation=0, boot="1")
     return OwnershipCoordinator(membership, members("c0", "c1", "c2"), now)
 
@@ -55,37 +55,39 @@
     assert coordinator.better_owner("p0", "z0", {}, 0) in ("c1", "c2")
 
 
-def test_no_proxy_is_moved_while_members_change_and_one_at_a_time_after() -> None:
-    own = {f"p{n}": f"z{n % 3}" for n in range(9)}
+def test_proxies_are_moved_one_at_a_time_once_members_stop_changing() -> None:
+    own_proxies = {f"p{n}": f"z{n % 3}" for n in range(9)}
     coordinator = make_coordinator("c0", ("c1", "c2"))
     assert coordinator.observe_membership(0) == []
-    assert coordinator.next_handover(own, SECOND, 100) is None
-    assert coordinator.next_handover(own, 2 * SECOND, 100) is None
-    first = coordinator.next_handover(own, 5 * SECOND, 100)
-    assert (
-        first is not None and first[1] in ("c1", "c2") and coordinator.next_handover(own, 5 * SECOND + 50, 100) is None
-    )
-    moved, now, more = {}, 5 * SECOND, first
-    while more is not None:
-        moved[more[0]] = more[1]
+    assert coordinator.next_handover(own_proxies, SECOND, 100) is None
+    assert coordinator.next_handover(own_proxies, 2 * SECOND, 100) is None
+    first = coordinator.next_handover(own_proxies, 5 * SECOND, 100)
+    assert first is not None and first[1] in ("c1", "c2")
+    assert coordinator.next_handover(own_proxies, 5 * SECOND + 50, 100) is None
+    moved, now, handover = {}, 5 * SECOND, first
+    while handover is not None:
+        moved[handover[0]] = handover[1]
         now += 101
         for name in ("c1", "c2"):
-            taken = {p: own[p] for p, to in moved.items() if to == name}
-            coordinator.on_peer_report(name, PeerReport(taken, (), 1, now))
-        more = coordinator.next_handover({p: z for p, z in own.items() if p not in moved}, now, 100)
-    assert {p for p in own if own[p] == "z0"} == own.keys() - moved
+            served = {proxy: own_proxies[proxy] for proxy, to in moved.items() if to == name}
+            coordinator.on_peer_report(name, PeerReport(served, (), 1, now))
+        remaining = {proxy: zone for proxy, zone in own_proxies.items() if proxy not in moved}
+        handover = coordinator.next_handover(remaining, now, 100)
+    assert {proxy for proxy, zone in own_proxies.items() if zone == "z0"} == own_proxies.keys() - moved
 
 
 def test_a_leaving_member_hands_over_its_proxies_one_by_one() -> None:
-    own = {f"p{n}": "z0" for n in range(4)}
+    own_proxies = {f"p{n}": "z0" for n in range(4)}
     coordinator = make_coordinator("c0", ("c1", "c2"))
     coordinator.membership.leave()
     coordinator.observe_membership(0)
-    moves = [
-        coordinator.next_handover({p: z for p, z in own.items() if int(p[1:]) >= n}, 1000 * (n + 1), 100)
+    handovers = [
+        coordinator.next_handover(
+            {proxy: zone for proxy, zone in own_proxies.items() if int(proxy[1:]) >= n}, 1000 * (n + 1), 100
+        )
         for n in range(4)
     ]
-    assert [move[0] for move in moves if move] == ["p0", "p1", "p2", "p3"]
+    assert [handover[0] for handover in handovers if handover] == ["p0", "p1", "p2", "p3"]
 
 
 def test_an_old_peer_report_is_not_used_and_never_replaces_a_newer_one() -> None:
--- a/tests/test_fleet_servers.py
+++ b/tests/test_fleet_servers.py
@@ -1,4 +1,4 @@
-"""Several controller servers that share a fleet, over sockets."""
+"""Controller servers that share a fleet, connected over sockets."""
 
 from __future__ import annotations
 
@@ -29,7 +29,9 @@
         assert isinstance(settings, ControllerSettings)
         controllers.append(ControllerServer(settings))
         running.tasks.append(asyncio.create_task(controllers[-1].run()))
-    await until(lambda: all(d.fleet and len(d.fleet.coordinator.serving()) == 3 for d in controllers))
+    await until(
+        lambda: all(controller.fleet and len(controller.fleet.coordinator.serving()) == 3 for controller in controllers)
+    )
     return controllers
 
 
@@ -38,59 +40,64 @@
         import tests.test_controller_server as sockets
 
         controllers = await start_three_controllers(running, tmp_path)
-        listed = ", ".join(f'"127.0.0.1:{d.settings.listen[1]}"' for d in controllers)
-        sockets.AGENT = AGENT.replace('"127.0.0.1:%d"', listed.replace("%", "%%") + " // %d\n").replace(
+        addresses = ", ".join(f'"127.0.0.1:{controller.settings.listen[1]}"' for controller in controllers)
+        sockets.AGENT = AGENT.replace('"127.0.0.1:%d"', addresses.replace("%", "%%") + " // %d\n").replace(
             "1500ms", "600ms"
         )
         agents = [await running.agent(f"p{n}", 0) for n in range(6)]
         sockets.AGENT = AGENT
         names = {f"p{n}" for n in range(6)}
 
-        def served(own: list[ControllerServer]) -> list[set[str]]:
-            return [{known.name for known in d.core.joined.values()} for d in own]
+        def served(servers: list[ControllerServer]) -> list[set[str]]:
+            """Return the names of the proxies that each of the controllers serves."""
+            return [{proxy.name for proxy in server.core.joined.values()} for server in servers]
 
         await until(lambda: set().union(*served(controllers)) == names and all(shown(tmp_path, n) for n in names))
         await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in names))
-        await until(lambda: [len(own) for own in served(controllers)] == [2, 2, 2], 10.0)
+        await until(lambda: [len(proxies) for proxies in served(controllers)] == [2, 2, 2], 10.0)
         await asyncio.sleep(0.8)
-        assert [len(own) for own in served(controllers)] == [2, 2, 2]
+        assert [len(proxies) for proxies in served(controllers)] == [2, 2, 2]
         tokens = {agent.settings.name: agent.replica.token_guard.current for agent in agents}
-        # One dies; the others take its proxies, under higher tokens.
-        lost = served(controllers)[0]
+        # A controller stops; the others take over its proxies under higher tokens.
+        orphaned = served(controllers)[0]
         controllers[0].supervisor.stopping.set()
         await until(lambda: set().union(*served(controllers[1:])) == names, 10.0)
-        assert all(a.replica.token_guard.current > tokens[a.settings.name] for a in agents if a.settings.name in lost)
-        # A member is put in and taken out while all run, and it is on disk.
+        assert all(
+            agent.replica.token_guard.current > tokens[agent.settings.name]
+            for agent in agents
+            if agent.settings.name in orphaned
+        )
+        # A member is added and removed by command while all controllers run, and the change is stored on disk.
         address = ("127.0.0.1", controllers[2].settings.listen[1])
         for member in ({"address": "127.0.0.1:9", "zone": "north", "pace": 10}, None, {"address": "x"}):
             body = json.dumps({"name": "c7", "member": member}).encode()
-            told = await fetch_once(address, Request("POST", "/v1/fleet/members", {}, body), 2.0)
-            assert told.status == (422 if member == {"address": "x"} else 200)
-            if told.status == 200:
-                assert ("c7" in told.json()["members"]) == (member is not None)
+            response = await fetch_once(address, Request("POST", "/v1/fleet/members", {}, body), 2.0)
+            assert response.status == (422 if member == {"address": "x"} else 200)
+            if response.status == 200:
+                assert ("c7" in response.json()["members"]) == (member is not None)
         assert controllers[2].store.get("fleet members") == {"c7": None}
-        # A planned handover leaves nobody with the one that goes.
+        # After a planned handover, the leaving member serves no proxy.
         address = ("127.0.0.1", controllers[1].settings.listen[1])
         assert (await fetch_once(address, Request("POST", "/v1/fleet/handover", {}, b"{}"), 2.0)).status == 200
         await until(lambda: served(controllers[2:])[0] == names and not served(controllers[1:2])[0], 10.0)
-        told = (await fetch_once(address, Request("GET", "/v1/fleet"), 2.0)).json()
-        assert told["members"]["c1"]["status"] == "leaving" and told["members"]["c0"]["status"] == "dead"
+        state = (await fetch_once(address, Request("GET", "/v1/fleet"), 2.0)).json()
+        assert state["members"]["c1"]["status"] == "leaving" and state["members"]["c0"]["status"] == "dead"
         for _ in range(100):
-            who = (await fetch_once(address, Request("POST", "/v1/fleet/who", {}, b'{"proxy": "p1"}'), 2.0)).json()
-            if who["served_by"] == "c2":
+            answer = (await fetch_once(address, Request("POST", "/v1/fleet/who", {}, b'{"proxy": "p1"}'), 2.0)).json()
+            if answer["served_by"] == "c2":
                 break
             await asyncio.sleep(0.05)
-        assert who["served_by"] == "c2"
-        who = (await fetch_once(address, Request("POST", "/v1/fleet/who", {}, b'{"proxy": "none"}'), 2.0)).json()
-        assert who["served_by"] is None
-        old = {"packet": {"version": 0, "sender": "c9"}}
-        refused = await fetch_once(address, Request("POST", "/v1/fleet", {}, json.dumps(old).encode()), 2.0)
-        assert refused.status == 422 and "version 0" in refused.json()["detail"]
+        assert answer["served_by"] == "c2"
+        answer = (await fetch_once(address, Request("POST", "/v1/fleet/who", {}, b'{"proxy": "none"}'), 2.0)).json()
+        assert answer["served_by"] is None
+        old_packet = {"packet": {"version": 0, "sender": "c9"}}
+        rejection = await fetch_once(address, Request("POST", "/v1/fleet", {}, json.dumps(old_packet).encode()), 2.0)
+        assert rejection.status == 422 and "version 0" in rejection.json()["detail"]
 
     play(tmp_path, work)
 
 
-def test_an_update_under_an_older_token_is_rejected_with_the_current_one_also_after_a_restart(tmp_path: Path) -> None:
+def test_a_restarted_agent_rejects_an_older_token_and_answers_with_the_current_one(tmp_path: Path) -> None:
     async def work(running: Running) -> None:
         controller = await running.controller()
         assert controller.http_server.listener is not None
@@ -99,10 +106,10 @@
         await until(lambda: len(shown(tmp_path, "p1")) == 3)
         first.stopping.set()
         await until(lambda: running.tasks[-1].done())
-        again = await running.agent("p1", port)
-        await until(lambda: again.replica.token_guard.current == 2 and again.replica.stream)
-        order = Request("HEAD", "/v1/view", {"onyxhead-stream": again.replica.stream, "onyxhead-token": "1"})
-        refused = await fetch_once(again.session.listen_address, order, 2.0)
-        assert refused.status == 409 and refused.headers["onyxhead-token"] == "2"
+        restarted = await running.agent("p1", port)
+        await until(lambda: restarted.replica.token_guard.current == 2 and restarted.replica.stream)
+        request = Request("HEAD", "/v1/view", {"onyxhead-stream": restarted.replica.stream, "onyxhead-token": "1"})
+        rejection = await fetch_once(restarted.session.listen_address, request, 2.0)
+        assert rejection.status == 409 and rejection.headers["onyxhead-token"] == "2"
 
     play(tmp_path, work)
