--- a/onyxhead/controller/fleet_commands.py
+++ b/onyxhead/controller/fleet_commands.py
@@ -38,7 +38,7 @@
         proxy, to = str(arguments.get("proxy")), str(arguments.get("to"))
         if to not in self.fleet.coordinator.serving():
             return problem_response(HTTPStatus.CONFLICT, f"{to} is not known to serve now")
-        self.fleet.coordinator.sticky[proxy] = to
+        self.fleet.coordinator.requested_owners[proxy] = to
         return json_response(HTTPStatus.OK, {"proxy": proxy, "to": to, "here": proxy in self.fleet.own_proxies()})
 
     def _change_member(self, arguments: dict[str, Any]) -> Response:
--- a/onyxhead/fleet/ownership.py
+++ b/onyxhead/fleet/ownership.py
@@ -55,7 +55,7 @@
         self.peer_reports: dict[str, PeerReport] = {}
         self.alive, self.membership_changed_at = tuple(membership.alive()), now
         self.last_handover_at = now
-        self.sticky: dict[str, str] = {}
+        self.requested_owners: dict[str, str] = {}
         self.known_proxies: dict[str, KnownProxy] = {}
         self.known_proxies_changed_at = now
 
@@ -133,8 +133,8 @@
         serving = self.serving()
         if self.own_name not in serving and serving:
             return rank_members(proxy, zone, serving)[0]
-        if self.sticky.get(proxy) in serving:
-            return None if self.sticky[proxy] == self.own_name else self.sticky[proxy]
+        if self.requested_owners.get(proxy) in serving:
+            return None if self.requested_owners[proxy] == self.own_name else self.requested_owners[proxy]
         assigned = assign_proxies(self.fleet_proxies(own_proxies, now) | {proxy: zone}, serving)
         owner = assigned.get(proxy, self.own_name)
         return owner if owner != self.own_name else None
@@ -153,7 +153,7 @@
             return None
         assigned = assign_proxies(proxies, serving)
         for proxy in sorted(own_proxies):
-            to = self.sticky.get(proxy, assigned.get(proxy, self.own_name))
+            to = self.requested_owners.get(proxy, assigned.get(proxy, self.own_name))
             if to != self.own_name and to in serving:
                 self.last_handover_at = now
                 return Handover(proxy, to)
