--- a/onyxhead/fleet/assignment.py
+++ b/onyxhead/fleet/assignment.py
@@ -35,8 +35,8 @@
     total_rate = sum(member.lines_per_second for member in members.values())
     if not total_rate:
         return {}
-    even_parts = {name: len(proxies) * member.lines_per_second / total_rate for name, member in members.items()}
-    capacity = {name: max(math.ceil(part), math.floor(MAX_LOAD_FACTOR * part)) for name, part in even_parts.items()}
+    even_loads = {name: len(proxies) * member.lines_per_second / total_rate for name, member in members.items()}
+    capacity = {name: max(math.ceil(load), math.floor(MAX_LOAD_FACTOR * load)) for name, load in even_loads.items()}
     assigned: dict[str, str] = {}
     for proxy in sorted(proxies, key=_name_hash):
         ranked = rank_members(proxy, proxies[proxy], members)
--- a/onyxhead/fleet/controller_selector.py
+++ b/onyxhead/fleet/controller_selector.py
@@ -2,7 +2,7 @@
 
 The agent tries its controllers in the order of the settings. A controller that knows a better one redirects the agent
 to it. Once all controllers were tried and none accepted, the agent insists: a controller that answers then must accept
-the agent, since a proxy is better served by the wrong controller than by none.
+the agent, since any controller is better for a proxy than none.
 """
 
 from __future__ import annotations
@@ -37,22 +37,22 @@
         return ConnectAttempt(self._current(), self.insist, self._backoff_factor())
 
     def on_accepted(self, name: str) -> None:
-        """Handle that the controller tried last, whose name is now known, accepted the agent."""
+        """Record that the controller tried last, which is called `name`, accepted the agent."""
         self.positions[name] = self._current()
         self.attempts, self.redirected, self.insist, self.recommended = 0, False, False, None
 
     def on_redirected(self, name: str, to: str) -> None:
-        """Handle that the controller tried last, whose name is now known, redirected the agent to `to`."""
+        """Record that the controller tried last, which is called `name`, redirected the agent to `to`."""
         self.positions[name] = self._current()
         self.redirected = True
         self._advance(self.positions.get(to))
 
     def on_failed(self) -> None:
-        """Handle that the controller tried last did not answer, or rejected the agent."""
+        """Record that the controller tried last did not answer, or rejected the agent."""
         self._advance(None)
 
     def on_disconnected(self) -> None:
-        """Handle the end of the stream: start again with the first controller of the settings, which may be back."""
+        """Record that the stream ended; start again with the first controller of the settings, which may be back."""
         self.position = self.attempts = 0
         self.redirected = self.insist = False
         self.recommended = None
--- a/onyxhead/fleet/membership.py
+++ b/onyxhead/fleet/membership.py
@@ -26,7 +26,7 @@
 REQUESTED_PING_EXPIRY_TIMEOUTS = 4
 """When an unanswered ping expires, in timeouts of a direct answer; longer if it was sent for another member."""
 MAX_NUMBER = 2**53
-"""The greatest incarnation and packet number that every JSON parser reads exactly."""
+"""The upper limit of incarnations and packet numbers; every JSON parser reads whole numbers up to it exactly."""
 NEVER_SEEN = -1
 """The incarnation of a member from which nothing was ever heard."""
 
--- a/onyxhead/fleet/wire_format.py
+++ b/onyxhead/fleet/wire_format.py
@@ -16,9 +16,11 @@
 PROTOCOL_VERSION = 1
 """The version of the gossip protocol; packets of any other version are rejected."""
 MAX_UPDATES_READ = 4 * MAX_UPDATES
+"""Further updates in a received packet are ignored."""
 MAX_PACKET_NUMBER = 2**53
-"""The greatest number that every JSON parser reads exactly."""
+"""The greatest packet number and incarnation; every JSON parser reads whole numbers up to it exactly."""
 MAX_REPORT_NUMBER = 2**62
+"""The limit, not itself permitted, of grant numbers and start times in a budget report."""
 MAX_AMOUNT = 1e9
 MAX_NAME_IN_ERROR = 80
 
@@ -130,11 +132,13 @@
 
 def _report_number(value: object) -> int:
     if type(value) is not int or not 0 <= value < MAX_REPORT_NUMBER:
-        raise MalformedReportError(f"{value!r} is not a valid grant number or start time")
+        raise MalformedReportError(
+            f"{value!r} is not a grant number or start time: a whole number from 0 to below {MAX_REPORT_NUMBER}"
+        )
     return value
 
 
 def _amount(value: object) -> float:
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value < MAX_AMOUNT:
-        raise MalformedReportError(f"{value!r} is not a valid amount")
+        raise MalformedReportError(f"{value!r} is not an amount: a number from 0 to below {MAX_AMOUNT:g}")
     return float(value)
--- a/onyxhead/tables/updates.py
+++ b/onyxhead/tables/updates.py
@@ -67,7 +67,7 @@
 class PendingUpdate:
     """The changes that a decision round has collected for one proxy so far.
 
-    `line_cost` excludes the line that marks the round, which `finish` adds.
+    `line_cost` excludes the line for the round number, which `finish` adds.
     """
 
     changes: dict[Path, ViewValue | None]
