--- a/onyxhead/controller/table_versions.py
+++ b/onyxhead/controller/table_versions.py
@@ -121,7 +121,7 @@
 
     def release_expired(self, now: int) -> None:
         """Release the tables if the time for which they were to be held is over."""
-        if self.pin is not None and now >= self.pin.until:
+        if self.pin is not None and now >= self.pin.ends_at:
             self.release("its time is over")
 
     def _set_pin(self, pin: PinnedVersion) -> None:
@@ -144,7 +144,7 @@
         if not names:
             raise RollbackRejectedError("a trial needs two proxies at least")
         pin = _pinned(self.history.find(name), now, seconds)
-        self.canary = canary = Canary(plan.version, frozenset(names), now, pin.until)
+        self.canary = canary = Canary(plan.version, frozenset(names), now, pin.ends_at)
         self.tables.begin_canary(frozenset(bound[name] for name in names), self._freeze(pin))
         self.pending = True
         self.on_cause(f"version {plan.version} is tried on {len(names)} of {len(bound)} proxies")
--- a/onyxhead/tables/rollback.py
+++ b/onyxhead/tables/rollback.py
@@ -39,10 +39,10 @@
 
 
 class PinnedVersion(NamedTuple):
-    """A version that the tables are held at until tick `until`; afterwards they follow the policy again."""
+    """A version that the tables are held at until tick `ends_at`; afterwards they follow the policy again."""
 
     version: Version
-    until: int
+    ends_at: int
 
     def target(self, desired: Mapping[LineKey, int], endpoints: CurrentEndpoints) -> dict[LineKey, int]:
         """Return the lines that proxies should hold while the policy asks for the lines `desired`."""
