--- a/onyxhead/tables/canary.py
+++ b/onyxhead/tables/canary.py
@@ -15,7 +15,7 @@
 MIN_ATTEMPTS = 60
 """The attempts that each side needs before a verdict is given."""
 MIN_STANDARD_ERRORS = 3.1
-"""At this threshold, about one verdict in a thousand wrongly finds a version worse that is not."""
+"""With this threshold, a version that is no worse is reverted by chance in about one verdict in a thousand."""
 MIN_FAILURE_RATE_INCREASE = 0.02
 """A smaller increase does not justify a rollback, even if it is statistically significant."""
 MIN_VARIANCE = 1e-12
