--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -50,7 +50,7 @@
 
 
 class ControllerCore:
-    """`numbers` are the proxies' numbers in earlier incarnations, so that each proxy keeps its own."""
+    """`proxy_numbers` are the proxies' numbers in earlier incarnations, so that each proxy keeps its own."""
 
     def __init__(
         self,
@@ -61,12 +61,12 @@
         epoch: int,
         stall_timeout: int,
         now: int,
-        numbers: dict[str, int] | None = None,
+        proxy_numbers: dict[str, int] | None = None,
         history: History | None = None,
     ) -> None:
         self.deployment, self.groups, self.zones, self.epoch = deployment, groups, zones, epoch
         self.group_numbers = {name: number for number, name in enumerate(groups)}
-        self.numbers = dict(numbers or {})
+        self.proxy_numbers = dict(proxy_numbers or {})
         self.joined: dict[int, JoinedProxy] = {}
         self.acknowledged: dict[int, Acknowledgement] = {}
         self.endpoints: dict[str, Endpoint] = {}
@@ -149,12 +149,12 @@
 
     def proxy_number(self, name: str) -> int:
         """The proxy's number, a new one for a new proxy. Raises OverflowError when there are none left."""
-        if name not in self.numbers:
-            free = max(self.numbers.values(), default=-1) + 1
+        if name not in self.proxy_numbers:
+            free = max(self.proxy_numbers.values(), default=-1) + 1
             if free >= MAX_PROXIES:
                 raise OverflowError(f"{MAX_PROXIES} proxies are known already")
-            self.numbers[name] = free
-        return self.numbers[name]
+            self.proxy_numbers[name] = free
+        return self.proxy_numbers[name]
 
     def on_proxy_joined(self, now: int, request: JoinRequest) -> int:
         """The proxy's stream is open, in place of an earlier one of the same name. Returns its number."""
@@ -206,7 +206,7 @@
 
     def on_request_statistics(self, now: int, name: str, boot: str, number: int, report: RequestStatistics) -> bool:
         """A proxy's report. False if it came before or the proxy has not joined here."""
-        proxy = self.numbers.get(name)
+        proxy = self.proxy_numbers.get(name)
         if proxy is None or proxy not in self.joined:
             self.counts[UNKNOWN_PROXY_STATISTICS] += 1
             return False
--- a/onyxhead/controller/proxy_streams.py
+++ b/onyxhead/controller/proxy_streams.py
@@ -93,7 +93,7 @@
 
     def end_stream(self, name: str, reason: str) -> None:
         """Close one proxy's stream. The proxy keeps its tables and joins again, here or elsewhere."""
-        number = self.host.core.numbers.get(name, -1)
+        number = self.host.core.proxy_numbers.get(name, -1)
         if (stream := self.by_proxy.get(number)) is not None:
             self._end(number, stream, reason)
 
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -233,7 +233,7 @@
         self.streams.cancel_all()
         old = self.core
         self.decision_loop.save_versions()
-        self.host.core = self._new_core(start, epoch, old.numbers, old.versions.history)
+        self.host.core = self._new_core(start, epoch, old.proxy_numbers, old.versions.history)
         self.watch.restart()
         self.core.restore_withdrawals(self.clock.now(), list(old.proxy_tables.withdrawn))
         log.info(log_events.POLICY_RESTARTED, epoch=epoch)
--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -105,7 +105,7 @@
         return effects
 
     def name(self, sent: QueuedMessage[ProxyUpdate]) -> str:
-        return next(name for name, number in self.core.numbers.items() if number == sent.proxy)
+        return next(name for name, number in self.core.proxy_numbers.items() if number == sent.proxy)
 
     def deliver(self, sent: QueuedMessage[ProxyUpdate]) -> None:
         name = self.name(sent)
