--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -1,7 +1,8 @@
-"""The state machine of one controller, without I/O: it runs the policy and turns its decisions into messages.
+"""The state machine of one controller, without I/O: runs the policy and turns its decisions into messages.
 
-Events come in through the `on_...` methods; `decide` runs one round of the policy and returns the effects that the
-server has to carry out. Times are in ticks. The same inputs lead to the same effects, live or replayed.
+Callers report events through the `on_...` methods. `decide` runs one round of the policy and returns the effects for
+the decision loop to carry out. All times are in ticks. The core is deterministic: the same inputs produce the same
+effects, live or in a replay.
 """
 
 from __future__ import annotations
@@ -37,20 +38,25 @@
 
 MAX_PROXIES = 65_535
 RECONCILE_SHARE = 0.45
-"""Share of the queue limit for lines of held or released tables; the policy gives its own changes as much."""
+"""Share of the queue limit that lines of held or released tables may fill.
+
+The policy limits its own changes to the same share."""
 MAX_CAUSES = 12
-"""Causes named with one decision round; more say no more."""
+"""Largest number of causes recorded with one decision round; later ones are left out."""
 CANARY_GRACE_INTERVALS = 2
-"""Report intervals after which statistics no longer cover the time before the canary's lines were in force."""
+"""Report intervals to skip after a canary starts: their statistics include attempts made with the earlier lines."""
 
-# Names of counters, as operators see them in `/v1/state`.
+# Names of counters as `/v1/state` shows them.
 JOINS, LEAVES, FAULTS = "joins", "breaks", "faults"
 UNKNOWN_PROXY_STATISTICS, REPEATED_STATISTICS = "sums of strangers", "sums repeated"
 REJECTED_BY_LIMIT = "refused by the limit"
 
 
 class ControllerCore:
-    """`proxy_numbers` are the proxies' numbers in earlier incarnations, so that each proxy keeps its own."""
+    """Holds the policy, the tables and the queue of messages of one controller.
+
+    `proxy_numbers` are the numbers that proxies had in earlier incarnations; each proxy keeps its number.
+    """
 
     def __init__(
         self,
@@ -101,14 +107,15 @@
     # Endpoints
 
     def on_endpoint_update(self, now: int, update: EndpointUpdate) -> None:
-        """The endpoint list has changed."""
+        """Apply a change of the endpoint list to the policy and to the known addresses."""
         for backend, address in update.addresses.items():
-            known = self.proxy_tables.addresses.get(backend)
-            # Lines name the address that they were sent with. Another address is another process, to start anew.
-            if known is not None and known.address != address.address and backend in self.endpoints:
-                gone = self.endpoints[backend]._replace(ready=False, draining=False)
-                self.policy.on_endpoint_update(now, WatchEvent.DELTA, [gone])
-                self._add_cause(f"backend {backend} moved from {known.address} to {address.address}")
+            previous = self.proxy_tables.addresses.get(backend)
+            # Proxies keep the address that a line was sent with. A new address means a new process: the backend is
+            # withdrawn first, then added again, so that proxies get the new address and the policy a fresh backend.
+            if previous is not None and previous.address != address.address and backend in self.endpoints:
+                removed = self.endpoints[backend]._replace(ready=False, draining=False)
+                self.policy.on_endpoint_update(now, WatchEvent.DELTA, [removed])
+                self._add_cause(f"backend {backend} moved from {previous.address} to {address.address}")
                 self._run_round(now)
             self.proxy_tables.addresses[backend] = address
             self.backend_by_address[address.address] = backend
@@ -120,48 +127,55 @@
         self._add_cause(f"list: {len(update.endpoints)} {unit}")
 
     def on_subscription_rejected(self, now: int) -> None:
-        """Discovery can't be read; the policy says when to subscribe again."""
+        """Tell the policy that discovery can't be read; the policy decides when to subscribe again."""
         self.policy.on_endpoint_update(now, WatchEvent.REJECTED, [])
-        self._add_cause("discovery refused")
+        self._add_cause("discovery unavailable")
 
     def restore_withdrawals(self, now: int, backends: Iterable[str]) -> None:
         """Withdraw backends that proxies may still hold although the endpoint list no longer names them."""
-        gone = [Endpoint(b, 0, 0, False, False, 1.0, 0) for b in backends if b not in self.endpoints]
-        if gone:
-            self.endpoints |= {endpoint.backend: endpoint for endpoint in gone}
-            self.policy.on_endpoint_update(now, WatchEvent.DELTA, gone)
+        removed = [Endpoint(b, 0, 0, False, False, 1.0, 0) for b in backends if b not in self.endpoints]
+        if removed:
+            self.endpoints |= {endpoint.backend: endpoint for endpoint in removed}
+            self.policy.on_endpoint_update(now, WatchEvent.DELTA, removed)
 
     def current_endpoints(self, now: int) -> CurrentEndpoints:
-        """The backends that are ready, and since when each has been warm."""
+        """Return the backends that are ready; each has the tick of its start, or None while it is warming up."""
         warmup_time = self.deployment.safety.warmup_time
-        found: dict[str, int | None] = {}
+        warm_since: dict[str, int | None] = {}
         for name, endpoint in self.endpoints.items():
             if endpoint.ready:
                 warm_at = endpoint.started_at + warmup_time if endpoint.started_at else 0
-                found[name] = endpoint.started_at if warm_at <= now else None
-        return CurrentEndpoints(found)
+                warm_since[name] = endpoint.started_at if warm_at <= now else None
+        return CurrentEndpoints(warm_since)
 
     def on_health_check(self, now: int, backend: str, result: HealthCheckResult, load: LoadReport) -> None:
-        """A health check that was asked for is done."""
+        """Pass the result of a requested health check to the policy."""
         self.policy.on_health_check(now, backend, result, load)
 
     # Proxies
 
     def proxy_number(self, name: str) -> int:
-        """The proxy's number, a new one for a new proxy. Raises OverflowError when there are none left."""
+        """Return the proxy's number and assign the next one to an unknown proxy.
+
+        Raises OverflowError if no number is left.
+        """
         if name not in self.proxy_numbers:
-            free = max(self.proxy_numbers.values(), default=-1) + 1
-            if free >= MAX_PROXIES:
-                raise OverflowError(f"{MAX_PROXIES} proxies are known already")
-            self.proxy_numbers[name] = free
+            number = max(self.proxy_numbers.values(), default=-1) + 1
+            if number >= MAX_PROXIES:
+                raise OverflowError(f"the limit of {MAX_PROXIES} known proxies is reached")
+            self.proxy_numbers[name] = number
         return self.proxy_numbers[name]
 
     def on_proxy_joined(self, now: int, request: JoinRequest) -> int:
-        """The proxy's stream is open, in place of an earlier one of the same name. Returns its number."""
+        """Register a proxy whose stream is open and return the proxy's number.
+
+        A new stream replaces an earlier one of the same proxy.
+        """
         number = self.proxy_number(request.name)
         if number in self.joined:
             self.on_proxy_left(now, number)
-        self.effects.disconnects = [each for each in self.effects.disconnects if each.proxy != number]
+        # A disconnect that is still to be carried out was meant for the earlier stream.
+        self.effects.disconnects = [pending for pending in self.effects.disconnects if pending.proxy != number]
         zone = self.zones.index(request.zone)
         self.joined[number] = JoinedProxy(request.name, zone, now)
         self.delivery_queue.add_proxy(number)
@@ -172,23 +186,27 @@
         return number
 
     def on_proxy_left(self, now: int, proxy: int, reason: str = "") -> None:
-        """The proxy's stream is closed; what was queued for it is lost."""
-        if (known := self.joined.pop(proxy, None)) is None:
+        """Remove a proxy whose stream is closed, with the messages queued for it."""
+        if (left_proxy := self.joined.pop(proxy, None)) is None:
             return
         self.delivery_queue.remove_proxy(proxy)
         self.proxy_tables.leave(proxy)
         self.acknowledged.pop(proxy, None)
         self.policy.on_proxy_left(now, proxy)
         self.counts[LEAVES] += 1
-        self.load_estimator.on_proxy_left(known.name)
-        self._add_cause(f"{known.name} left{': ' + reason if reason else ''}")
+        self.load_estimator.on_proxy_left(left_proxy.name)
+        self._add_cause(f"{left_proxy.name} left{': ' + reason if reason else ''}")
 
     def on_acknowledgement(self, now: int, proxy: int, message: ProxyUpdate, etag: str, queued_at: int) -> None:
-        """The proxy says that it has applied a message and now holds the view with this etag."""
+        """Process a proxy's acknowledgement of a message.
+
+        `etag` is that of the view which the proxy now holds. If it is not the view that the message leads to, the
+        proxy is disconnected.
+        """
         if proxy not in self.joined:
             return
         if etag != message.result.etag:
-            self.on_stream_fault(now, proxy, "it holds another view than it was sent")
+            self.on_stream_fault(now, proxy, "the acknowledged view is not the one that was sent")
             return
         if not message.round_number:
             return
@@ -197,15 +215,18 @@
         self._add_cause(f"{self.joined[proxy].name} applied {message.round_number}")
 
     def on_stream_fault(self, now: int, proxy: int, reason: str) -> None:
-        """The proxy's side broke the protocol; its stream is closed, and its next join may have to wait."""
-        if (known := self.joined.get(proxy)) is None:
+        """Disconnect a proxy whose stream failed through the proxy's own fault; its next join may have to wait."""
+        if (faulty_proxy := self.joined.get(proxy)) is None:
             return
-        self.join_backoff.on_stream_fault(now, known.name)
+        self.join_backoff.on_stream_fault(now, faulty_proxy.name)
         self.counts[FAULTS] += 1
         self._disconnect(now, proxy, reason)
 
     def on_request_statistics(self, now: int, name: str, boot: str, number: int, report: RequestStatistics) -> bool:
-        """A proxy's report. False if it came before or the proxy has not joined here."""
+        """Add the report that a proxy's agent sent as `number` since its start `boot`.
+
+        Returns False, and counts nothing, if the report is a duplicate or the proxy has not joined here.
+        """
         proxy = self.proxy_numbers.get(name)
         if proxy is None or proxy not in self.joined:
             self.counts[UNKNOWN_PROXY_STATISTICS] += 1
@@ -217,51 +238,58 @@
         pending.add(zone, proxy, report, self.backend_by_address, self.group_numbers)
         canary, grace = self.versions.canary, CANARY_GRACE_INTERVALS * self.deployment.report_interval
         if canary is not None and now - canary.started_at > grace:
-            totals = report.backends.values()
-            canary.record(name, sum(each.attempts for each in totals), sum(each.failures for each in totals))
+            backends = report.backends.values()
+            canary.record(name, sum(each.attempts for each in backends), sum(each.failures for each in backends))
         return True
 
     def update_budget_shares(self, now: int, budget: SlowStartBudget) -> list[BudgetGrant]:
-        """Exchange the slow-start budget with other controllers, and tell the policy its shares.
+        """Grant unused slow-start budget to other controllers and set the policy's shares; return the new grants.
 
-        Raises what storing the grants raises; the policy's shares are then as they were."""
-        found = self.policy.warming_backends(now)
+        Raises the error of a failed write of the grants; the policy's shares are then unchanged.
+        """
+        warming = self.policy.warming_backends(now)
         budget.on_loads(
-            {Incarnation(name, started): IncarnationLoad(baseline, asked) for name, started, baseline, asked in found}
+            {
+                Incarnation(name, started_at): IncarnationLoad(baseline_rate, unlimited_rate)
+                for name, started_at, baseline_rate, unlimited_rate in warming
+            }
         )
         grants = budget.grant()
-        for name, started, _, _ in found:
-            self.policy.on_budget_share(now, name, budget.share(Incarnation(name, started)))
+        for name, started_at, _, _ in warming:
+            self.policy.on_budget_share(now, name, budget.share(Incarnation(name, started_at)))
         return grants
 
     # Decisions
 
     def decide(self, now: int) -> Effects:
-        """Report statistics that are due, run a round of the policy, and release messages whose time has come."""
+        """Report due statistics, run a round of the policy, release due messages, and return all effects."""
         self.statistics_feed.report_if_due(now)
         self._run_round(now)
         self.versions.release_expired(now)
         self._reconcile_tables(now)
         for proxy in self.delivery_queue.stalled_proxies(now):
-            self.on_stream_fault(now, proxy, "it takes nothing")
+            self.on_stream_fault(now, proxy, "the stream has taken no message for too long")
         self.effects.deliveries = self.delivery_queue.release_due(now)
         effects, self.effects = self.effects, Effects()
         return effects
 
     def next_decision_at(self) -> int:
-        """When to decide again if no event comes before."""
-        due = self.delivery_queue.next_event_at()
-        return min(self.wake_at, self.statistics_feed.report_at, due if due is not None else self.wake_at)
+        """Return the tick at which to decide again if no event is reported earlier."""
+        queue_event_at = self.delivery_queue.next_event_at()
+        return min(
+            self.wake_at, self.statistics_feed.report_at, queue_event_at if queue_event_at is not None else self.wake_at
+        )
 
     def _run_round(self, now: int) -> None:
         decisions = list(self.policy.decisions(now))
         round_number = self._collect_effects(now, decisions)
-        # Also while no proxy is joined: the first one to join must get the lines that are decided now.
+        # Decisions are applied to the tables even while no proxy has joined: the first one to join gets their lines.
         reached = set()
         for message in self.proxy_tables.apply_decisions(round_number, decisions):
             reached.add(message.proxy)
             self._enqueue(now, message)
-        # Proxies whose tables are held may get no message; the policy must not wait for their acknowledgements.
+        # A round may bring no message to a proxy whose tables are held; the policy must not wait for such a proxy's
+        # acknowledgement.
         for proxy in [proxy for proxy in self.policy.round_recipients if round_number and proxy not in reached]:
             self.policy.on_acknowledgement(now, proxy, round_number, 0)
         self.versions.record(now, ", ".join(self.causes) or "time")
@@ -270,7 +298,10 @@
             self.causes = []
 
     def _collect_effects(self, now: int, decisions: Iterable[Decision]) -> int:
-        """Note what is not for proxies. Returns the number of the round, 0 if it asks for no acknowledgement."""
+        """Add the effects of decisions that are not sent to proxies.
+
+        Returns the number of the round, or 0 if the round requests no acknowledgement.
+        """
         round_number, effects = 0, self.effects
         for decision in decisions:
             match decision:
@@ -288,7 +319,7 @@
         return round_number
 
     def _reconcile_tables(self, now: int) -> None:
-        """Bring lines that a pin or a canary holds, or held, to what they should be."""
+        """Send the lines that differ from their target because of a current or an ended pin or canary."""
         self.versions.updated_at = now
         if (outcome := self.versions.conclude_canary(now)) is not None:
             self.effects.log_messages.append(outcome)
@@ -306,9 +337,10 @@
         try:
             self.delivery_queue.enqueue(now, message.proxy, message, message.line_cost)
         except QueueFullError as error:
-            # The policy takes its decisions as sent. Only a new join makes it consider this proxy again.
+            # The policy counts its decisions as sent. The proxy gets the dropped lines only when it joins again, so
+            # it is disconnected.
             self.counts[REJECTED_BY_LIMIT] += 1
-            self._disconnect(now, message.proxy, f"the channel's limit: {error}")
+            self._disconnect(now, message.proxy, f"the channel's limit is reached: {error}")
 
     def _disconnect(self, now: int, proxy: int, reason: str) -> None:
         self.effects.disconnects.append(Disconnect(proxy, self.joined[proxy].name, reason))
--- a/onyxhead/controller/core_host.py
+++ b/onyxhead/controller/core_host.py
@@ -1,4 +1,4 @@
-"""What the parts of a running controller share: the current core, its clock, and a way to wake the decision loop."""
+"""What all parts of a running controller share: the current core, the clock and the decision loop's wake-up."""
 
 from __future__ import annotations
 
@@ -9,16 +9,20 @@
 
 
 class CoreHost:
-    """`core` is replaced when new settings need a new start of the policy, so no part keeps a core of its own."""
+    """Holds the current core and wakes the decision loop.
+
+    `core` is replaced when changed settings require a restart of the policy, so other parts must read it here each time
+    and keep no reference to it.
+    """
 
     def __init__(self, clock: Clock, core: ControllerCore) -> None:
         self.clock, self.core = clock, core
         self.woken = asyncio.Event()
 
     def now(self) -> int:
-        """The present in ticks."""
+        """Return the current time in ticks."""
         return self.clock.now()
 
     def wake(self) -> None:
-        """Something was reported to the core: decide soon."""
+        """Make the decision loop decide soon, after an event was reported to the core."""
         self.woken.set()
--- a/onyxhead/controller/delivery_queue.py
+++ b/onyxhead/controller/delivery_queue.py
@@ -1,8 +1,9 @@
-"""The queue of messages from a controller to its proxies: in order, at a stated pace, never over its limit. No I/O.
+"""The queue of messages from a controller to its proxies: keeps their order, a fixed rate and a limit. No I/O.
 
-A line counts as queued from the moment it is decided until the proxy's stream has taken it. A proxy that reads slowly
-delays only its own messages, but their lines go on counting. So a stream that takes nothing for `stall_timeout` is
-closed; the proxy then has to join again, and its view is known for certain.
+A line counts as queued from the moment it is enqueued until the proxy's stream has taken it. A proxy that reads slowly
+delays only its own messages, but their lines still count against the limit that all proxies share. A stream that takes
+no message for `stall_timeout` is therefore reported as stalled and closed. The proxy has to join again and sends its
+view, so the controller knows for certain what the proxy holds.
 """
 
 from __future__ import annotations
@@ -19,7 +20,11 @@
 
 
 class QueuedMessage(NamedTuple, Generic[Message]):
-    """A message, when it was queued, and since when it waits where it is now: in the queue or at its stream."""
+    """A message for one proxy, with the lines that it counts for.
+
+    `queued_at` is when it was enqueued, `waiting_since` when it came to its present place: the queue or the proxy's
+    stream.
+    """
 
     proxy: int
     message: Message
@@ -29,66 +34,73 @@
 
 
 class DeliveryQueue(Generic[Message]):
-    """Times in ticks. Lines include what each message costs beyond its own lines, as the limits count them."""
+    """Releases queued messages at the rate of the channel. Times are in ticks.
+
+    `queue` holds messages that are not yet released, `streams` the released messages that each proxy's stream has not
+    yet taken. `lines` of a message include the overhead that the channel's limits count for each message.
+    """
 
     def __init__(self, limits: ChannelLimits, stall_timeout: int) -> None:
         self.limits, self.stall_timeout = limits, stall_timeout
         self.queue: deque[QueuedMessage[Message]] = deque()
         self.streams: dict[int, deque[QueuedMessage[Message]]] = {}
         self.enqueue_times: dict[int, deque[int]] = {}
-        self.drained_at = 0.0
+        self.channel_free_at = 0.0
         self.queued_lines = 0.0
         self.peak_queued_lines = 0.0
 
     def add_proxy(self, proxy: int) -> None:
-        """A proxy has joined."""
+        """Start with empty queues for a proxy that has joined."""
         self.remove_proxy(proxy)
         self.streams[proxy] = deque()
         self.enqueue_times[proxy] = deque()
 
     def remove_proxy(self, proxy: int) -> None:
-        """A proxy has left; what is queued for it is dropped."""
-        dropped = list(self.streams.pop(proxy, ()))
+        """Drop all messages for a proxy that has left."""
+        unwritten = list(self.streams.pop(proxy, ()))
         self.enqueue_times.pop(proxy, None)
         queued = [each for each in self.queue if each.proxy == proxy]
         if queued:
             self.queue = deque(each for each in self.queue if each.proxy != proxy)
-        self.queued_lines -= sum(each.lines for each in (*dropped, *queued))
+        self.queued_lines -= sum(each.lines for each in (*unwritten, *queued))
 
     def enqueue(self, now: int, proxy: int, message: Message, lines: float) -> None:
-        """Queue a message. Raises QueueFullError, or KeyError for a proxy that has not joined."""
+        """Queue a message.
+
+        Raises QueueFullError if a limit would be exceeded, and KeyError for a proxy that has not joined.
+        """
         times = self.enqueue_times[proxy]
         while times and times[0] <= now - self.limits.message_window:
             times.popleft()
         total = self.queued_lines + lines
         if total > self.limits.max_queued_lines:
-            raise QueueFullError(f"{total:.0f} lines would wait, {self.limits.max_queued_lines:.0f} may")
+            raise QueueFullError(f"{total:.0f} lines would be queued, {self.limits.max_queued_lines:.0f} are allowed")
         if self.limits.max_messages and len(times) >= self.limits.max_messages:
-            raise QueueFullError(f"{len(times)} messages were written to the proxy, no more may be")
+            raise QueueFullError(f"{len(times)} messages to the proxy in the message window, no more are allowed")
         times.append(now)
         self.queued_lines = total
         self.peak_queued_lines = max(self.peak_queued_lines, total)
         if not self.queue:
-            self.drained_at = max(self.drained_at, now)
+            self.channel_free_at = max(self.channel_free_at, now)
         self.queue.append(QueuedMessage(proxy, message, lines, now, now))
 
     def release_due(self, now: int) -> list[QueuedMessage[Message]]:
-        """The messages that the pace allows to leave now; they then wait at their proxies' streams."""
+        """Return the messages that the channel's rate lets out by now and move them to their proxies' streams."""
         released: list[QueuedMessage[Message]] = []
-        while self.queue and (departs_at := self._head_departs_at()) <= now:
-            self.drained_at = departs_at
+        while self.queue and (due_at := self._head_due_at()) <= now:
+            self.channel_free_at = due_at
             message = self.queue.popleft()._replace(waiting_since=now)
             self.streams[message.proxy].append(message)
             released.append(message)
         return released
 
     def on_written(self, proxy: int) -> None:
-        """The proxy's stream has taken its oldest message."""
+        """Remove the oldest released message of a proxy, which its stream has taken."""
         if self.streams.get(proxy):
             self.queued_lines -= self.streams[proxy].popleft().lines
 
     def stalled_proxies(self, now: int) -> list[int]:
-        """The proxies whose streams have taken nothing for too long."""
+        """Return the proxies whose oldest released message has waited for longer than `stall_timeout`."""
         return [
             proxy
             for proxy, stream in self.streams.items()
@@ -96,11 +108,12 @@
         ]
 
     def next_event_at(self) -> int | None:
-        """When a message leaves or a stream stalls next; None if nothing is queued."""
+        """Return the tick at which the next message is due or a stream stalls; None if nothing is queued."""
         times = [stream[0].waiting_since + self.stall_timeout + 1 for stream in self.streams.values() if stream]
         if self.queue:
-            times.append(math.ceil(self._head_departs_at()))
+            times.append(math.ceil(self._head_due_at()))
         return min(times, default=None)
 
-    def _head_departs_at(self) -> float:
-        return self.drained_at + self.queue[0].lines * TICKS_PER_SECOND / self.limits.lines_per_second
+    def _head_due_at(self) -> float:
+        """Return when the first queued message is due: its lines take their time after the previous message."""
+        return self.channel_free_at + self.queue[0].lines * TICKS_PER_SECOND / self.limits.lines_per_second
--- a/onyxhead/controller/effects.py
+++ b/onyxhead/controller/effects.py
@@ -1,4 +1,4 @@
-"""What one call of `ControllerCore.decide` asks the server to carry out."""
+"""The effects of one call of `ControllerCore.decide`, which the decision loop carries out."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RoundResult(NamedTuple):
-    """A decision round that sent something, and the events since the round before."""
+    """A decision round that asks proxies for an acknowledgement, and the events that caused it."""
 
     round_number: int
     decisions: list[Decision]
@@ -19,14 +19,14 @@
 
 
 class HealthCheckTarget(NamedTuple):
-    """A backend to check, at the address that discovery last gave for it."""
+    """A backend to check, and its address in the latest endpoint list."""
 
     backend: str
     address: str
 
 
 class Disconnect(NamedTuple):
-    """A proxy's stream to close, and why."""
+    """A proxy whose stream is to be closed, and the reason."""
 
     proxy: int
     name: str
@@ -35,7 +35,10 @@
 
 @dataclass(slots=True)
 class Effects:
-    """Messages to write, rounds to record, checks to run and streams to close, each in order."""
+    """Rounds to record, messages to write, health checks to run, streams to close and messages to log, each in order.
+
+    `subscribe` is set if the policy wants to follow discovery.
+    """
 
     rounds: list[RoundResult] = field(default_factory=list)
     deliveries: list[QueuedMessage[ProxyUpdate]] = field(default_factory=list)
--- a/onyxhead/controller/errors.py
+++ b/onyxhead/controller/errors.py
@@ -4,20 +4,20 @@
 
 
 class ControllerError(Exception):
-    """Base class of all errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class InvalidEndpointListError(ControllerError, ValueError):
-    """A document is not an endpoint list that can be followed; the last good list stays in use."""
+    """A document is not an acceptable endpoint list; the last accepted list stays in use."""
 
 
 class DiscoveryUnavailableError(ControllerError):
-    """The source of the endpoint list can't be read now; the last good list stays in use."""
+    """The source of the endpoint list can't be read at present; the last accepted list stays in use."""
 
 
 class InvalidStatisticsError(ControllerError, ValueError):
-    """A proxy's request statistics can't be accepted; the message says why."""
+    """A proxy's request statistics are malformed."""
 
 
 class QueueFullError(ControllerError):
-    """The limit on lines or messages does not allow another message; nothing was queued."""
+    """A message was not queued because of the limit on queued lines or on messages per proxy."""
--- a/onyxhead/controller/proxies.py
+++ b/onyxhead/controller/proxies.py
@@ -1,4 +1,4 @@
-"""Proxies of one controller: what they say when they join, and what is known of those that have joined."""
+"""Data about the proxies of one controller: their join requests, the joined proxies and their acknowledgements."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class JoinRequest(NamedTuple):
-    """A proxy that asks to join, and the view that it holds. `baseline_rate` in requests a second."""
+    """A proxy's request to join, with the view that it holds.
+
+    `baseline_rate` is its usual request rate in requests per second. `has_standing_table` says that it still uses the
+    table it was configured with, as no controller has sent it one.
+    """
 
     name: str
     zone: str
@@ -26,7 +30,7 @@
 
 
 class Acknowledgement(NamedTuple):
-    """The last decision round that a proxy has applied, and the etag of the view that it then held."""
+    """The last decision round that a proxy has applied, and the etag of the resulting view."""
 
     round_number: int
     etag: str
