--- a/onyxhead/controller/table_versions.py
+++ b/onyxhead/controller/table_versions.py
@@ -1,7 +1,8 @@
-"""The versions of a controller's tables, and the operations that hold the tables against the policy. No I/O.
+"""The versions of a controller's tables, and the operations that hold tables at one version. No I/O.
 
-A rollback or a freeze holds the lines of all tables as in one version for some time; a canary does so at some of the
-proxies first. Withdrawals and admission levels go on meanwhile, and what the policy wants is followed again afterwards.
+A rollback or a freeze holds the lines of all tables as they are in one version for a limited time. A canary first does
+so for a share of the proxies. Withdrawals and admission levels stay in effect meanwhile. When the time is over, the
+lines follow the policy's decisions again.
 """
 
 from __future__ import annotations
@@ -20,24 +21,24 @@
 
 
 class RollbackPreview(NamedTuple):
-    """What a rollback would change, and for how many seconds its lines would occupy the channel."""
+    """The plan of a rollback, and for how many seconds its lines would occupy the channel."""
 
     plan: RollbackPlan
     channel_s: float
 
 
 class NewVersion(NamedTuple):
-    """A version that is not stored yet, and the lines that it changed."""
+    """A version that is not stored yet, with the weights of the lines that it changed; 0 for a removed line."""
 
     version: Version
     changes: Mapping[LineKey, int]
 
 
 class TableVersions:
-    """Records a version whenever lines that were sent have changed; `new_versions` are those not yet stored.
+    """Records a version whenever the lines sent to proxies have changed, and holds tables at a version.
 
-    Times in ticks. `current_endpoints` tells which backends serve at a time; `on_cause` takes what to name as the cause
-    of the next decision round.
+    Times are in ticks. `new_versions` are those that are not stored yet. `current_endpoints` returns the backends that
+    are ready at a tick. `on_cause` gets a text that is recorded as a cause of the next decision round.
     """
 
     def __init__(
@@ -61,15 +62,16 @@
         self.last_revision = 0
         self.updated_at = now
         self.pending = False
-        """Whether lines may still differ from what they should be because tables were held."""
-        # Proxies of earlier incarnations hold other tables; a version starts from what this incarnation has sent.
+        """Whether lines may still differ from their target because tables were held."""
+        # Proxies may hold tables of an earlier incarnation. The history records only what this incarnation has sent, so
+        # a restart is recorded as a version without lines.
         if history.latest.lines:
             self._append(now, "restart", dict.fromkeys(history.latest.lines, 0))
 
     # Recording
 
     def record(self, now: int, cause: str) -> None:
-        """Append a version if lines have been sent since the last one."""
+        """Append a version if lines have been sent since the previous one."""
         if self.tables.revision == self.last_revision:
             return
         self.last_revision, lines = self.tables.revision, self.tables.sent_lines()
@@ -83,46 +85,56 @@
             self.new_versions.append(NewVersion(version, changes))
 
     def drain_new_versions(self) -> list[VersionRecord]:
-        """Return and forget the versions that are to be stored."""
+        """Return the versions to store and clear the list of them."""
         drained, self.new_versions = self.new_versions, []
         return [VersionRecord(v.number, v.epoch, v.created_at, v.cause, changes) for v, changes in drained]
 
     # Rollback and freeze
 
     def preview_rollback(self, now: int, name: str) -> RollbackPreview:
-        """What a rollback to a version would do. Raises RollbackRejectedError, UnknownVersionError."""
+        """Return what a rollback to a version would do, without changing anything.
+
+        Raises RollbackRejectedError and UnknownVersionError.
+        """
         plan = plan_rollback(
             self.history.find(name), self.tables.desired, self.tables.sent_lines(), self.current_endpoints(now)
         )
-        users = max((len(users) for users in self.tables.proxies_by_table.values()), default=0)
-        lines = users * (plan.changed_lines + self.tables.message_overhead + 1)
-        return RollbackPreview(plan, lines / self.lines_per_second)
+        # An upper bound: every changed line goes to as many proxies as use the table with most proxies.
+        proxy_count = max((len(proxies) for proxies in self.tables.proxies_by_table.values()), default=0)
+        channel_lines = proxy_count * (plan.changed_lines + self.tables.message_overhead + 1)
+        return RollbackPreview(plan, channel_lines / self.lines_per_second)
 
     def roll_back(self, now: int, name: str, seconds: float) -> RollbackPreview:
-        """Hold the tables as in a version for so long. Raises RollbackRejectedError, UnknownVersionError."""
+        """Hold all tables as they are in a version for a number of seconds.
+
+        Raises RollbackRejectedError and UnknownVersionError.
+        """
         preview = self.preview_rollback(now, name)
-        self._set_pin(_pinned(self.history.find(name), now, seconds))
+        self._set_pin(_pin_version(self.history.find(name), now, seconds))
         self.on_cause(f"rolled back to version {preview.plan.version}")
         return preview
 
     def freeze(self, now: int, seconds: float) -> int:
-        """Hold the tables as they are now for so long. Returns the number of the version that they are in."""
+        """Hold all tables as they are now for a number of seconds. Returns the number of their version."""
         version = self.history.latest._replace(created_at=now)
-        self._set_pin(_pinned(version, now, seconds))
+        self._set_pin(_pin_version(version, now, seconds))
         self.on_cause(f"held as in version {version.number}")
         return version.number
 
     def release(self, reason: str) -> bool:
-        """Follow the policy again, as the channel has capacity. False if nothing was held."""
-        held, self.pin, self.tables.main.freeze = self.pin is not None, None, None
-        if held:
+        """Stop holding the tables. Returns False if they were not held.
+
+        The lines then follow the policy again, as fast as the channel's capacity allows.
+        """
+        was_held, self.pin, self.tables.main.freeze = self.pin is not None, None, None
+        if was_held:
             self.on_cause(f"released: {reason}")
-        return held
+        return was_held
 
     def release_expired(self, now: int) -> None:
-        """Release the tables if the time for which they were to be held is over."""
+        """Release the tables if their hold time is over."""
         if self.pin is not None and now >= self.pin.until:
-            self.release("its time is over")
+            self.release("the hold time is over")
 
     def _set_pin(self, pin: PinnedVersion) -> None:
         self.pin, self.tables.main.freeze, self.pending = pin, self._freeze(pin), True
@@ -133,33 +145,39 @@
     # Canary
 
     def start_canary(self, now: int, name: str, share: float, seconds: float) -> tuple[RollbackPlan, Canary]:
-        """Hold a share of the proxies as in a version. If they fail more often than the others, the version is taken
-        back, else it is held at all proxies for as long again. Raises RollbackRejectedError, UnknownVersionError.
+        """Hold the tables of a share of the proxies as they are in a version, for a number of seconds.
+
+        If attempts at these proxies fail more often than at the others, the version is withdrawn. If enough attempts
+        show that it is no worse, it is held at all proxies for the same time again.
+
+        Raises RollbackRejectedError and UnknownVersionError.
         """
         if self.canary is not None:
             raise RollbackRejectedError(f"version {self.canary.version} is on trial already")
         plan, _ = self.preview_rollback(now, name)
-        bound = {proxy.name: number for number, proxy in self.joined.items() if self.tables.tables_of(number)}
-        names = select_canary_proxies(bound, share)
-        if not names:
+        candidates = {proxy.name: number for number, proxy in self.joined.items() if self.tables.tables_of(number)}
+        canary_names = select_canary_proxies(candidates, share)
+        if not canary_names:
             raise RollbackRejectedError("a trial needs two proxies at least")
-        pin = _pinned(self.history.find(name), now, seconds)
-        self.canary = canary = Canary(plan.version, frozenset(names), now, pin.until)
-        self.tables.begin_canary(frozenset(bound[name] for name in names), self._freeze(pin))
+        pin = _pin_version(self.history.find(name), now, seconds)
+        self.canary = canary = Canary(plan.version, frozenset(canary_names), now, pin.until)
+        self.tables.begin_canary(frozenset(candidates[name] for name in canary_names), self._freeze(pin))
         self.pending = True
-        self.on_cause(f"version {plan.version} is tried on {len(names)} of {len(bound)} proxies")
+        self.on_cause(f"version {plan.version} is tried on {len(canary_names)} of {len(candidates)} proxies")
         return plan, canary
 
     def cancel_canary(self) -> bool:
-        """Take a canary back without a verdict. False if there was none."""
+        """End the canary without a verdict. Returns False if there was none."""
         cancelled, self.canary = self.canary is not None, None
         self.tables.end_canary()
         return cancelled
 
     def conclude_canary(self, now: int) -> str | None:
-        """Take a canary that fails too often back, or roll all proxies back to its version when its time is over.
+        """End the canary if its proxies fail too often or its time is over.
 
-        Returns the outcome in words, None while there is none."""
+        A version that proved no worse is then held at all proxies. Returns the outcome as a text for operators, or None
+        while the canary goes on or if there is none.
+        """
         canary = self.canary
         if canary is None:
             return None
@@ -169,34 +187,36 @@
         self.canary = None
         self.tables.end_canary()
         self.pending = True
-        own, others = canary.canary_counts, canary.baseline_counts
+        counts, other_counts = canary.canary_counts, canary.baseline_counts
         outcome = f"version {canary.version} on trial: {verdict.value}"
-        outcome += f" ({own.failures}/{own.attempts} failed, elsewhere {others.failures}/{others.attempts})"
+        outcome += (
+            f" ({counts.failures}/{counts.attempts} failed, elsewhere {other_counts.failures}/{other_counts.attempts})"
+        )
         if verdict is Verdict.NOT_WORSE:
             try:
                 self.roll_back(now, str(canary.version), (canary.ends_at - canary.started_at) / TICKS_PER_SECOND)
-                outcome += "; held for all"
+                outcome += "; held at all proxies"
             except (RollbackRejectedError, UnknownVersionError) as error:
-                outcome += f"; not held for all: {error}"
+                outcome += f"; not held at all proxies: {error}"
         self.on_cause(outcome)
         return outcome
 
-    # Bringing the lines to what they should be
+    # Reconciliation
 
     @property
     def reconciling(self) -> bool:
-        """Whether lines may differ from what they should be."""
+        """Whether lines may differ from their target, so that they have to be reconciled."""
         return self.pin is not None or self.canary is not None or self.pending
 
     def on_reconciled(self, now: int) -> None:
-        """Record what `TableState.reconcile` has sent, and note whether more is left."""
-        left = self.tables.pending_lines()
-        if self.canary is None and not any(line.tables is self.tables.canary for line in left):
-            # The proxies of a former canary hold what all others hold, and are like all others again.
+        """Record the lines that `TableState.reconcile` has sent, and note whether any still have to be sent."""
+        pending_lines = self.tables.pending_lines()
+        if self.canary is None and not any(line.tables is self.tables.canary for line in pending_lines):
+            # The proxies of an ended canary hold the same lines as all others again and need no tables of their own.
             self.tables.canary_proxies = frozenset()
-        self.pending = self.pin is not None or bool(left) or bool(self.tables.canary_proxies)
+        self.pending = self.pin is not None or bool(pending_lines) or bool(self.tables.canary_proxies)
         self.record(now, "held tables" if self.pin is not None else "released tables")
 
 
-def _pinned(version: Version, now: int, seconds: float) -> PinnedVersion:
+def _pin_version(version: Version, now: int, seconds: float) -> PinnedVersion:
     return PinnedVersion(version, now + round(seconds * TICKS_PER_SECOND))
--- a/onyxhead/controller/version_requests.py
+++ b/onyxhead/controller/version_requests.py
@@ -1,4 +1,4 @@
-"""Operators' requests on the versions of a controller's tables: JSON values in, JSON values out. No I/O."""
+"""Handles operators' requests about the versions of a controller's tables, as JSON values. No I/O."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 DEFAULT_LOG_ROWS, MAX_ROWS = 20, 200
 SHOWN_DIGEST_DIGITS = 16
 CHANGING_VERBS = frozenset({"rollback", "pin", "try", "release", "label"})
-"""Verbs that change something, and are therefore asked for by POST."""
+"""Verbs that change state and therefore require a POST request."""
 
 
 class VersionRequest(NamedTuple):
-    """One request. `save_labels` stores the labels before it returns, or raises."""
+    """One request with its arguments. `save_labels` raises unless the labels are stored when it returns."""
 
     versions: TableVersions
     now: int
@@ -28,14 +28,14 @@
     save_labels: Callable[[dict[str, int]], None]
 
     def version(self, name: str = "version") -> Version:
-        """The version that an argument names. Raises UnknownVersionError, KeyError."""
+        """Return the version that an argument names. Raises UnknownVersionError and KeyError."""
         return self.versions.history.find(str(self.arguments[name]))
 
     def hold_s(self) -> float:
-        """For how long to hold the tables. Raises ValueError."""
+        """Return for how many seconds to hold the tables. Raises ValueError."""
         hold = float(self.arguments.get("seconds", DEFAULT_HOLD_S))
         if not 0 < hold <= MAX_HOLD_S:
-            raise ValueError(f"tables are held for 0 to {MAX_HOLD_S:.0f} seconds")
+            raise ValueError(f"seconds must be above 0 and at most {MAX_HOLD_S:.0f}")
         return hold
 
 
@@ -46,12 +46,12 @@
     arguments: dict[str, Any],
     save_labels: Callable[[dict[str, int]], None],
 ) -> Any:  # noqa: ANN401  JSON
-    """The answer to a request.
+    """Return the answer to a request.
 
-    Raises UnknownVersionError, RollbackRejectedError, and ValueError, KeyError, TypeError for malformed arguments.
+    Raises UnknownVersionError and RollbackRejectedError; ValueError, KeyError and TypeError for malformed arguments.
     """
     if (handler := HANDLERS.get(verb)) is None:
-        raise ValueError(f"there is no {verb!r}")
+        raise ValueError(f"unknown request {verb!r}")
     return handler(VersionRequest(versions, now, arguments, save_labels))
 
 
@@ -74,10 +74,10 @@
 
 
 def _diff(request: VersionRequest) -> list[dict[str, Any]]:
-    one, two = request.version("one"), request.version("two")
+    first, second = request.version("one"), request.version("two")
     return [
         {"table": table, "backend": backend, "before": before, "after": after}
-        for (table, backend), before, after in diff(one.lines, two.lines)
+        for (table, backend), before, after in diff(first.lines, second.lines)
     ]
 
 
@@ -118,14 +118,16 @@
     hold = float(request.arguments.get("seconds", DEFAULT_HOLD_S))
     share = float(request.arguments.get("share", DEFAULT_CANARY_SHARE))
     if not 0 < hold <= MAX_HOLD_S or not 0 < share <= MAX_CANARY_SHARE:
-        raise ValueError(f"a trial takes 0 to {MAX_HOLD_S:.0f} seconds and up to half of the proxies")
+        raise ValueError(
+            f"seconds must be above 0 and at most {MAX_HOLD_S:.0f}, and share above 0 and at most {MAX_CANARY_SHARE}"
+        )
     plan, canary = request.versions.start_canary(request.now, str(request.arguments["version"]), share, hold)
     return _plan(plan) | {"proxies": sorted(canary.proxies), "seconds": hold}
 
 
 def _release(request: VersionRequest) -> dict[str, Any]:
     cancelled = request.versions.cancel_canary()
-    return {"released": request.versions.release("asked for") or cancelled}
+    return {"released": request.versions.release("requested by an operator") or cancelled}
 
 
 HANDLERS: dict[str, Callable[[VersionRequest], Any]] = {
