--- a/onyxhead/controller/decision_loop.py
+++ b/onyxhead/controller/decision_loop.py
@@ -1,4 +1,4 @@
-"""The decision loop: lets the core decide when it is due or woken, and carries out the effects."""
+"""The decision loop: runs a round of the core whenever one is due or an event arrives, and carries out the effects."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 MIN_ROUND_INTERVAL_S = 0.004
-"""Between two rounds, so that events that come together are decided together."""
+"""Shortest time between two rounds, so that events that arrive together are decided in one round."""
 
 Notify = Callable[[str, dict[str, Any]], None]
 """Takes the name and values of a notification for operators."""
@@ -31,7 +31,10 @@
 
 
 class DecisionLoop:
-    """`subscribed` is set when the policy wants to follow discovery."""
+    """Runs the core and passes its effects to the proxy streams, the store, the log and discovery.
+
+    `subscribed` is set when the policy wants to follow discovery.
+    """
 
     def __init__(
         self,
@@ -48,7 +51,7 @@
         self.health_check_slots = asyncio.Semaphore(health_checks.max_concurrent)
 
     async def run(self) -> None:
-        """Decide for ever."""
+        """Run decision rounds until cancelled."""
         while True:
             self.host.woken.clear()
             self._apply_effects(self.host.core.decide(self.host.now()))
@@ -60,7 +63,7 @@
                         await self.host.woken.wait()
 
     def save_versions(self) -> None:
-        """Store the versions of the tables that are new."""
+        """Store the table versions that are not stored yet."""
         for record in self.host.core.versions.drain_new_versions():
             self.store.append_version(record)
 
--- a/onyxhead/controller/discovery.py
+++ b/onyxhead/controller/discovery.py
@@ -1,4 +1,4 @@
-"""Sources of the endpoint list: a watched file, or a server polled over HTTP. Each yields documents as they change."""
+"""Sources of the endpoint list: a watched file or a server polled over HTTP. Each yields every changed document."""
 
 from __future__ import annotations
 
@@ -14,12 +14,13 @@
 
 LIST_PATH = "/v1/list"
 LONG_POLL_S = 5.0
-"""For how long the server may hold its answer (RFC 7240, wait)."""
+"""How long the server may wait for a change before it answers (the `wait` preference of RFC 7240)."""
 TIMEOUT_S = 8.0
+"""Timeout of a connect, and of a request beyond the time of a long poll."""
 
 
 class FileRevision(NamedTuple):
-    """What changes when a file is replaced or written."""
+    """The attributes of a file of which at least one changes when the file is replaced or written."""
 
     inode: int
     modified_ns: int
@@ -27,7 +28,7 @@
 
 
 async def watch_file(path: Path, interval_s: float) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
-    """The file's content at first and whenever it was written again."""
+    """Yield the file's content at first and after each change, or an error when the file becomes unreadable."""
     last_revision: FileRevision | None = None
     last_error = ""
     while True:
@@ -48,7 +49,10 @@
 async def poll_server(
     address: tuple[str, int], interval_s: float, name: str
 ) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
-    """The server's list at first and whenever its etag changes. `name` tells the server who asks."""
+    """Yield the server's list at first and whenever its etag changes, or an error for each failed attempt.
+
+    `name` identifies this controller to the server.
+    """
     etag = ""
     while True:
         try:
@@ -65,12 +69,12 @@
                         etag = response.headers.get("etag", "")
                         yield response.body
                     elif response.status != HTTPStatus.NOT_MODIFIED:
-                        yield DiscoveryUnavailableError(f"discovery answers {response.status}")
+                        yield DiscoveryUnavailableError(f"discovery answered with status {response.status}")
                         break
                     if not etag:
                         await asyncio.sleep(interval_s)
         except TimeoutError:
-            yield DiscoveryUnavailableError("discovery does not answer in time")
+            yield DiscoveryUnavailableError("discovery did not answer before the timeout")
         except (OSError, HttpError) as error:
             yield DiscoveryUnavailableError(f"discovery can't be reached: {error}")
         await asyncio.sleep(interval_s)
--- a/onyxhead/controller/discovery_watch.py
+++ b/onyxhead/controller/discovery_watch.py
@@ -1,4 +1,4 @@
-"""Follows discovery: each new endpoint list goes to the core, under what operators say, and to the store."""
+"""Follows discovery: passes each new endpoint list, with operators' overrides applied, to the core and stores it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,11 @@
 
 
 class DiscoveryWatch:
-    """`endpoint_list` is the last good list as discovery gave it, `received_at` its wall time, 0.0 for never."""
+    """Reads endpoint lists from discovery, checks them and reports the changes to the core.
+
+    `endpoint_list` is the last accepted list, without overrides; `received_at` is the wall-clock time when it was
+    received, 0.0 if there is none.
+    """
 
     def __init__(self, settings: ControllerSettings, host: CoreHost, store: Store, overlay: EndpointOverlay) -> None:
         self.settings, self.host, self.store, self.overlay = settings, host, store, overlay
@@ -35,42 +39,42 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the list that is followed."""
+        """Return the version of the list in use, or None before the first one."""
         return self.follower.last.version if self.follower.last is not None else None
 
-    def restore(self, body: bytes, received_at: float) -> EndpointUpdate:
-        """Start from a stored list. Raises InvalidEndpointListError."""
-        self.endpoint_list = parse_endpoint_list(body)
-        update = self.follower.restore(self._overlaid(self.endpoint_list))
+    def restore(self, document: bytes, received_at: float) -> EndpointUpdate:
+        """Start from a stored list and pass it to the core. Raises InvalidEndpointListError."""
+        self.endpoint_list = parse_endpoint_list(document)
+        update = self.follower.restore(self._apply_overlay(self.endpoint_list))
         self.host.core.on_endpoint_update(self.host.now(), update)
         self.received_at = received_at
         return update
 
     def restart(self) -> None:
-        """Give the last list to a new core."""
+        """Pass the last accepted list to a new core."""
         self.follower = self._new_follower()
         if self.endpoint_list is not None:
             now = self.host.now()
-            self.host.core.on_endpoint_update(now, self.follower.restore(self._overlaid(self.endpoint_list)))
+            self.host.core.on_endpoint_update(now, self.follower.restore(self._apply_overlay(self.endpoint_list)))
 
     def refresh(self) -> None:
-        """Apply the last list again, under what operators say now."""
+        """Apply the last accepted list again after the configuration or the overrides have changed."""
         if self.endpoint_list is None:
             return
-        if (update := self.follower.update(self._overlaid(self.endpoint_list))) is not None:
+        if (update := self.follower.update(self._apply_overlay(self.endpoint_list))) is not None:
             self._apply(update)
 
     async def run(self) -> None:
-        """Follow discovery for ever."""
+        """Follow discovery until cancelled."""
         last_error, on_demand = "", self.settings.deployment.subscription_required
         if on_demand:
             await self.subscribed.wait()
-        async for body in self._bodies():
+        async for document_or_error in self._documents():
             try:
-                if isinstance(body, DiscoveryUnavailableError):
-                    raise body
-                endpoint_list = parse_endpoint_list(body)
-                update = self.follower.update(self._overlaid(endpoint_list))
+                if isinstance(document_or_error, DiscoveryUnavailableError):
+                    raise document_or_error
+                endpoint_list = parse_endpoint_list(document_or_error)
+                update = self.follower.update(self._apply_overlay(endpoint_list))
             except (DiscoveryUnavailableError, InvalidEndpointListError) as error:
                 if last_error != str(error):
                     last_error = str(error)
@@ -83,7 +87,7 @@
                 self._apply(update)
                 self.store.save_endpoint_list(endpoint_list.version, endpoint_list.encode())
 
-    def _bodies(self) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
+    def _documents(self) -> AsyncIterator[bytes | DiscoveryUnavailableError]:
         source = self.settings.discovery
         if source.file is not None:
             return discovery.watch_file(source.file, source.interval)
@@ -91,7 +95,7 @@
         return discovery.poll_server(source.server, source.interval, self.settings.name)
 
     async def _resubscribe(self) -> None:
-        """Leave discovery alone until the policy asks for it again."""
+        """Report the failed subscription and wait until the policy wants to subscribe again."""
         self.subscribed.clear()
         self.host.core.on_subscription_rejected(self.host.now())
         self.host.wake()
@@ -104,5 +108,5 @@
         log.info(log_events.ENDPOINT_LIST_UPDATED, watch_event=update.event.value, endpoints=len(update.endpoints))
         self.host.wake()
 
-    def _overlaid(self, endpoint_list: EndpointList) -> EndpointList:
+    def _apply_overlay(self, endpoint_list: EndpointList) -> EndpointList:
         return self.overlay.apply(endpoint_list, self.follower.last, self.host.core.endpoints)
--- a/onyxhead/controller/endpoint_list.py
+++ b/onyxhead/controller/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list of discovery: its document, and the changes from one list to the next. No I/O.
+"""The endpoint list of discovery: parses its document and computes the changes between two lists. No I/O.
 
-A document is JSON: {"version": 7, "backends": [{"id", "address", "zone", "kind", "state", "weight", "started"}]};
-`started` in seconds of the wall clock, `state` is "ready" or "draining".
+A document is JSON: {"version": 7, "backends": [{"id", "address", "zone", "kind", "state", "weight", "started"}]}.
+`started` is a time of the wall clock in seconds, `state` is "ready" or "draining".
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One backend as listed. `started` in seconds of the wall clock, 0 for long ago."""
+    """One backend in the list. `started` is a time of the wall clock in seconds, 0 if unknown."""
 
     id: str
     address: str
@@ -34,39 +34,43 @@
 
 
 class EndpointList(NamedTuple):
-    """All backends that discovery lists; a later list has a larger version."""
+    """All backends that discovery lists. The version grows with each new list."""
 
     version: int
     entries: tuple[EndpointEntry, ...]
 
     def encode(self) -> bytes:
-        """The document of this list."""
+        """Return this list as a JSON document."""
         backends = [entry._asdict() for entry in self.entries]
         return json.dumps({"version": self.version, "backends": backends}).encode()
 
 
 def parse_endpoint_list(body: bytes) -> EndpointList:
-    """The list in a document. Raises InvalidEndpointListError for one that is half written or contradicts itself."""
+    """Return the list in a document.
+
+    Raises InvalidEndpointListError if the document is incomplete, malformed or lists a backend or an address twice.
+    """
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
         raise InvalidEndpointListError(f"not JSON, perhaps half written: {error}") from None
     if not isinstance(document, dict) or type(document.get("version")) is not int:
-        raise InvalidEndpointListError("no list with a version")
+        raise InvalidEndpointListError("not an object with an integer version")
     backends = document.get("backends")
     if not isinstance(backends, list):
-        raise InvalidEndpointListError("backends is no list")
+        raise InvalidEndpointListError("backends is not a list")
     entries = tuple(_parse_entry(index, document) for index, document in enumerate(backends))
     _reject_duplicates("id", [entry.id for entry in entries])
     _reject_duplicates("address", [entry.address for entry in entries])
     return EndpointList(document["version"], entries)
 
 
-def _reject_duplicates(what: str, values: list[str]) -> None:
+def _reject_duplicates(field: str, values: list[str]) -> None:
     duplicates = sorted({each for each in values if values.count(each) > 1}) if len(set(values)) < len(values) else []
     if duplicates:
-        # Two entries for one process would get its share twice, and draining one would not stop the other.
-        raise InvalidEndpointListError(f"{what} {duplicates[0]!r} is listed twice")
+        # A process with two entries would get two shares of the requests, and would still get one share while the other
+        # entry is draining.
+        raise InvalidEndpointListError(f"{field} {duplicates[0]!r} is listed twice")
 
 
 def _parse_entry(index: int, document: Any) -> EndpointEntry:  # noqa: ANN401  decoded JSON
@@ -88,9 +92,9 @@
         started=field("started", float, 0.0),
     )
     if not entry.id or entry.state not in STATES:
-        raise InvalidEndpointListError(f"backend {index}: no id, or a state other than {' and '.join(STATES)}")
+        raise InvalidEndpointListError(f"backend {index}: the id is empty, or the state is not {' or '.join(STATES)}")
     if not 0 < entry.weight <= MAX_WEIGHT or not 0 <= entry.started < MAX_STARTED_S:
-        raise InvalidEndpointListError(f"backend {entry.id}: weight or start out of range")
+        raise InvalidEndpointListError(f"backend {entry.id}: weight or started is out of range")
     try:
         parse_address(entry.address)
     except MalformedViewError as error:
@@ -99,7 +103,7 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """What a list changes: endpoints for the policy, all addresses, and warnings for the log."""
+    """The change that a list makes: endpoints for the policy, the addresses of all backends, warnings for the log."""
 
     event: WatchEvent
     endpoints: list[Endpoint]
@@ -108,9 +112,10 @@
 
 
 class EndpointListFollower:
-    """Keeps the last good list and tells what the next one changes.
+    """Keeps the last accepted list and computes the change that the next one makes.
 
-    `from_wall_time` converts seconds of the wall clock to ticks, `now` is the present in ticks.
+    `from_wall_time` converts seconds of the wall clock to ticks; `now` returns the current time in ticks. `kinds` maps
+    each kind of backend to a number, in the order in which they were first listed.
     """
 
     def __init__(self, zones: tuple[str, ...], from_wall_time: Callable[[float], int], now: Callable[[], int]) -> None:
@@ -119,15 +124,15 @@
         self.kinds: dict[str, int] = {}
 
     def restore(self, endpoint_list: EndpointList) -> EndpointUpdate:
-        """Start from a list that was stored earlier."""
+        """Start from a stored list and return its endpoints."""
         self.last = endpoint_list
         endpoints, warnings = self._endpoints(endpoint_list.entries)
         return EndpointUpdate(WatchEvent.CACHED, endpoints, _addresses(endpoint_list.entries), warnings)
 
     def update(self, endpoint_list: EndpointList) -> EndpointUpdate | None:
-        """The change that a new list makes; None if there is none.
+        """Return the change that a new list makes, or None if it equals the last one.
 
-        Raises InvalidEndpointListError for one that is older than the last, or empty.
+        Raises InvalidEndpointListError if the list is older than the last one, or empty while the last one was not.
         """
         self._check(endpoint_list)
         if self.last == endpoint_list:
@@ -139,8 +144,8 @@
         just_started = set() if is_first else {e.id for e in changed if _has_just_started(before.get(e.id), e)}
         endpoints, warnings = self._endpoints(endpoint_list.entries if is_first else changed)
         endpoints = [e._replace(started_at=self.now()) if e.backend in just_started else e for e in endpoints]
-        gone, more_warnings = self._endpoints(sorted(removed))
-        endpoints += [endpoint._replace(ready=False, draining=False) for endpoint in gone]
+        removed_endpoints, more_warnings = self._endpoints(sorted(removed))
+        endpoints += [endpoint._replace(ready=False, draining=False) for endpoint in removed_endpoints]
         event = WatchEvent.SNAPSHOT if is_first else WatchEvent.DELTA
         return EndpointUpdate(event, endpoints, _addresses(endpoint_list.entries), warnings + more_warnings)
 
@@ -150,15 +155,17 @@
         if endpoint_list.version < self.last.version:
             raise InvalidEndpointListError(f"version {endpoint_list.version} is older than {self.last.version}")
         if not endpoint_list.entries and self.last.entries:
-            # An empty list is what a failing writer leaves; following it would take all backends away.
+            # An empty list is usually the result of a failed write; accepting it would withdraw all backends.
             raise InvalidEndpointListError(f"the list shrank from {len(self.last.entries)} backends to none")
 
     def _endpoints(self, entries: Iterable[EndpointEntry]) -> tuple[list[Endpoint], list[str]]:
-        """The policy's endpoints for some entries, and warnings of those that are left out."""
+        """Return the policy's endpoints for entries, and a warning for each entry that is ignored."""
         endpoints, warnings = [], []
         for entry in entries:
             if entry.zone not in self.zones:
-                warnings.append(f"backend {entry.id}: zone {entry.zone!r} is not in the settings; left out")
+                warnings.append(
+                    f"backend {entry.id}: zone {entry.zone!r} is not in the settings; the backend is ignored"
+                )
                 continue
             kind = self.kinds.setdefault(entry.kind, len(self.kinds))
             started_at = self.from_wall_time(entry.started) if entry.started else 0
@@ -168,11 +175,13 @@
 
 
 def _has_just_started(before: EndpointEntry | None, entry: EndpointEntry) -> bool:
-    """Whether to assume that an entry without a start time started now: it was not in use at this address before.
+    """Return whether to assume that a ready entry without a start time has just started.
 
-    One that has just started bears little load."""
-    known = before is not None and before.state == READY and before.address == entry.address
-    return entry.state == READY and not entry.started and not known
+    This is so unless the backend was ready at the same address before. Too low an age is the safe assumption, as a
+    backend that has just started can bear little load.
+    """
+    was_ready = before is not None and before.state == READY and before.address == entry.address
+    return entry.state == READY and not entry.started and not was_ready
 
 
 def _addresses(entries: Iterable[EndpointEntry]) -> dict[str, EndpointAddress]:
--- a/onyxhead/controller/endpoint_overlay.py
+++ b/onyxhead/controller/endpoint_overlay.py
@@ -1,4 +1,4 @@
-"""What the configuration and the operators say of backends, laid over discovery's endpoint list. No I/O."""
+"""Applies the configuration and the operators' drains and cordons to the endpoint list of discovery. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EndpointOverlay:
-    """`tree` is the configuration in effect, `overrides` are the drains and cordons by command."""
+    """Holds the configuration in effect (`tree`) and the operators' drains and cordons (`overrides`)."""
 
     def __init__(self, tree: Tree, overrides: BackendOverrides) -> None:
         self.tree, self.overrides = tree, overrides
@@ -20,8 +20,11 @@
     def apply(
         self, endpoint_list: EndpointList, last: EndpointList | None, endpoints: Mapping[str, Endpoint]
     ) -> EndpointList:
-        """The list to follow. `last` is the one followed now and `endpoints` are what the policy knows of it: a cordon
-        does not drain a backend that serves."""
+        """Return discovery's list with the configuration and the overrides applied.
+
+        `last` is the previous result and `endpoints` are the policy's endpoints of it. They tell which backends serve
+        now: a cordon does not drain these.
+        """
         configured = overlaid(endpoint_list, self.tree)
         in_use = last.entries if last is not None else ()
         serving = {e.id: e.started for e in in_use if e.id in endpoints and endpoints[e.id].ready}
--- a/onyxhead/controller/health_check.py
+++ b/onyxhead/controller/health_check.py
@@ -1,4 +1,4 @@
-"""Active health checks: one HTTP request to a backend, and the load report in the header of its answer."""
+"""Active health checks: sends one HTTP request to a backend and reads the load report in the response header."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from onyxhead.time_units import TICKS_PER_MILLISECOND
 
 LOAD_HEADER = "endpoint-load-metrics"
-"""The header of a load report in the ORCA format, as JSON or as text."""
+"""The response header with a load report in the ORCA format, as JSON or as text."""
 UTILIZATION_METRIC, LATENCY_METRIC = "cpu_utilization", "latency_ms"
 NAMED_METRICS_PREFIX = "named_metrics."
 MAX_UTILIZATION = 1.5
-"""A larger value is no utilization; one above 1 is taken as 1."""
+"""Values above 1 and up to this limit count as 1; larger ones are ignored as invalid."""
 MAX_LATENCY_MS = 600_000.0
 
 
 class HealthCheckOutcome(NamedTuple):
-    """The result of a health check, and what the backend reported of its load."""
+    """The result of a health check and the load that the backend reported with it."""
 
     result: HealthCheckResult
     load: LoadReport
 
 
 async def check_health(address: str, path: str, timeout: float) -> HealthCheckOutcome:
-    """Check a backend once; `timeout` in seconds."""
+    """Check a backend once and return the outcome. `timeout` is in seconds."""
     try:
         response = await request_health(parse_address(address), path, timeout, MAX_BODY_BYTES)
     except HealthCheckFailedError as error:
@@ -42,10 +42,10 @@
 
 
 def parse_load_header(headers: Mapping[str, str]) -> dict[str, float]:
-    """The finite metrics of a load report header; empty if there is none or it can't be read."""
-    form, _, text = headers.get(LOAD_HEADER, "").partition(" ")
+    """Return the finite metrics of a load report header; none if the header is missing or malformed."""
+    report_format, _, text = headers.get(LOAD_HEADER, "").partition(" ")
     metrics = {}
-    for name, value in _metrics(form.upper(), text):
+    for name, value in _metrics(report_format.upper(), text):
         try:
             number = float(value) if isinstance(value, int | float | str) else math.nan
         except (ValueError, OverflowError):
@@ -55,10 +55,10 @@
     return metrics
 
 
-def _metrics(form: str, text: str) -> list[tuple[str, object]]:
-    if form == "TEXT":
+def _metrics(report_format: str, text: str) -> list[tuple[str, object]]:
+    if report_format == "TEXT":
         return [(name.strip(), value) for name, _, value in (each.partition("=") for each in text.split(","))]
-    if form != "JSON":
+    if report_format != "JSON":
         return []
     try:
         document = json.loads(text)
@@ -71,13 +71,13 @@
 
 
 def reported_utilization(metrics: Mapping[str, float]) -> float | None:
-    """The share of its cores that a backend reports in use, at most 1; None if it reports none or no possible one."""
+    """Return the share of its cores in use that a backend reports, at most 1; None if it is missing or invalid."""
     utilization = metrics.get(UTILIZATION_METRIC)
     return min(1.0, utilization) if utilization is not None and 0 <= utilization <= MAX_UTILIZATION else None
 
 
 def reported_latency(metrics: Mapping[str, float]) -> int | None:
-    """The recent latency of a backend's answers in ticks; None if it reports none or no possible one."""
+    """Return the recent response latency that a backend reports, in ticks; None if it is missing or invalid."""
     milliseconds = metrics.get(LATENCY_METRIC)
     if milliseconds is None or not 0 < milliseconds <= MAX_LATENCY_MS:
         return None
--- a/onyxhead/controller/join_handler.py
+++ b/onyxhead/controller/join_handler.py
@@ -1,4 +1,4 @@
-"""Proxies' requests to join: checked, sent to the controller that should serve them, or accepted."""
+"""Handles proxies' requests to join: accepts, rejects or redirects them to the controller that should serve them."""
 
 from __future__ import annotations
 
@@ -21,31 +21,34 @@
 
 MAX_HEARTBEAT_S, MIN_HEARTBEAT_S = 1.0, 0.05
 HEARTBEATS_PER_SILENCE = 3
-"""The agent gives a stream up after a silence; so many heartbeats fit into it."""
+"""Heartbeats that are sent within the silence after which the agent gives a stream up."""
 MAX_BASELINE_RATE = 1e9
 STREAM_TOKEN_BYTES = 8
 
 
 class Owners(Protocol):
-    """Tells which controller of a fleet should serve a proxy."""
+    """The part of a fleet that knows which controller should serve a proxy."""
 
     def better_owner(self, proxy: str, zone: str) -> str | None:
-        """The name of the controller that should serve the proxy in place of this one."""
+        """Return the controller that should serve the proxy in place of this one, or None if this one should."""
 
 
 class ParsedJoin(NamedTuple):
-    """A join request as it came in."""
+    """A parsed join request whose values are not checked yet. `address` is where the agent accepts its stream."""
 
     request: JoinRequest
     address: tuple[str, int]
     fencing_token: Any
     heartbeat_s: float
     insists: bool
-    """Whether the proxy wants to join here even if another controller should serve it."""
+    """Whether the proxy wants to join this controller even if another one should serve it."""
 
 
 class JoinHandler:
-    """`owners` is None for a controller that is alone."""
+    """Answers join requests and opens the streams of accepted proxies.
+
+    `owners` is None for a controller that runs without a fleet.
+    """
 
     def __init__(
         self, settings: ControllerSettings, host: CoreHost, streams: ProxyStreams, owners: Owners | None
@@ -53,13 +56,13 @@
         self.settings, self.host, self.streams, self.owners = settings, host, streams, owners
 
     def handle(self, name: str, request: Request) -> Response:
-        """The response to a proxy's join; if it is accepted, a stream to its agent is opened."""
+        """Return the response to a proxy's join request; if it is accepted, open a stream to the proxy's agent."""
         try:
             join = _parse(name, request)
         except (ValueError, KeyError, TypeError, MalformedViewError) as error:
-            return problem_response(HTTPStatus.BAD_REQUEST, f"not a join: {error}")
-        if (refusal := self._check(join)) is not None:
-            return refusal
+            return problem_response(HTTPStatus.BAD_REQUEST, f"malformed join request: {error}")
+        if (rejection := self._check(join)) is not None:
+            return rejection
         try:
             self.host.core.proxy_number(name)
             fencing_token = next_token(join.fencing_token)
@@ -76,12 +79,12 @@
         return json_response(HTTPStatus.OK, accepted)
 
     def _check(self, join: ParsedJoin) -> Response | None:
-        """The response to a join that is not accepted."""
+        """Return the response to a join request that can't be accepted here and now, or None if it can."""
         request, token = join.request, join.fencing_token
         if request.zone not in self.settings.zones:
             return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, f"zone {request.zone!r} is not served here")
         if not 0 <= request.baseline_rate < MAX_BASELINE_RATE or type(token) is not int or token < 0:
-            return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, "usual flows or token out of range")
+            return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, "usual or token is out of range")
         if self.owners is not None and not join.insists:
             better = self.owners.better_owner(request.name, request.zone)
             if better is not None:
@@ -94,7 +97,7 @@
 
 
 def _parse(name: str, request: Request) -> ParsedJoin:
-    """Raises ValueError, KeyError, TypeError, MalformedViewError."""
+    """Parse a join request. Raises ValueError, KeyError, TypeError and MalformedViewError."""
     body = request.json()
     view = View.from_document(body["held"])
     proxy = JoinRequest(name, body["zone"], float(body["usual"]), bool(body["standing"]), view)
--- a/onyxhead/controller/load_stats.py
+++ b/onyxhead/controller/load_stats.py
@@ -1,7 +1,7 @@
 """Decodes a proxy's load report into request statistics.
 
-The form is the JSON mapping of Envoy's `LoadStatsRequest`: for each cluster, which is a traffic group here, and each
-endpoint, requests that succeeded and failed, with named metrics.
+The format is the JSON mapping of Envoy's `LoadStatsRequest`. A cluster stands for a traffic group. Each of its
+endpoints has the numbers of successful and failed requests, and named metrics.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 MAX_COUNT = 10_000_000
 MAX_INTERVAL_S = 3600
 MAX_UTILIZATION = 1.5
-"""A larger value is no utilization; one above 1 is taken as 1."""
+"""Values above 1 and up to this limit count as 1; larger ones are ignored as invalid."""
 LATENCY_METRIC, UTILIZATION_METRIC, REQUESTS_METRIC = "latency_ms", "cpu_utilization", "flows"
 
 
 def parse_load_stats(document: Any) -> RequestStatistics:  # noqa: ANN401  decoded JSON
-    """The statistics in a load report. Metrics without a plain number are left out.
+    """Return the statistics in a load report. Metrics whose value is not a valid number are ignored.
 
     Raises InvalidStatisticsError.
     """
     backends: dict[str, BackendStatistics] = {}
-    requests: dict[str, RequestCount] = {}
+    request_counts: dict[str, RequestCount] = {}
     if not isinstance(document, dict):
-        raise InvalidStatisticsError("no load report")
+        raise InvalidStatisticsError("the load report is not an object")
     for cluster in _objects(document, "cluster_stats"):
         name, interval = cluster.get("cluster_name"), _interval(cluster.get("load_report_interval"))
         if not isinstance(name, str):
-            raise InvalidStatisticsError("a cluster with no name")
+            raise InvalidStatisticsError("a cluster has no cluster_name")
         count = _count(cluster.get("total_dropped_requests", 0))
         for locality in _objects(cluster, "upstream_locality_stats"):
             for endpoint in _objects(locality, "upstream_endpoint_stats"):
@@ -41,16 +41,16 @@
         for metric in _objects(cluster, "load_metric_stats"):
             if metric.get("metric_name") == REQUESTS_METRIC:
                 count = _count(metric.get("num_requests_finished_with_metric"))
-        known = requests.get(name)
-        requests[name] = RequestCount((known.requests if known else 0) + count, interval)
-    return RequestStatistics(backends, requests)
+        previous = request_counts.get(name)
+        request_counts[name] = RequestCount((previous.requests if previous else 0) + count, interval)
+    return RequestStatistics(backends, request_counts)
 
 
 def _endpoint(endpoint: dict[str, Any], interval: int) -> tuple[str, BackendStatistics]:
     address = endpoint.get("address")
     socket = address.get("socket_address") if isinstance(address, dict) else None
     if not isinstance(socket, dict):
-        raise InvalidStatisticsError("an endpoint with no address")
+        raise InvalidStatisticsError("an endpoint has no socket_address")
     successes = _count(endpoint.get("total_successful_requests", 0))
     failures = _count(endpoint.get("total_error_requests", 0))
     latency_sum, utilization = 0.0, None
@@ -67,27 +67,27 @@
 
 
 def _objects(document: dict[str, Any], name: str) -> list[dict[str, Any]]:
-    found = document.get(name, [])
-    if not isinstance(found, list) or not all(isinstance(each, dict) for each in found):
-        raise InvalidStatisticsError(f"{name} is no list of objects")
-    return found
+    objects = document.get(name, [])
+    if not isinstance(objects, list) or not all(isinstance(each, dict) for each in objects):
+        raise InvalidStatisticsError(f"{name} is not a list of objects")
+    return objects
 
 
 def _count(value: object) -> int:
-    # The JSON mapping of a 64-bit count is a string; a plain number is accepted as well.
+    # The JSON mapping of protocol buffers writes 64-bit integers as strings; plain numbers are accepted as well.
     if isinstance(value, str) and value.isascii() and value.isdigit():
         value = int(value)
     if type(value) is not int or not 0 <= value <= MAX_COUNT:
-        raise InvalidStatisticsError(f"{value!r} is no count")
+        raise InvalidStatisticsError(f"{value!r} is not a count from 0 to {MAX_COUNT}")
     return value
 
 
 def _interval(value: object) -> int:
-    """The ticks of a duration such as "1.002s"."""
+    """Return the ticks of a duration such as "1.002s"."""
     try:
         seconds = float(value.removesuffix("s")) if isinstance(value, str) else math.nan
     except ValueError:
         seconds = math.nan
     if not 0 < seconds < MAX_INTERVAL_S:
-        raise InvalidStatisticsError(f"{value!r} is no span")
+        raise InvalidStatisticsError(f"{value!r} is not a duration between 0s and {MAX_INTERVAL_S}s")
     return max(1, round(seconds * TICKS_PER_SECOND))
--- a/onyxhead/controller/recovery.py
+++ b/onyxhead/controller/recovery.py
@@ -1,4 +1,4 @@
-"""Restores what an earlier incarnation stored: the versions of the tables, the endpoint list and the withdrawals."""
+"""Restores the state of an earlier incarnation from the store: table versions, endpoint list and withdrawals."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 from onyxhead.tables.history import History
 from onyxhead.time_units import TICKS_PER_SECOND
 
-MIN_WITHDRAWAL_AGE_S = 60.0
-DRAIN_GRACES = 10
-"""Withdrawals of so many drain graces ago are no longer restored: no proxy holds the backend any more."""
+MIN_RESTORED_AGE_S = 60.0
+"""Withdrawals up to this age are always restored."""
+RESTORED_DRAIN_GRACES = 10
+"""Older withdrawals are restored up to this many drain graces; after that no proxy holds the backend any more."""
 
 log = structlog.get_logger()
 
 
 def recover_history(store: Store) -> History:
-    """The versions of the tables with their labels."""
+    """Return the stored table versions with their labels."""
     history = History()
     history.restore(store.load_versions())
     labels = store.get(TABLE_LABELS) or {}
@@ -33,7 +34,7 @@
 
 
 def restore_endpoints(settings: ControllerSettings, store: Store, host: CoreHost, watch: DiscoveryWatch) -> None:
-    """Start with the stored endpoint list, if there is a recent one, and with the backends withdrawn of late."""
+    """Start from the stored endpoint list, if it is recent, and withdraw again the backends withdrawn recently."""
     recovered = store.recovered
     for warning in store.warnings:
         log.warning(log_events.STORE_WARNING, warning=warning)
@@ -42,7 +43,8 @@
         return
     age_s = time.time() - recovered.list_received_at
     if not 0 <= age_s <= settings.endpoint_list_max_age:
-        # A wall clock set back makes an old list look recent or from the future; neither can be trusted.
+        # A wall clock that was set back makes a stored list look younger than it is, or as if from the future. With a
+        # negative age its real age is unknown, so the list is ignored like one that is too old.
         log.warning(
             log_events.STORED_ENDPOINT_LIST_IGNORED, age_s=round(age_s), good_for_s=settings.endpoint_list_max_age
         )
@@ -52,8 +54,12 @@
     except InvalidEndpointListError as error:
         log.warning(log_events.STORED_ENDPOINT_LIST_IGNORED, error=str(error))
         return
-    max_age_s = max(MIN_WITHDRAWAL_AGE_S, DRAIN_GRACES * settings.deployment.safety.drain_grace / TICKS_PER_SECOND)
-    withdrawn = sorted(name for name, at in recovered.withdrawn_at.items() if time.time() - at < max_age_s)
+    max_age_s = max(
+        MIN_RESTORED_AGE_S, RESTORED_DRAIN_GRACES * settings.deployment.safety.drain_grace / TICKS_PER_SECOND
+    )
+    withdrawn = sorted(
+        name for name, withdrawn_at in recovered.withdrawn_at.items() if time.time() - withdrawn_at < max_age_s
+    )
     host.core.restore_withdrawals(host.now(), withdrawn)
     log.info(
         log_events.ENDPOINT_LIST_RESTORED,
--- a/onyxhead/controller/request_statistics.py
+++ b/onyxhead/controller/request_statistics.py
@@ -1,4 +1,4 @@
-"""Request statistics of proxies: duplicates are dropped, the rest is summed by zone and backend. No I/O."""
+"""Request statistics of proxies: drops duplicate reports and sums the others by zone and backend. No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class BackendStatistics(NamedTuple):
-    """Attempts at one backend. `latency_sum` over the successful ones and `window`, both in ticks."""
+    """Counts of attempts at one backend during a window.
+
+    `latency_sum` is the sum of the latencies of successful attempts. It and `window` are in ticks.
+    """
 
     attempts: int = 0
     failures: int = 0
@@ -20,12 +23,12 @@
 
     @property
     def mean_latency(self) -> int:
-        """Mean latency of the successful attempts in ticks; 0 if there were none."""
+        """Return the mean latency of the successful attempts in ticks, 0 if there were none."""
         successes = self.attempts - self.failures
         return round(self.latency_sum / successes) if successes > 0 else 0
 
     def plus(self, other: BackendStatistics) -> BackendStatistics:
-        """The statistics of both; the utilization is the later one."""
+        """Return the sum of both; the utilization is that of `other`, if it has one."""
         return BackendStatistics(
             self.attempts + other.attempts,
             self.failures + other.failures,
@@ -36,7 +39,7 @@
 
 
 class RequestCount(NamedTuple):
-    """Requests that came in during a window, in ticks."""
+    """The number of requests during a window, which is in ticks."""
 
     requests: int
     window: int
@@ -58,7 +61,7 @@
 
 
 class GroupRequestCount(NamedTuple):
-    """Requests of one traffic group that came to one proxy during a window, in ticks."""
+    """The number of requests of one traffic group at one proxy during a window, which is in ticks."""
 
     proxy: int
     group: int
@@ -67,17 +70,24 @@
 
 
 class DuplicateFilter:
-    """Accepts each report of a proxy once: a repeated or far too old one would be counted twice."""
+    """Accepts each report of a proxy once.
+
+    Reports may arrive in any order. A report that is much older than the latest one may be a duplicate whose number is
+    no longer remembered, so it is rejected too.
+    """
 
     def __init__(self) -> None:
-        self.seen: dict[str, OrderedDict[int, None]] = {}
+        self.seen_numbers: dict[str, OrderedDict[int, None]] = {}
         self.boots: dict[str, str] = {}
 
     def is_new(self, name: str, boot: str, number: int) -> bool:
-        """Whether the report with this number is the first one of this start (`boot`) of the proxy's agent."""
+        """Return whether a report is new, and remember its number.
+
+        Reports are numbered anew with each start of the proxy's agent, which `boot` identifies.
+        """
         if self.boots.get(name) != boot:
-            self.boots[name], self.seen[name] = boot, OrderedDict()
-        seen = self.seen[name]
+            self.boots[name], self.seen_numbers[name] = boot, OrderedDict()
+        seen = self.seen_numbers[name]
         if number in seen or (seen and number < max(seen) - MAX_REMEMBERED_REPORTS):
             return False
         seen[number] = None
@@ -87,13 +97,13 @@
 
 
 class StatisticsAggregator:
-    """Sums of the statistics that came in since they were last drained."""
+    """Sums the statistics that were reported since the sums were last drained."""
 
     def __init__(self) -> None:
         self.backends: dict[tuple[int, str], BackendStatistics] = {}
         self.request_counts: dict[tuple[int, int], RequestCount] = {}
         self.unknown_attempts = 0
-        """Attempts at addresses of no known backend: the backend is gone, or was never one of this fleet."""
+        """Attempts at addresses of unknown backends: they were removed from the list, or never belonged to it."""
 
     def add(
         self,
@@ -103,7 +113,7 @@
         backend_by_address: Mapping[str, str],
         group_numbers: Mapping[str, int],
     ) -> None:
-        """Add the report of a proxy in a zone."""
+        """Add a proxy's report to the sums of its zone and of the proxy."""
         for address, statistics in report.backends.items():
             if (backend := backend_by_address.get(address)) is None:
                 self.unknown_attempts += statistics.attempts
@@ -112,8 +122,8 @@
                 self.backends[key] = self.backends.get(key, BackendStatistics()).plus(statistics)
         for name, (requests, window) in report.request_counts.items():
             if name in group_numbers:
-                before = self.request_counts.get((proxy, group_numbers[name]), RequestCount(0, 0))
-                total = RequestCount(before.requests + requests, before.window + window)
+                previous = self.request_counts.get((proxy, group_numbers[name]), RequestCount(0, 0))
+                total = RequestCount(previous.requests + requests, previous.window + window)
                 self.request_counts[proxy, group_numbers[name]] = total
 
     def drain_backends(self) -> list[ZoneBackendStatistics]:
--- a/onyxhead/controller/statistics_feed.py
+++ b/onyxhead/controller/statistics_feed.py
@@ -1,4 +1,4 @@
-"""Feeds the request statistics of proxies to the policy and the load estimator, once per report interval. No I/O."""
+"""Passes the request statistics of proxies to the policy and the load estimator, once per report interval. No I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StatisticsFeed:
-    """Collects reports in `pending` until the next one is due at `report_at`. Times in ticks."""
+    """Collects the reports of proxies in `pending` and passes their sums on at `report_at`. Times are in ticks."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self.pending = StatisticsAggregator()
 
     def report_if_due(self, now: int) -> None:
-        """Report what has come in, if the interval is over."""
+        """Pass the collected statistics on if the report interval is over."""
         if now < self.report_at:
             return
         self.report_at = now + self.report_interval
@@ -46,15 +46,16 @@
         for count in request_counts:
             self._report_requests(now, count)
 
-    def _report_attempts(self, now: int, of_zone: ZoneBackendStatistics) -> None:
-        zone, backend, total = of_zone
+    def _report_attempts(self, now: int, zone_statistics: ZoneBackendStatistics) -> None:
+        zone, backend, total = zone_statistics
         window = total.window or self.report_interval
         latency_ms = total.mean_latency / TICKS_PER_MILLISECOND
         self.load_estimator.on_attempts(
             now, backend, total.attempts, total.failures, latency_ms, window, age=window // 2
         )
         load = LoadReport(total.utilization)
-        # A recent report that agrees with what proxies observe tells more than the header of the last answer.
+        # The estimate comes from recent load reports that agree with what proxies observe. It is more reliable than the
+        # utilization in the statistics, which comes from the header of the backend's last response to the proxy.
         if (utilization := self.load_estimator.utilization(now, backend)) is not None:
             load = load._replace(utilization=utilization)
         if (latency := self.load_estimator.response_time(now, backend)) is not None:
