--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -59,8 +59,8 @@
 
     def __init__(self, backends: int = 6, proxies: int = 0, seed: int = 1, **channel: float) -> None:
         self.now, self.random = 1000 * SECOND, random.Random(seed)
-        self.start = deployment(**channel)
-        self.core = ControllerCore(self.start, GROUPS, ZONES, seed, 1, 2 * SECOND, self.now)
+        self.deployment = deployment(**channel)
+        self.core = ControllerCore(self.deployment, GROUPS, ZONES, seed, 1, 2 * SECOND, self.now)
         self.follower = EndpointListFollower(ZONES, lambda s: min(self.now, int(s * SECOND)), lambda: self.now)
         self.entries = {f"b{n}": entry(f"b{n}") for n in range(backends)}
         self.replicas: dict[str, TableReplica] = {}
@@ -77,7 +77,7 @@
         if update is not None:
             self.core.on_endpoint_update(self.now, update)
 
-    def set(self, name: str, state: str) -> None:
+    def set_state(self, name: str, state: str) -> None:
         if state == "gone":
             self.entries.pop(name, None)
         else:
@@ -100,15 +100,15 @@
         self.effects.append(effects)
         self.peak_queued_lines = max(self.peak_queued_lines, self.core.delivery_queue.queued_lines)
         for message in effects.deliveries:
-            if self.name(message) not in self.stalled:
+            if self.proxy_name(message) not in self.stalled:
                 self.deliver(message)
         return effects
 
-    def name(self, sent: QueuedMessage[ProxyUpdate]) -> str:
+    def proxy_name(self, sent: QueuedMessage[ProxyUpdate]) -> str:
         return next(name for name, number in self.core.proxy_numbers.items() if number == sent.proxy)
 
     def deliver(self, sent: QueuedMessage[ProxyUpdate]) -> None:
-        name = self.name(sent)
+        name = self.proxy_name(sent)
         replica = self.replicas[name]
         self.core.delivery_queue.on_written(sent.proxy)
         taken = replica.check_update(request_of(sent.message, name, sent.queued_at))
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -32,7 +32,7 @@
 def test_a_canary_reaches_its_share_of_the_proxies_only() -> None:
     rig, name, others = rig_with_canary()
     assert rig.lines(name)["b1"] == FULL and all(rig.lines(other)["b1"] == 1000 for other in others)
-    rig.set("b4", "draining")
+    rig.set_state("b4", "draining")
     rig.run(1)
     assert all("b4" not in rig.lines(each) for each in rig.replicas)
     rig.disconnect(name)
--- a/tests/test_controller_core.py
+++ b/tests/test_controller_core.py
@@ -25,7 +25,7 @@
         rig.replicas[f"p{number}"] = TableReplica(View.from_entries({("standing", "b3"): line("b3")}))
         rig.join(f"p{number}")
     rig.run(0.1)
-    rig.set("b3", "draining")
+    rig.set_state("b3", "draining")
     rig.run(2.0)
     assert all("b3" not in rig.lines(name) for name in rig.replicas)
     assert rig.peak_queued_lines <= 4000
@@ -35,7 +35,7 @@
     rig = Rig(proxies=3)
     rig.run(2)
     rig.stalled.add("p0")
-    rig.set("b2", "draining")
+    rig.set_state("b2", "draining")
     rig.step()
     rig.disconnect("p0")
     rig.stalled.clear()
@@ -48,8 +48,8 @@
     rig = Rig(proxies=2)
     rig.run(2)
     rig.stalled.add("p0")
-    rig.set("b2", "draining")
-    sent = [each for _ in range(20) for each in rig.step().deliveries if rig.name(each) == "p0"]
+    rig.set_state("b2", "draining")
+    sent = [each for _ in range(20) for each in rig.step().deliveries if rig.proxy_name(each) == "p0"]
     taken = rig.replicas["p0"].check_update(request_of(sent[0].message, "p0", sent[0].queued_at))
     assert isinstance(taken, AcceptedUpdate)
     rig.replicas["p0"].commit(taken)
@@ -76,12 +76,12 @@
     for name in second.replicas:
         second.join(name)
     for number in range(10):
-        second.set(f"b{number}", "draining")
-    grace = second.start.safety.drain_grace / SECOND
+        second.set_state(f"b{number}", "draining")
+    grace = second.deployment.safety.drain_grace / SECOND
     second.run(after)
     # The second wave comes in the middle of the storm, behind the tables of those that join.
     for number in range(10, 15):
-        second.set(f"b{number}", "draining")
+        second.set_state(f"b{number}", "draining")
     second.run(max(0.0, grace - after - 0.05))
     late = {name for name in second.replicas if set(second.lines(name)) & {f"b{n}" for n in range(10)}}
     assert not late and second.peak_queued_lines <= 2100
@@ -98,10 +98,10 @@
     rig = Rig(backends=30, proxies=3)
     rig.run(2)
     rig.disconnect("p0")
-    rig.set("b7", "draining")
+    rig.set_state("b7", "draining")
     rig.run(2)
     rig.join("p0")
-    sent = [each for _ in range(100) for each in rig.step().deliveries if rig.name(each) == "p0"]
+    sent = [each for _ in range(100) for each in rig.step().deliveries if rig.proxy_name(each) == "p0"]
     assert 0 < sum(each.lines for each in sent) < 30
     assert rig.lines("p0") == rig.lines("p1") and len(rig.lines("p0")) == 29
     assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.replicas["p0"].view.etag
@@ -111,7 +111,7 @@
     rig = Rig(proxies=4)
     rig.run(2)
     rig.stalled.add("p1")
-    rig.set("b4", "draining")
+    rig.set_state("b4", "draining")
     rig.run(0.5)
     assert all("b4" not in rig.lines(name) for name in ("p0", "p2", "p3"))
     rig.run(3)
@@ -123,7 +123,7 @@
     rig = Rig(proxies=2)
     rig.run(2)
     rig.replicas["p0"].view = rig.replicas["p0"].view.with_entry(("withdrawn", "b1"), True)
-    rig.set("b5", "draining")
+    rig.set_state("b5", "draining")
     rig.run(1)
     assert rig.core.proxy_number("p0") not in rig.core.joined
     rig.join("p0")
@@ -183,7 +183,7 @@
         elif luck < 0.9:
             up = [b for b, e in rig.entries.items() if e.state == "ready"]
             backend = f"b{rig.random.randrange(8)}"
-            rig.set(backend, "ready" if len(up) < 4 else rig.random.choice(["ready", "draining", "gone"]))
+            rig.set_state(backend, "ready" if len(up) < 4 else rig.random.choice(["ready", "draining", "gone"]))
         rig.run(rig.random.uniform(0.01, 0.6))
     rig.stalled.clear()
     for name in rig.replicas:
@@ -193,13 +193,13 @@
     for name, replica in rig.replicas.items():
         assert replica.view.etag == rig.core.proxy_tables.views[rig.core.proxy_number(name)].etag
         assert set(rig.lines(name)) == up
-    assert rig.peak_queued_lines <= rig.start.channel.max_queued_lines
+    assert rig.peak_queued_lines <= rig.deployment.channel.max_queued_lines
 
 
 def test_withdrawal_is_sent_once_and_only_to_proxies_that_may_hold_the_backend() -> None:
     rig = Rig(backends=6, proxies=4)
     rig.run(3)
-    rig.set("b2", "draining")
+    rig.set_state("b2", "draining")
     rig.run(3)
     assert all(("withdrawn", "b2") in replica.view.entries for replica in rig.replicas.values())
     before = {name: replica.view.etag for name, replica in rig.replicas.items()}
--- a/tests/test_rollback.py
+++ b/tests/test_rollback.py
@@ -57,7 +57,7 @@
     assert all(rig.lines(name) == {f"b{n}": FULL for n in range(6)} for name in rig.replicas)
     with pytest.raises(RollbackRejectedError, match="already"):
         roll_back(rig)
-    rig.set("b3", "draining")
+    rig.set_state("b3", "draining")
     rig.run(1)
     assert all(set(rig.lines(name)) == {"b0", "b1", "b2", "b4", "b5"} for name in rig.replicas)
     assert rig.core.versions.release("test") and not rig.core.versions.release("again")
@@ -68,7 +68,7 @@
 def test_pinned_tables_let_new_endpoints_in_by_slow_start_and_are_released_in_time() -> None:
     rig = rig_with_wrong_table()
     roll_back(rig, seconds=5.0)
-    rig.set("b7", "ready")
+    rig.set_state("b7", "ready")
     rig.run(3)
     assert 0 < rig.lines("p0")["b7"] <= FULL // 3 and rig.lines("p0")["b1"] == FULL
     rig.run(4)
@@ -111,7 +111,7 @@
     assert rig.core.versions.freeze(rig.now, 60.0) == rig.core.versions.history.latest.number
     for message in rig.core.proxy_tables.apply_decisions(0, [TableChange(0, (("b1", 0.001),))]):
         rig.core._enqueue(rig.now, message)
-    rig.set("b2", "draining")
+    rig.set_state("b2", "draining")
     rig.run(2)
     assert rig.lines("p0")["b1"] == FULL and "b2" not in rig.lines("p0")
 
@@ -120,9 +120,9 @@
     first, second = Rig(backends=5, proxies=2, seed=1), Rig(backends=5, seed=2)
     first.run(2)
     second.run(2)
-    first.set("b1", "draining")
+    first.set_state("b1", "draining")
     first.run(2)
-    second.set("b3", "draining")
+    second.set_state("b3", "draining")
     second.run(2)
     one, two = first.core.versions.history.latest, second.core.versions.history.latest
     assert one.number == two.number and one.digest_hex != two.digest_hex
