--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -1,4 +1,4 @@
-"""A controller core with simulated agents, without sockets: a delivered message reaches its agent or is lost."""
+"""A controller core with simulated agents and without sockets: each message reaches its agent at once or is lost."""
 
 from __future__ import annotations
 
@@ -29,10 +29,12 @@
 
 
 def deployment(**channel: float) -> Deployment:
-    groups = tuple(TrafficGroup(n, 1.0, 5000, 15000, RetrySafety.IDEMPOTENT, "all", 0, None, False) for n in GROUPS)
-    way = ChannelLimits(2000.0, 6.0, 3000.0, 100, 1000, 0, 10 * SECOND)._replace(**channel)
-    guards = SafetyLimits(3 * SECOND, 2 * SECOND, False, 0.2, 15 * SECOND, 3.0, 15_000, False, 0)
-    return Deployment(0, 2, 1, 8, groups, way, guards, AdmissionMode.FRACTION, 1, 1.2, 0, SECOND, False, False)
+    groups = tuple(TrafficGroup(g, 1.0, 5000, 15000, RetrySafety.IDEMPOTENT, "all", 0, None, False) for g in GROUPS)
+    channel_limits = ChannelLimits(2000.0, 6.0, 3000.0, 100, 1000, 0, 10 * SECOND)._replace(**channel)
+    safety = SafetyLimits(3 * SECOND, 2 * SECOND, False, 0.2, 15 * SECOND, 3.0, 15_000, False, 0)
+    return Deployment(
+        0, 2, 1, 8, groups, channel_limits, safety, AdmissionMode.FRACTION, 1, 1.2, 0, SECOND, False, False
+    )
 
 
 def entry(name: str, state: str = "ready", started: float = 0.0, **other: object) -> EndpointEntry:
@@ -41,7 +43,7 @@
 
 
 def request_of(message: ProxyUpdate, stream: str, at: int) -> Request:
-    """The request that carries a message."""
+    """Return the HTTP request that carries an update to an agent."""
     body, digest = UpdateEncoder().encode(message)
     headers = {
         STREAM_HEADER: stream,
@@ -55,7 +57,10 @@
 
 
 class Rig:
-    """One controller and its agents. `disconnect` loses the messages of a stream; `stalled` proxies take no messages."""
+    """One controller and its agents, on a simulated clock.
+
+    `disconnect` loses the messages of a stream. Messages to proxies in `stalled` are lost too: their streams take none.
+    """
 
     def __init__(self, backends: int = 6, proxies: int = 0, seed: int = 1, **channel: float) -> None:
         self.now, self.random = 1000 * SECOND, random.Random(seed)
@@ -87,9 +92,9 @@
     def join(self, name: str) -> None:
         replica = self.replicas.setdefault(name, TableReplica(View.from_entries({("standing", "b0"): line("b0")})))
         replica.follow(name)
-        bound = any(path[0] == "bindings" for path in replica.view.entries)
-        held = View.from_document(json.loads(json.dumps(replica.view.to_document())))
-        self.core.on_proxy_joined(self.now, JoinRequest(name, ZONES[len(name) % 2], 10.0, not bound, held))
+        has_table = any(path[0] == "bindings" for path in replica.view.entries)
+        view = View.from_document(json.loads(json.dumps(replica.view.to_document())))
+        self.core.on_proxy_joined(self.now, JoinRequest(name, ZONES[len(name) % 2], 10.0, not has_table, view))
 
     def disconnect(self, name: str) -> None:
         self.core.on_proxy_left(self.now, self.core.proxy_number(name))
@@ -99,40 +104,42 @@
         effects = self.core.decide(self.now)
         self.effects.append(effects)
         self.peak_queued_lines = max(self.peak_queued_lines, self.core.delivery_queue.queued_lines)
-        for message in effects.deliveries:
-            if self.proxy_name(message) not in self.stalled:
-                self.deliver(message)
+        for delivery in effects.deliveries:
+            if self.proxy_name(delivery) not in self.stalled:
+                self.deliver(delivery)
         return effects
 
-    def proxy_name(self, sent: QueuedMessage[ProxyUpdate]) -> str:
-        return next(name for name, number in self.core.proxy_numbers.items() if number == sent.proxy)
+    def proxy_name(self, delivery: QueuedMessage[ProxyUpdate]) -> str:
+        return next(name for name, number in self.core.proxy_numbers.items() if number == delivery.proxy)
 
-    def deliver(self, sent: QueuedMessage[ProxyUpdate]) -> None:
-        name = self.proxy_name(sent)
+    def deliver(self, delivery: QueuedMessage[ProxyUpdate]) -> None:
+        name = self.proxy_name(delivery)
         replica = self.replicas[name]
-        self.core.delivery_queue.on_written(sent.proxy)
-        taken = replica.check_update(request_of(sent.message, name, sent.queued_at))
-        if isinstance(taken, AcceptedUpdate):
-            answer = replica.commit(taken)
-            self.core.on_acknowledgement(self.now, sent.proxy, sent.message, answer.headers["etag"], sent.queued_at)
+        self.core.delivery_queue.on_written(delivery.proxy)
+        checked = replica.check_update(request_of(delivery.message, name, delivery.queued_at))
+        if isinstance(checked, AcceptedUpdate):
+            response = replica.commit(checked)
+            self.core.on_acknowledgement(
+                self.now, delivery.proxy, delivery.message, response.headers["etag"], delivery.queued_at
+            )
         else:
-            self.core.on_stream_fault(self.now, sent.proxy, f"{taken.status}")
+            self.core.on_stream_fault(self.now, delivery.proxy, f"{checked.status}")
 
     def run(self, seconds: float) -> None:
         for _ in range(int(seconds * 100)):
             self.step()
 
     def lines(self, name: str, group: str = "read") -> dict[str, int]:
-        """The backends that the proxy may use, with their weights."""
+        """Return the backends that the proxy may use for a traffic group, with their weights."""
         view = self.replicas[name].view
         table = view.entries.get(("bindings", group))
-        held = view.children("standing") if table is None else view.children("tables", table, "lines")
-        return {b: at["weight"] for b, at in held.items() if ("withdrawn", b) not in view.entries}
+        lines = view.children("standing") if table is None else view.children("tables", table, "lines")
+        return {b: fields["weight"] for b, fields in lines.items() if ("withdrawn", b) not in view.entries}
 
 
 def line(name: str, weight: int = 1_000_000) -> dict[str, object]:
     return {"address": entry(name).address, "weight": weight, "zone": entry(name).zone}
 
 
-def stream_of(port: int, patience: float = 0.5) -> AgentStream:
-    return AgentStream(("127.0.0.1", port), "t", UpdateEncoder(), patience)
+def stream_of(port: int, timeout_s: float = 0.5) -> AgentStream:
+    return AgentStream(("127.0.0.1", port), "t", UpdateEncoder(), timeout_s)
--- a/tests/test_controller_core.py
+++ b/tests/test_controller_core.py
@@ -49,10 +49,10 @@
     rig.run(2)
     rig.stalled.add("p0")
     rig.set_state("b2", "draining")
-    sent = [each for _ in range(20) for each in rig.step().deliveries if rig.proxy_name(each) == "p0"]
-    taken = rig.replicas["p0"].check_update(request_of(sent[0].message, "p0", sent[0].queued_at))
-    assert isinstance(taken, AcceptedUpdate)
-    rig.replicas["p0"].commit(taken)
+    deliveries = [each for _ in range(20) for each in rig.step().deliveries if rig.proxy_name(each) == "p0"]
+    checked = rig.replicas["p0"].check_update(request_of(deliveries[0].message, "p0", deliveries[0].queued_at))
+    assert isinstance(checked, AcceptedUpdate)
+    rig.replicas["p0"].commit(checked)
     rig.disconnect("p0")
     rig.stalled.clear()
     rig.join("p0")
@@ -61,16 +61,16 @@
     assert rig.lines("p0") == rig.lines("p1") and "b2" not in rig.lines("p0")
 
 
-@pytest.mark.parametrize("after", [1.0, 1.4, 2.5])
-def test_controller_that_takes_over_a_hundred_proxies_drains_within_the_grace(after: float) -> None:
-    way = {"lines_per_second": 1050.0, "max_queued_lines": 2100.0}
-    first = Rig(backends=60, **way)
+@pytest.mark.parametrize("second_drain_after", [1.0, 1.4, 2.5])
+def test_controller_that_takes_over_a_hundred_proxies_drains_within_the_grace(second_drain_after: float) -> None:
+    channel = {"lines_per_second": 1050.0, "max_queued_lines": 2100.0}
+    first = Rig(backends=60, **channel)
     for number in range(100):
         first.replicas[f"p{number}"] = TableReplica(View.from_entries({("standing", "b0"): line("b0")}))
         first.join(f"p{number}")
     first.run(90)
     assert all(len(first.lines(name)) == 60 for name in first.replicas)
-    second = Rig(backends=60, **way)
+    second = Rig(backends=60, **channel)
     second.run(2)
     second.replicas = first.replicas
     for name in second.replicas:
@@ -78,17 +78,18 @@
     for number in range(10):
         second.set_state(f"b{number}", "draining")
     grace = second.deployment.safety.drain_grace / SECOND
-    second.run(after)
-    # The second wave comes in the middle of the storm, behind the tables of those that join.
+    second.run(second_drain_after)
+    # The second drain starts while the tables of the joining proxies still fill the queue, so it waits behind them.
     for number in range(10, 15):
         second.set_state(f"b{number}", "draining")
-    second.run(max(0.0, grace - after - 0.05))
-    late = {name for name in second.replicas if set(second.lines(name)) & {f"b{n}" for n in range(10)}}
-    assert not late and second.peak_queued_lines <= 2100
-    second.run(grace - max(0.0, grace - after - 0.05) - 0.05)
+    second.run(max(0.0, grace - second_drain_after - 0.05))
+    not_drained = {name for name in second.replicas if set(second.lines(name)) & {f"b{n}" for n in range(10)}}
+    assert not not_drained and second.peak_queued_lines <= 2100
+    second.run(grace - max(0.0, grace - second_drain_after - 0.05) - 0.05)
     assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.replicas)
-    # Bound again well before whole tables could have been sent: 100 x 69 lines take 6.6 s, beside 2.8 s of withdrawals.
-    second.run(6.4 - after - grace)
+    # Proxies that still hold most lines must get their tables sooner than whole tables could be sent: these are 100 x 69
+    # lines, which take 6.6 s in addition to 2.8 s for the withdrawals.
+    second.run(6.4 - second_drain_after - grace)
     assert all(second.core.proxy_tables.tables_of(proxy) for proxy in second.core.joined)
     second.run(12)
     assert all(len(second.lines(name)) == 45 for name in second.replicas)
@@ -101,8 +102,8 @@
     rig.set_state("b7", "draining")
     rig.run(2)
     rig.join("p0")
-    sent = [each for _ in range(100) for each in rig.step().deliveries if rig.proxy_name(each) == "p0"]
-    assert 0 < sum(each.lines for each in sent) < 30
+    deliveries = [each for _ in range(100) for each in rig.step().deliveries if rig.proxy_name(each) == "p0"]
+    assert 0 < sum(each.lines for each in deliveries) < 30
     assert rig.lines("p0") == rig.lines("p1") and len(rig.lines("p0")) == 29
     assert rig.core.proxy_tables.views[rig.core.proxy_number("p0")].etag == rig.replicas["p0"].view.etag
 
@@ -116,7 +117,7 @@
     assert all("b4" not in rig.lines(name) for name in ("p0", "p2", "p3"))
     rig.run(3)
     assert rig.core.proxy_number("p1") not in rig.core.joined
-    assert any(cut.name == "p1" for work in rig.effects for cut in work.disconnects)
+    assert any(disconnect.name == "p1" for effects in rig.effects for disconnect in effects.disconnects)
 
 
 def test_agent_with_an_unexpected_view_is_disconnected_and_gets_its_full_view_at_the_next_join() -> None:
@@ -162,37 +163,38 @@
         "127.0.0.1:7777", ZONES[1]
     )
     rig.run(3)
-    held = rig.replicas["p0"].view
-    lines = held.children("tables", "t0", "lines")
+    view = rig.replicas["p0"].view
+    lines = view.children("tables", "t0", "lines")
     assert lines["b1"]["address"] == "127.0.0.1:7777" and lines["b1"]["weight"] < 1_000_000
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_tables_and_agents_agree_after_random_faults(seed: int) -> None:
-    """Streams break, agents stall, backends come and go; whenever all is quiet, books and agents agree."""
+    """Streams break, agents stall and backends change at random. Afterwards, the controller's record of each agent's
+    view must equal the view that the agent holds."""
     rig = Rig(backends=8, proxies=6, seed=seed)
     for _ in range(40):
-        luck = rig.random.random()
+        chance = rig.random.random()
         name = f"p{rig.random.randrange(6)}"
-        if luck < 0.25:
+        if chance < 0.25:
             rig.disconnect(name)
-        elif luck < 0.5:
+        elif chance < 0.5:
             rig.join(name)
-        elif luck < 0.6:
+        elif chance < 0.6:
             rig.stalled ^= {name}
-        elif luck < 0.9:
-            up = [b for b, e in rig.entries.items() if e.state == "ready"]
+        elif chance < 0.9:
+            ready = [b for b, e in rig.entries.items() if e.state == "ready"]
             backend = f"b{rig.random.randrange(8)}"
-            rig.set_state(backend, "ready" if len(up) < 4 else rig.random.choice(["ready", "draining", "gone"]))
+            rig.set_state(backend, "ready" if len(ready) < 4 else rig.random.choice(["ready", "draining", "gone"]))
         rig.run(rig.random.uniform(0.01, 0.6))
     rig.stalled.clear()
     for name in rig.replicas:
         rig.join(name)
     rig.run(25)
-    up = {b for b, e in rig.entries.items() if e.state == "ready"}
+    ready_backends = {b for b, e in rig.entries.items() if e.state == "ready"}
     for name, replica in rig.replicas.items():
         assert replica.view.etag == rig.core.proxy_tables.views[rig.core.proxy_number(name)].etag
-        assert set(rig.lines(name)) == up
+        assert set(rig.lines(name)) == ready_backends
     assert rig.peak_queued_lines <= rig.deployment.channel.max_queued_lines
 
 
@@ -202,10 +204,10 @@
     rig.set_state("b2", "draining")
     rig.run(3)
     assert all(("withdrawn", "b2") in replica.view.entries for replica in rig.replicas.values())
-    before = {name: replica.view.etag for name, replica in rig.replicas.items()}
-    told = rig.core.proxy_tables.apply_decisions(99, [Withdrawal("b2", True)])
-    assert told == [] and before == {name: replica.view.etag for name, replica in rig.replicas.items()}
-    # A line of a withdrawn backend, as held tables might bring it, never comes without its withdrawal.
+    etags_before = {name: replica.view.etag for name, replica in rig.replicas.items()}
+    messages = rig.core.proxy_tables.apply_decisions(99, [Withdrawal("b2", True)])
+    assert messages == [] and etags_before == {name: replica.view.etag for name, replica in rig.replicas.items()}
+    # Held tables may contain a line of a withdrawn backend. A message with such a line must hold the withdrawal as well.
     for replica in rig.replicas.values():
         assert "b2" not in replica.view.children("tables", "t0", "lines")
     rig.join("p9")
--- a/tests/test_delivery_queue.py
+++ b/tests/test_delivery_queue.py
@@ -1,4 +1,4 @@
-"""The queue of messages to the proxies: pace, limits and stalled streams."""
+"""The queue of messages to the proxies: rate, limits and stalled streams."""
 
 from __future__ import annotations
 
--- a/tests/test_join_backoff.py
+++ b/tests/test_join_backoff.py
@@ -1,4 +1,4 @@
-"""The backoff of proxies whose streams keep failing."""
+"""The backoff for proxies whose streams keep failing."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.controller_rig import SECOND
 
 
-def test_join_backoff_grows_with_repeated_faults_but_not_after_the_first() -> None:
+def test_join_backoff_is_zero_after_one_fault_and_grows_with_repeated_faults() -> None:
     backoff = JoinBackoff()
     backoff.on_stream_fault(0, "p")
     assert backoff.remaining(1, "p") == 0
