--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -110,8 +110,8 @@
         """Apply a change of the endpoint list to the policy and to the known addresses."""
         for backend, address in update.addresses.items():
             previous = self.proxy_tables.addresses.get(backend)
-            # Proxies keep the address that a line was sent with. A new address means a new process: the backend is
-            # withdrawn first, then added again, so that proxies get the new address and the policy a fresh backend.
+            # Proxies keep the address that a line was sent with. A new address means a new process, so the backend is
+            # withdrawn first and then added again: proxies get the new address, and the policy sees a new backend.
             if previous is not None and previous.address != address.address and backend in self.endpoints:
                 removed = self.endpoints[backend]._replace(ready=False, draining=False)
                 self.policy.on_endpoint_update(now, WatchEvent.DELTA, [removed])
@@ -139,7 +139,7 @@
             self.policy.on_endpoint_update(now, WatchEvent.DELTA, removed)
 
     def current_endpoints(self, now: int) -> CurrentEndpoints:
-        """Return the backends that are ready; each has the tick of its start, or None while it is warming up."""
+        """Return the ready backends, each with the tick of its start (0 if unknown), or None while it is warming up."""
         warmup_time = self.deployment.safety.warmup_time
         warm_since: dict[str, int | None] = {}
         for name, endpoint in self.endpoints.items():
@@ -215,7 +215,7 @@
         self._add_cause(f"{self.joined[proxy].name} applied {message.round_number}")
 
     def on_stream_fault(self, now: int, proxy: int, reason: str) -> None:
-        """Disconnect a proxy whose stream failed through the proxy's own fault; its next join may have to wait."""
+        """Disconnect a proxy after a fault on its side of the stream; its next join may have to wait."""
         if (faulty_proxy := self.joined.get(proxy)) is None:
             return
         self.join_backoff.on_stream_fault(now, faulty_proxy.name)
@@ -225,7 +225,7 @@
     def on_request_statistics(self, now: int, name: str, boot: str, number: int, report: RequestStatistics) -> bool:
         """Add the report that a proxy's agent sent as `number` since its start `boot`.
 
-        Returns False, and counts nothing, if the report is a duplicate or the proxy has not joined here.
+        Returns False and adds nothing if the report is a duplicate or the proxy has not joined here.
         """
         proxy = self.proxy_numbers.get(name)
         if proxy is None or proxy not in self.joined:
--- a/onyxhead/controller/delivery_queue.py
+++ b/onyxhead/controller/delivery_queue.py
@@ -85,7 +85,7 @@
         self.queue.append(QueuedMessage(proxy, message, lines, now, now))
 
     def release_due(self, now: int) -> list[QueuedMessage[Message]]:
-        """Return the messages that the channel's rate lets out by now and move them to their proxies' streams."""
+        """Return the messages that are due at the channel's rate and move them to their proxies' streams."""
         released: list[QueuedMessage[Message]] = []
         while self.queue and (due_at := self._head_due_at()) <= now:
             self.channel_free_at = due_at
@@ -115,5 +115,5 @@
         return min(times, default=None)
 
     def _head_due_at(self) -> float:
-        """Return when the first queued message is due: its lines take their time after the previous message."""
+        """Return when the first queued message is due: when its lines have taken their time on the free channel."""
         return self.channel_free_at + self.queue[0].lines * TICKS_PER_SECOND / self.limits.lines_per_second
--- a/onyxhead/controller/discovery.py
+++ b/onyxhead/controller/discovery.py
@@ -16,11 +16,11 @@
 LONG_POLL_S = 5.0
 """How long the server may wait for a change before it answers (the `wait` preference of RFC 7240)."""
 TIMEOUT_S = 8.0
-"""Timeout of a connect, and of a request beyond the time of a long poll."""
+"""Timeout for connecting, and for a response in addition to the time of a long poll."""
 
 
 class FileRevision(NamedTuple):
-    """The attributes of a file of which at least one changes when the file is replaced or written."""
+    """File attributes that show whether the file was replaced or written: at least one of them changes then."""
 
     inode: int
     modified_ns: int
--- a/onyxhead/controller/endpoint_list.py
+++ b/onyxhead/controller/endpoint_list.py
@@ -68,8 +68,8 @@
 def _reject_duplicates(field: str, values: list[str]) -> None:
     duplicates = sorted({each for each in values if values.count(each) > 1}) if len(set(values)) < len(values) else []
     if duplicates:
-        # A process with two entries would get two shares of the requests, and would still get one share while the other
-        # entry is draining.
+        # A process with two entries would get two shares of the requests, and draining one entry would not stop the
+        # requests that come through the other.
         raise InvalidEndpointListError(f"{field} {duplicates[0]!r} is listed twice")
 
 
--- a/onyxhead/controller/table_versions.py
+++ b/onyxhead/controller/table_versions.py
@@ -61,10 +61,10 @@
         self.last_lines: dict[LineKey, int] = {}
         self.last_revision = 0
         self.updated_at = now
-        self.pending = False
+        self.reconcile_pending = False
         """Whether lines may still differ from their target because tables were held."""
-        # Proxies may hold tables of an earlier incarnation. The history records only what this incarnation has sent, so
-        # a restart is recorded as a version without lines.
+        # The latest stored version describes what an earlier incarnation sent, and proxies may hold other tables by now.
+        # This incarnation has sent nothing yet, so it starts with a version without lines.
         if history.latest.lines:
             self._append(now, "restart", dict.fromkeys(history.latest.lines, 0))
 
@@ -99,7 +99,7 @@
         plan = plan_rollback(
             self.history.find(name), self.tables.desired, self.tables.sent_lines(), self.current_endpoints(now)
         )
-        # An upper bound: every changed line goes to as many proxies as use the table with most proxies.
+        # An estimate: every changed line counts once for each proxy of the table that has the most proxies.
         proxy_count = max((len(proxies) for proxies in self.tables.proxies_by_table.values()), default=0)
         channel_lines = proxy_count * (plan.changed_lines + self.tables.message_overhead + 1)
         return RollbackPreview(plan, channel_lines / self.lines_per_second)
@@ -137,9 +137,9 @@
             self.release("the hold time is over")
 
     def _set_pin(self, pin: PinnedVersion) -> None:
-        self.pin, self.tables.main.freeze, self.pending = pin, self._freeze(pin), True
+        self.pin, self.tables.main.freeze, self.reconcile_pending = pin, self._freeze_at(pin), True
 
-    def _freeze(self, pin: PinnedVersion) -> Freeze:
+    def _freeze_at(self, pin: PinnedVersion) -> Freeze:
         return lambda desired: pin.target(desired, self.current_endpoints(self.updated_at))
 
     # Canary
@@ -161,8 +161,8 @@
             raise RollbackRejectedError("a trial needs two proxies at least")
         pin = _pin_version(self.history.find(name), now, seconds)
         self.canary = canary = Canary(plan.version, frozenset(canary_names), now, pin.until)
-        self.tables.begin_canary(frozenset(candidates[name] for name in canary_names), self._freeze(pin))
-        self.pending = True
+        self.tables.begin_canary(frozenset(candidates[name] for name in canary_names), self._freeze_at(pin))
+        self.reconcile_pending = True
         self.on_cause(f"version {plan.version} is tried on {len(canary_names)} of {len(candidates)} proxies")
         return plan, canary
 
@@ -186,7 +186,7 @@
             return None
         self.canary = None
         self.tables.end_canary()
-        self.pending = True
+        self.reconcile_pending = True
         counts, other_counts = canary.canary_counts, canary.baseline_counts
         outcome = f"version {canary.version} on trial: {verdict.value}"
         outcome += (
@@ -206,7 +206,7 @@
     @property
     def reconciling(self) -> bool:
         """Whether lines may differ from their target, so that they have to be reconciled."""
-        return self.pin is not None or self.canary is not None or self.pending
+        return self.pin is not None or self.canary is not None or self.reconcile_pending
 
     def on_reconciled(self, now: int) -> None:
         """Record the lines that `TableState.reconcile` has sent, and note whether any still have to be sent."""
@@ -214,7 +214,7 @@
         if self.canary is None and not any(line.tables is self.tables.canary for line in pending_lines):
             # The proxies of an ended canary hold the same lines as all others again and need no tables of their own.
             self.tables.canary_proxies = frozenset()
-        self.pending = self.pin is not None or bool(pending_lines) or bool(self.tables.canary_proxies)
+        self.reconcile_pending = self.pin is not None or bool(pending_lines) or bool(self.tables.canary_proxies)
         self.record(now, "held tables" if self.pin is not None else "released tables")
 
 
