--- a/onyxhead/controller/decision_loop.py
+++ b/onyxhead/controller/decision_loop.py
@@ -25,7 +25,7 @@
 """Shortest time between two rounds, so that events that arrive together are decided in one round."""
 
 Notify = Callable[[str, dict[str, Any]], None]
-"""Takes the name and values of a notification for operators."""
+"""Called with the name and the values of a notification for operators."""
 
 log = structlog.get_logger()
 
--- a/onyxhead/controller/discovery_watch.py
+++ b/onyxhead/controller/discovery_watch.py
@@ -95,7 +95,7 @@
         return discovery.poll_server(source.server, source.interval, self.settings.name)
 
     async def _resubscribe(self) -> None:
-        """Report the failed subscription and wait until the policy wants to subscribe again."""
+        """Report the failed subscription to the core and wait until the policy wants to subscribe again."""
         self.subscribed.clear()
         self.host.core.on_subscription_rejected(self.host.now())
         self.host.wake()
--- a/onyxhead/controller/table_versions.py
+++ b/onyxhead/controller/table_versions.py
@@ -63,7 +63,7 @@
         self.updated_at = now
         self.reconcile_pending = False
         """Whether lines may still differ from their target because tables were held."""
-        # The latest stored version describes what an earlier incarnation sent, and proxies may hold other tables by now.
+        # The latest stored version describes what an earlier incarnation sent, and proxies may hold other tables now.
         # This incarnation has sent nothing yet, so it starts with a version without lines.
         if history.latest.lines:
             self._append(now, "restart", dict.fromkeys(history.latest.lines, 0))
--- a/tests/test_controller_core.py
+++ b/tests/test_controller_core.py
@@ -79,7 +79,7 @@
         second.set_state(f"b{number}", "draining")
     grace = second.deployment.safety.drain_grace / SECOND
     second.run(second_drain_after)
-    # The second drain starts while the tables of the joining proxies still fill the queue, so it waits behind them.
+    # The second drain starts while the tables of the joining proxies still fill the queue, so its messages wait behind them.
     for number in range(10, 15):
         second.set_state(f"b{number}", "draining")
     second.run(max(0.0, grace - second_drain_after - 0.05))
@@ -87,8 +87,8 @@
     assert not not_drained and second.peak_queued_lines <= 2100
     second.run(grace - max(0.0, grace - second_drain_after - 0.05) - 0.05)
     assert not any(set(second.lines(name)) & {f"b{n}" for n in range(15)} for name in second.replicas)
-    # Proxies that still hold most lines must get their tables sooner than whole tables could be sent: these are 100 x 69
-    # lines, which take 6.6 s in addition to 2.8 s for the withdrawals.
+    # All proxies must have tables again well before whole tables could have been sent to them: 100 x 69 lines take 6.6 s,
+    # in addition to 2.8 s for the withdrawals.
     second.run(6.4 - second_drain_after - grace)
     assert all(second.core.proxy_tables.tables_of(proxy) for proxy in second.core.joined)
     second.run(12)
