--- a/onyxhead/clock.py
+++ b/onyxhead/clock.py
@@ -1,7 +1,7 @@
-"""The clock of the policy: ticks that never go back, whatever is done to the wall clock.
+"""A clock in ticks for the policy that never goes back, even if the wall clock is set back.
 
-The count starts at the wall time when the process starts and follows the monotonic clock from then on, so that start
-times of backends, which are given in wall time, can be compared with it, also across a restart.
+The clock starts at the wall time of the process start and then follows the monotonic clock. Its values can therefore be
+compared with the start times of backends, which are wall times, also after a restart of the controller.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 
 class Clock:
-    """Reads `wall` once and `monotonic` from then on, both in seconds."""
+    """Reads `wall` once, at its creation, and only `monotonic` after that; both return seconds."""
 
     def __init__(self, wall: Callable[[], float], monotonic: Callable[[], float]) -> None:
         self.monotonic, self.started = monotonic, monotonic()
         self.base = wall() * TICKS_PER_SECOND
 
     def now(self) -> int:
-        """The present in ticks."""
+        """Return the current time in ticks."""
         return int(self.base + (self.monotonic() - self.started) * TICKS_PER_SECOND)
 
     def from_wall_time(self, seconds: float) -> int:
-        """The ticks of a wall time; one that lies ahead counts as now.
+        """Convert a wall time in seconds to ticks; a time in the future becomes the current time.
 
-        A backend that says it starts in the future has a clock that runs ahead, or the wall clock here was set back.
-        To take it as just started is safe, since it then gets the least load.
+        A backend reports a start time in the future if its clock runs ahead, or if the wall clock of this machine was
+        set back. Treating the backend as just started is safe, since it then gets the least load.
         """
         return max(1, min(self.now(), int(seconds * TICKS_PER_SECOND)))
--- a/onyxhead/policy/decisions.py
+++ b/onyxhead/policy/decisions.py
@@ -1,4 +1,4 @@
-"""What the policy decides. The caller carries decisions out in the order in which they were made.
+"""Decisions of the policy. The caller carries them out in the order in which the policy yields them.
 
 Times and durations are in ticks (`onyxhead.time_units`).
 """
@@ -9,23 +9,23 @@
 
 
 class Withdrawal(NamedTuple):
-    """Stops all joined proxies from using a backend, whatever their tables say, or ends such a withdrawal."""
+    """Makes all joined proxies stop using a backend, even if their tables list it, or ends such a withdrawal."""
 
     backend: str
     withdrawn: bool
 
 
 class TableChange(NamedTuple):
-    """Complete new lines of one table, as pairs of backend and weight; a weight of 0 removes the line."""
+    """New and changed lines of a table, as pairs of backend and weight; a weight of 0 removes the line."""
 
     table: int
     lines: tuple[tuple[str, float], ...]
 
 
 class AdmissionLevel(NamedTuple):
-    """How many requests of some groups the proxies that use a table admit, and how they retry.
+    """Sets how many requests of some groups the proxies that use a table admit, and how they retry.
 
-    Retry modes: 0 never, 1 once after proof that the first attempt did not run, 2 once after any failure, 3 twice.
+    Retry modes: 0 never, 1 once if the first attempt is known not to have run, 2 once after any failure, 3 twice.
     """
 
     table: int
@@ -35,7 +35,7 @@
 
 
 class TableAssignment(NamedTuple):
-    """Makes a proxy use a table for some traffic groups, or for all of them if none is named."""
+    """Makes a proxy use a table for some traffic groups, or for all groups if `groups` is empty."""
 
     proxy: int
     table: int
@@ -43,9 +43,9 @@
 
 
 class AcknowledgementRequest(NamedTuple):
-    """Asks the proxies that get a message of this decision round to acknowledge it once applied.
+    """Asks the proxies that get a message of this decision round to acknowledge it once they have applied it.
 
-    With `all_proxies` it is sent to every joined proxy, also to those with nothing else to get.
+    With `all_proxies`, the request goes to every joined proxy, also to those that get nothing else in this round.
     """
 
     round_number: int
@@ -53,23 +53,23 @@
 
 
 class HealthCheckRequest(NamedTuple):
-    """Run an active health check on a backend."""
+    """Asks the caller to run an active health check on a backend."""
 
     backend: str
 
 
 class WakeUp(NamedTuple):
-    """Ask for the next round after this delay, even if no event comes before."""
+    """Asks the caller to start a round after this delay at the latest, even if no event arrives."""
 
     delay: int
 
 
 class SubscribeToEndpoints(NamedTuple):
-    """Subscribe to changes of the endpoint list."""
+    """Asks the caller to subscribe to changes of the endpoint list."""
 
 
 class LogMessage(NamedTuple):
-    """A line for the log."""
+    """A message for the caller to write to its log."""
 
     text: str
 
--- a/onyxhead/policy/inputs.py
+++ b/onyxhead/policy/inputs.py
@@ -1,6 +1,7 @@
-"""What the policy is given: the deployment at its start, then endpoints, load reports and health check results.
+"""Input types of the policy: the deployment at its start, then endpoints, load reports and health check results.
 
-Times and durations are in ticks (`onyxhead.time_units`). Identifiers are the caller's and are returned unchanged.
+Times and durations are in ticks (`onyxhead.time_units`). The caller chooses the identifiers of backends and proxies;
+decisions refer to them unchanged.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 
 class RetrySafety(Enum):
-    """Whether a request of a traffic group may be attempted again. The values are the settings' words."""
+    """How safe it is to retry a request of a traffic group; the values are those of the setting."""
 
     IDEMPOTENT = "retriable"
     DEDUPLICATED = "deduped"
@@ -18,7 +19,7 @@
 
 
 class AdmissionMode(Enum):
-    """How a proxy reads the value of an `AdmissionLevel`."""
+    """The meaning of the value of an `AdmissionLevel` to a proxy."""
 
     FRACTION = "share of the flows"
     RATE = "flows a second at each proxy"
@@ -26,10 +27,10 @@
 
 
 class TrafficGroup(NamedTuple):
-    """One class of requests.
+    """A class of requests with common requirements.
 
-    `utility` is the value of a request answered in time, relative to other groups; `allowed_zones` is None where a
-    backend of any zone will do; `deduplication_scope` and `deduplication_window` say which backends recognise a
+    `utility` is the value of a request answered in time, relative to other groups. `allowed_zones` is None if backends
+    of all zones may serve the group. `deduplication_scope` and `deduplication_window` say which backends recognise a
     repeated idempotency key, and for how long.
     """
 
@@ -45,10 +46,11 @@
 
 
 class ChannelLimits(NamedTuple):
-    """Capacity of the channel from this controller to its proxies.
+    """The capacity of the channel from this controller to its proxies.
 
-    Messages are counted in lines: a message costs `message_overhead` lines plus those it carries, and at most
-    `max_queued_lines` may wait. A proxy may be sent `max_messages` in each `message_window`; 0 means no such limit.
+    Message sizes are counted in table lines: a message costs `message_overhead` lines plus the lines it carries, and at
+    most `max_queued_lines` may be queued. A proxy may be sent `max_messages` in each `message_window`; a
+    `max_messages` of 0 means no such limit.
     """
 
     lines_per_second: float
@@ -61,10 +63,10 @@
 
 
 class SafetyLimits(NamedTuple):
-    """The limits that the five rules of `docs/design.md` set.
+    """The limits in the five safety rules of `docs/design.md`.
 
     A backend that started less than `warmup_time` ago is warming up: it can do `initial_warmup_fraction` of its normal
-    work at first, and fails when it gets `overload_factor` times what it can do for `overload_time_to_fail`.
+    work at first. It fails if it gets `overload_factor` times the work that it can do, for `overload_time_to_fail`.
     """
 
     unserved_limit: int
@@ -79,10 +81,11 @@
 
 
 class Deployment(NamedTuple):
-    """What one controller is told when it starts.
+    """The settings that one controller gets at its start.
 
-    `default_retry_mode` is the retry mode of groups for which no other was set (see `AdmissionLevel`);
-    `proxy_ejection_failures` is after how many failures in a row a proxy avoids a backend by itself, 0 for never.
+    `default_retry_mode` is the retry mode of groups without a setting of their own (see `AdmissionLevel`).
+    `proxy_ejection_failures` is the number of consecutive failures after which a proxy ejects a backend by itself, that
+    is, sends it no requests for a while; 0 if proxies eject none.
     """
 
     zone: int
@@ -102,7 +105,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One backend as service discovery lists it; `started_at` is 0 if it started long ago."""
+    """A backend as service discovery lists it; `started_at` is 0 if it started long ago."""
 
     backend: str
     zone: int
@@ -114,7 +117,7 @@
 
 
 class LoadReport(NamedTuple):
-    """What a backend reports of itself: the fraction of its cores in use and its recent response time, if it tells."""
+    """A backend's report of the fraction of its cores in use and its recent response time; None for what it omits."""
 
     utilization: float | None = None
     latency: int | None = None
@@ -130,10 +133,10 @@
 
 
 class WatchEvent(Enum):
-    """What an update from service discovery holds.
+    """The kind of an update from service discovery.
 
-    A snapshot lists every endpoint, a delta only those that changed. A cached list is the last one known from before
-    a restart. Rejected means that discovery could not be read and nothing changes.
+    A snapshot lists all endpoints, a delta only those that changed. A cached list is the last one that was stored
+    before a restart of the controller. A rejected update could not be read and changes no endpoint.
     """
 
     DELTA = "changes"
--- a/onyxhead/policy/proxies.py
+++ b/onyxhead/policy/proxies.py
@@ -1,4 +1,4 @@
-"""What is known of each joined proxy."""
+"""The joined proxies with their request rates and the tables assigned to them."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 
 @dataclass(slots=True, eq=False)
 class Proxy:
-    """One joined proxy. Times are in ticks, rates in requests a second."""
+    """A joined proxy. Times are in ticks, rates in requests a second."""
 
     id: int
     zone: int
-    #: The request rate that it usually has.
+    #: The usual request rate, as stated when the proxy joined.
     baseline_rate: float
-    #: Whether it had no table but the one it was started with when it joined.
+    #: Whether the proxy had only the table that it was started with when it joined.
     has_standing_table: bool
     joined_at: int
+    #: The subset that the proxy belongs to (see `subsetting`).
     subset: int
-    #: The request rate of each traffic group.
+    #: The measured request rate, by traffic group.
     rates: list[float]
-    #: Whether it has been given its tables.
+    #: Whether the proxy has been assigned its tables.
     bound: bool = False
-    #: When messages were written to it, within the window that the channel limits.
+    #: The times of the messages written to the proxy within the current message window.
     message_times: deque[int] = field(default_factory=deque)
-    #: The tables that it was last told to use, also from before a repartition.
+    #: The numbers of the tables last assigned to the proxy; after a repartition, still those of the old partition.
     assigned_tables: set[int] = field(default_factory=set)
 
 
@@ -41,42 +42,45 @@
         return len(self.by_id)
 
     def all(self) -> list[Proxy]:
-        """All joined proxies."""
+        """Return all joined proxies."""
         return list(self.by_id.values())
 
     def bound(self) -> list[Proxy]:
-        """The proxies that have been given their tables."""
+        """Return the proxies that have been assigned their tables."""
         return [proxy for proxy in self.by_id.values() if proxy.bound]
 
     def unbound(self) -> list[Proxy]:
-        """The proxies that wait for their tables."""
+        """Return the proxies that wait for their tables."""
         return [proxy for proxy in self.by_id.values() if not proxy.bound]
 
     def baseline_rate(self) -> float:
-        """The requests a second that all proxies usually have."""
+        """Return the usual requests a second at all proxies together."""
         return sum(proxy.baseline_rate for proxy in self.by_id.values())
 
     def request_rate(self) -> float:
-        """The requests a second that all proxies have now."""
+        """Return the measured requests a second at all proxies together."""
         return sum(sum(proxy.rates) for proxy in self.by_id.values())
 
     def group_request_rate(self, group: int) -> float:
-        """The requests a second of one traffic group at all proxies."""
+        """Return the measured requests a second of one traffic group at all proxies together."""
         return sum(proxy.rates[group] for proxy in self.by_id.values())
 
     def join(
         self, now: int, proxy: int, zone: int, baseline_rate: float, has_standing_table: bool, subset: int
     ) -> None:
-        """Adds a proxy, or replaces it; its baseline rate is taken as spread evenly over the groups."""
+        """Add or replace a proxy, assuming that its baseline rate spreads evenly over the groups until it reports."""
         rates = [baseline_rate / self._group_count] * self._group_count
         self.by_id[proxy] = Proxy(proxy, zone, baseline_rate, has_standing_table, now, subset, rates)
 
     def leave(self, proxy: int) -> None:
-        """Removes a proxy if it is known."""
+        """Remove a proxy; an unknown proxy is ignored."""
         self.by_id.pop(proxy, None)
 
     def update_request_rate(self, proxy: int, group: int, requests: int, window: int) -> None:
-        """Averages the rate of a group so far with that of the last `window` ticks; odd reports change nothing."""
-        known = self.by_id.get(proxy)
-        if known is not None and group < len(known.rates) and window > 0:
-            known.rates[group] = (known.rates[group] + requests * TICKS_PER_SECOND / window) / 2
+        """Set a group's rate to the average of its previous value and the rate in the last `window` ticks.
+
+        A report of an unknown proxy or group, or of an empty window, is ignored.
+        """
+        joined_proxy = self.by_id.get(proxy)
+        if joined_proxy is not None and group < len(joined_proxy.rates) and window > 0:
+            joined_proxy.rates[group] = (joined_proxy.rates[group] + requests * TICKS_PER_SECOND / window) / 2
--- a/onyxhead/policy/thresholds.py
+++ b/onyxhead/policy/thresholds.py
@@ -1,8 +1,8 @@
-"""Thresholds of loss and failure that several decisions share. All are fractions from 0 to 1."""
+"""Thresholds of utility loss and failed attempts that several decisions share, as fractions from 0 to 1."""
 
-#: Loss of utility beyond the fleet's average that chance and small differences explain.
+#: A backend may lose this much more utility than the fleet's average by chance or through small differences.
 EXCESS_LOSS = 0.1
-#: When even the best quarter of the backends loses this much utility, less must come in.
+#: If even the backends of the best quarter lose this much utility, the fleet is overloaded and must admit less.
 OVERLOAD_LOSS = 0.2
-#: When so many attempts fail though the others are quick, backends accept too few connections.
+#: If this fraction of attempts fails while the others are answered quickly, backends accept too few connections.
 CONNECTION_FAILURES = 0.3
--- a/onyxhead/time_units.py
+++ b/onyxhead/time_units.py
@@ -1,4 +1,4 @@
-"""The unit of time of the policy and of everything around it: a tick is a tenth of a millisecond."""
+"""Conversion factors for the tick, the unit of time of the policy and its callers: a tenth of a millisecond."""
 
 TICKS_PER_MILLISECOND = 10
 TICKS_PER_SECOND = 1_000 * TICKS_PER_MILLISECOND
