--- a/onyxhead/policy/balancer.py
+++ b/onyxhead/policy/balancer.py
@@ -1,8 +1,8 @@
-"""Takes in what a controller hears and yields what it decides.
+"""The entry point of the balancing policy, which turns events into decisions.
 
-The caller makes one `BalancingPolicy` when the controller starts, reports events through the `on_...` methods, which
-only update what is known, and then takes `decisions(now)` until there are none; the decisions of one such round leave
-as one message for each proxy concerned. `docs/design.md` describes the mechanism and how it departs from the paper.
+The caller creates one `BalancingPolicy` when the controller starts. It reports events through the `on_...` methods,
+which only update state, and then iterates over `decisions(now)` to run one decision round. The decisions of a round are
+sent as one message to each proxy concerned. `docs/design.md` describes the mechanism and how it departs from the paper.
 """
 
 from __future__ import annotations
@@ -32,17 +32,17 @@
 from onyxhead.policy.withdrawals import WithdrawalScheduler
 from onyxhead.time_units import TICKS_PER_SECOND
 
-#: What waits on time alone (warm-ups, withdrawals that gather) is looked at this often.
+#: Interval of rounds without events, for decisions that only wait for time to pass, such as steps of a warm-up.
 WAKE_UP_INTERVAL_TICKS = TICKS_PER_SECOND // 4
-#: Time between rounds that change tables.
+#: The shortest time between two rounds that change tables.
 CHANGE_INTERVAL_TICKS = TICKS_PER_SECOND
-#: After a rejected subscription the next attempt follows after a random time between these, in seconds.
+#: The policy subscribes again after a random delay between these bounds when a subscription was rejected.
 MIN_SUBSCRIBE_DELAY_S = 0.5
 MAX_SUBSCRIBE_DELAY_S = 1.5
 
 
 class PolicyStatistics(NamedTuple):
-    """What the policy measures, for logs and metrics; rates are per second, fractions are from 0 to 1."""
+    """Measurements of the policy for logs and metrics; rates are per second, fractions are from 0 to 1."""
 
     known_backends: int
     queued_lines: float
@@ -56,7 +56,7 @@
 
 
 class WarmingBackend(NamedTuple):
-    """A backend in slow start, with its usual request rate once warm and the rate that would come without limits."""
+    """A backend in slow start, with its usual request rate once warm and the rate that it would get without limits."""
 
     backend: str
     started_at: int
@@ -71,7 +71,7 @@
         safety = deployment.safety
         self._random = random.Random(seed)
         utility = UtilityModel(deployment.groups)
-        # How long reports take to show what a change did.
+        # The time until reports show the effect of a change.
         feedback_delay = 2 * deployment.report_interval + deployment.channel.max_delay
         self._health_checks_allowed = deployment.health_checks_allowed
         self._subscription_required = deployment.subscription_required
@@ -79,7 +79,7 @@
         self._next_wake_up: int | None = None
         self._last_change_round = now - TICKS_PER_SECOND
 
-        # The parts; tests look into them, hosts use only the methods and properties below.
+        # The components are public for tests only; callers use the methods and properties below.
         self.slow_start = SlowStart(safety)
         self.weights = LineWeights(self.slow_start)
         self.subsets = Subsetting(deployment, feedback_delay, self.slow_start, now)
@@ -91,15 +91,15 @@
         self.outliers = OutlierDetector(utility, feedback_delay, self.weights)
         self.warmup_limiter = WarmupLimiter(deployment, self.slow_start, self.weights)
         self.admission = AdmissionController(deployment, utility, self.channel, feedback_delay, now)
-        known = self.channel, self.endpoints, self.proxies, self.subsets
-        self.withdrawals = WithdrawalScheduler(*known, safety.drain_grace)
-        self.table_assigner = TableAssigner(*known, self.slow_start, self.withdrawals, deployment)
-        self.table_updater = TableUpdater(*known, self.slow_start, self.weights, now)
+        state = self.channel, self.endpoints, self.proxies, self.subsets
+        self.withdrawals = WithdrawalScheduler(*state, safety.drain_grace)
+        self.table_assigner = TableAssigner(*state, self.slow_start, self.withdrawals, deployment)
+        self.table_updater = TableUpdater(*state, self.slow_start, self.weights, now)
 
     # Events
 
     def on_endpoint_update(self, now: int, event: WatchEvent, endpoints: list[Endpoint]) -> None:
-        """Takes an update of the endpoint list, or that the list could not be read."""
+        """Apply an update of the endpoint list, or schedule another subscription if the list could not be read."""
         if event is WatchEvent.REJECTED:
             delay = self._random.uniform(MIN_SUBSCRIBE_DELAY_S, MAX_SUBSCRIBE_DELAY_S)
             self._subscribe_at = now + round(TICKS_PER_SECOND * delay)
@@ -117,67 +117,73 @@
         window: int,
         load: LoadReport,
     ) -> None:
-        """Takes the attempts at a backend in the last `window` ticks; no decision depends on the proxies' zone."""
-        known = self.endpoints.by_id.get(backend)
-        if known is None:
+        """Record the attempts at a backend in the last `window` ticks.
+
+        `zone` is the zone of the proxies that made the attempts; no decision depends on it.
+        """
+        target = self.endpoints.by_id.get(backend)
+        if target is None:
             return
-        known.add_load_report(load, self.rates.per_weight)
-        known.recent_attempts.add(attempts, failures, mean_latency)
-        # The attempts at a zone that is cut off tell nothing of the others.
-        if known.zone not in self.weights.unreachable_zones:
+        target.add_load_report(load, self.rates.per_weight)
+        target.recent_attempts.add(attempts, failures, mean_latency)
+        # Attempts at an unreachable zone fail without any fault of the other zones, so the fleet's sums omit them.
+        if target.zone not in self.weights.unreachable_zones:
             self.fleet.add(attempts, failures, mean_latency)
-        if now - window >= known.measured_from:
-            known.attempts_since_change.add(attempts, failures, mean_latency)
+        if now - window >= target.measured_from:
+            target.attempts_since_change.add(attempts, failures, mean_latency)
 
     def on_request_rate(self, now: int, proxy: int, group: int, requests: int, window: int) -> None:
-        """Takes how many requests of a group came to a proxy in the last `window` ticks."""
+        """Record the number of requests of a group that a proxy received in the last `window` ticks."""
         self.proxies.update_request_rate(proxy, group, requests, window)
 
     def on_budget_share(self, now: int, backend: str, share: float) -> None:
-        """Takes the part of what a warming backend bears that this controller may use."""
-        known = self.endpoints.by_id.get(backend)
-        if known is not None:
-            known.budget_share = share
+        """Set the fraction of a warming backend's bearable load that this controller may use."""
+        target = self.endpoints.by_id.get(backend)
+        if target is not None:
+            target.budget_share = share
 
     def on_health_check(self, now: int, backend: str, result: HealthCheckResult, load: LoadReport) -> None:
-        """Takes the result of a health check."""
-        known = self.endpoints.by_id.get(backend)
-        if known is None:
+        """Record the result of a health check."""
+        target = self.endpoints.by_id.get(backend)
+        if target is None:
             return
-        record_health_check(known, now, result, load, self.rates.per_weight, self.slow_start)
-        self.outliers.add_health_check(now, known, self.endpoints.ready())
+        record_health_check(target, now, result, load, self.rates.per_weight, self.slow_start)
+        self.outliers.add_health_check(now, target, self.endpoints.ready())
 
     def on_proxy_joined(self, now: int, proxy: int, zone: int, baseline_rate: float, has_standing_table: bool) -> None:
-        """Takes that a proxy opened its stream, with the request rate that it usually has.
+        """Add a proxy that opened its stream, with its usual request rate.
 
-        `has_standing_table` says that it has no table but the one it was started with.
+        `has_standing_table` means that the proxy has only the table that it was started with.
         """
         subset = self.subsets.least_busy_subset(self.proxies.by_id.values())
         self.proxies.join(now, proxy, zone, baseline_rate, has_standing_table, subset)
 
     def on_proxy_left(self, now: int, proxy: int) -> None:
-        """Takes that a proxy's stream ended."""
+        """Remove a proxy whose stream ended, and the messages queued for it."""
         self.proxies.leave(proxy)
         self.channel.forget_proxy(proxy)
 
     def on_acknowledgement(self, now: int, proxy: int, round_number: int, elapsed: int) -> None:
-        """Takes that a proxy has applied its message of a round; no decision depends on the time elapsed."""
+        """Record that a proxy has applied its message of a round.
+
+        `elapsed` is the time from sending the message to its acknowledgement; no decision depends on it.
+        """
         self.channel.acknowledge(now, proxy, round_number)
 
-    # What hosts read
+    # State for callers
 
     @property
     def round_number(self) -> int:
-        """The number of the last round that sent messages, 0 before the first."""
+        """Return the number of the last round that sent messages, 0 before the first."""
         return self.channel.round_number
 
     @property
     def round_recipients(self) -> Mapping[int, float]:
-        """The proxies that get a message of the current round, with the lines that each message costs."""
+        """Return the proxies that get a message in the current round, with the cost of each message in lines."""
         return self.channel.reserved
 
     def statistics(self) -> PolicyStatistics:
-        """The figures as of the last round."""
+        """Return the measurements as of the last round."""
         unacknowledged = self.channel.unacknowledged
         return PolicyStatistics(
             known_backends=len(self.endpoints.by_id),
@@ -192,18 +198,18 @@
         )
 
     def warming_backends(self, now: int) -> list[WarmingBackend]:
-        """The backends in slow start, for which controllers agree on shares of what they bear."""
-        found = []
+        """Return the backends in slow start; the controllers agree on shares of the load that these can bear."""
+        warming = []
         for backend in self.endpoints.ready():
             if self.slow_start.warmup_fraction(backend, now) < 1:
                 rate = self.rates.baseline_per_weight * backend.weight
-                found.append(WarmingBackend(backend.id, backend.started_at, rate, rate * backend.unlimited_load))
-        return found
+                warming.append(WarmingBackend(backend.id, backend.started_at, rate, rate * backend.unlimited_load))
+        return warming
 
     # Decisions
 
     def decisions(self, now: int) -> Iterator[Decision]:
-        """Yields the decisions of one round."""
+        """Run one decision round and yield its decisions."""
         self.channel.begin_round(now, self.proxies)
         if self._subscription_required and self._subscribe_at is not None and self._subscribe_at <= now:
             self._subscribe_at = None
@@ -232,14 +238,14 @@
         self.subsets.update(now, ready, self.endpoints.last_departure(), self.proxies.by_id.values(), self.fleet)
         self.weights.unreachable_zones = find_unreachable_zones(ready)
         self._update_estimates(now, ready)
-        # Levels and weights must not fill the channel that withdrawals wait for.
+        # Withdrawals that wait for room in the channel go before changes of levels and weights.
         if self.withdrawals.due(now, self.withdrawals.gather_time):
             return
         yield from self.admission.send_levels(self.subsets.tables, self.proxies)
         yield from self.table_updater.send_changes(now, self.rates)
 
     def _evaluate_attempts(self, now: int, ready: Sequence[Backend]) -> None:
-        """Once a period: lets admission and outlier detection react to the attempts."""
+        """Update admission and outlier detection from the attempts of a period, if one has ended."""
         if not self.fleet.close_period(now):
             return
         self.admission.add_period(self.fleet.late_fraction)
@@ -250,7 +256,7 @@
         self.outliers.detect(now, ready, loss.average, self.subsets)
 
     def _update_estimates(self, now: int, ready: Sequence[Backend]) -> None:
-        """Estimates rates and capacities anew, and sets weight factors and admission levels by them."""
+        """Recompute request rates and capacities, then the weight factors and admission levels that depend on them."""
         tables, rates, fleet = self.subsets.tables, self.rates, self.fleet
         rates.update(ready, self.proxies, tables, self.admission.levels)
         default_rate = self.warmup_limiter.least_bearable_load * rates.baseline_per_weight
