--- a/onyxhead/policy/capacity.py
+++ b/onyxhead/policy/capacity.py
@@ -1,6 +1,6 @@
-"""Estimates what backends can serve, from what requests were seen to cost them and others of their kind.
+"""Estimates the rate that backends can serve, from the measured cost of requests at them and at others of their kind.
 
-All functions take the ready backends. A cost is the utilization that a request a second causes.
+All functions take the ready backends. The cost of a request is the utilization that one request a second causes.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from onyxhead.policy.slow_start import SlowStart
 from onyxhead.policy.tables import Table
 
-#: Load reports of its own, at the average rate, that weigh as much for a backend as those of its whole kind.
+#: The cost measured at a backend's whole kind counts as much as this many reports of the backend at the average rate.
 KIND_REPORT_WEIGHT = 3.0
-#: A backend that would be utilized more than this gets less weight before it responds late.
+#: A backend whose expected utilization exceeds this gets less weight, before its responses become late.
 MAX_UTILIZATION = 0.6
-#: A backend utilized this much still responds in time.
+#: The utilization up to which a backend responds in time.
 SERVED_UTILIZATION = 0.7
-#: The least weight factor for response time: what takes longer has a queue most likely, and outlier detection acts.
+#: The lowest speed weight. A backend that is slower still most likely has a queue, which outlier detection handles.
 MIN_SPEED_WEIGHT = 0.3
-#: Relative changes of the speed weight up to this are noise, and not worth a line at every proxy.
+#: Relative changes of the speed weight up to this are noise, and not worth sending a line to every proxy.
 SIGNIFICANT_SPEED_CHANGE = 0.3
 
 
@@ -32,10 +32,10 @@
     default_rate_per_weight: float,
     connection_limited: bool,
 ) -> float:
-    """Sets the weight factors of the backends and the capacity of each table, by what is known of them now.
+    """Update the speed and capacity weights of the backends and the capacity of each table.
 
-    Returns the requests a second that all backends together can serve in time. A backend without a known cost counts
-    for `default_rate_per_weight` times its listed weight.
+    Return the requests a second that all backends together can serve in time. A backend without a known cost counts as
+    serving `default_rate_per_weight` times its listed weight.
     """
     _update_speed_weights(ready, connection_limited)
     costs = _estimate_costs(ready, rate_per_weight)
@@ -45,12 +45,13 @@
 
 
 def _update_speed_weights(ready: Sequence[Backend], connection_limited: bool) -> None:
-    """Gives the slower half of each kind of machine less weight: machines differ, and statistics tell it late.
+    """Reduce the weight of backends slower than the median of their kind.
 
-    In a subset of one backend its weight says nothing and only costs lines, so with connection limits all get 1.
+    Machines of one kind differ in speed, and attempt statistics show it late. In subsets for limited connections all
+    get 1: where a subset has a single backend, its weight has no effect and each change would only cost a line.
     """
-    for alike in _by_kind(ready).values():
-        measured = [backend for backend in alike if backend.mean_response_time]
+    for same_kind in _by_kind(ready).values():
+        measured = [backend for backend in same_kind if backend.mean_response_time]
         times = sorted(backend.mean_response_time for backend in measured)
         for backend in measured:
             relative = times[len(times) // 2] / backend.mean_response_time
@@ -60,13 +61,13 @@
 
 
 def _estimate_costs(ready: Sequence[Backend], rate_per_weight: dict[int, float]) -> dict[str, float]:
-    """The cost of a request at each backend; empty while no requests come."""
+    """Return the cost of a request at each backend, or nothing while the backends get no requests."""
     prior = KIND_REPORT_WEIGHT * sum(backend.request_rate(rate_per_weight) for backend in ready) / max(1, len(ready))
     if not prior:
         return {}
     kind_costs = {
-        kind: sum(each.utilization_sum for each in alike) / (sum(each.rate_sum for each in alike) or 1.0)
-        for kind, alike in _by_kind(ready).items()
+        kind: sum(b.utilization_sum for b in same_kind) / (sum(b.rate_sum for b in same_kind) or 1.0)
+        for kind, same_kind in _by_kind(ready).items()
     }
     return {
         backend.id: (backend.utilization_sum + prior * kind_costs[backend.kind]) / (backend.rate_sum + prior)
@@ -82,7 +83,7 @@
     slow_start: SlowStart,
     default_rate_per_weight: float,
 ) -> float:
-    """Sets the capacity of each table; returns that of all backends together."""
+    """Set the capacity of each table, and return that of all backends together."""
     capacities = {}
     for backend in ready if costs else ():
         cost = costs[backend.id]
@@ -96,21 +97,22 @@
 def _assign_capacity_weights(
     ready: Sequence[Backend], tables: Sequence[Table], costs: dict[str, float], rate_per_weight: dict[int, float]
 ) -> None:
-    """Sets the backends' weight factors by table so that none is utilized more than `MAX_UTILIZATION`.
+    """Set the capacity weights so that no backend's expected utilization exceeds `MAX_UTILIZATION`.
 
-    The tables with the fewest backends come first; what they leave is for those whose requests may go elsewhere.
+    The tables with the fewest backends are served first, since the requests of the others can go elsewhere.
     """
     utilizations = (costs.get(backend.id, 0.0) * backend.request_rate(rate_per_weight) for backend in ready)
     average = sum(utilizations) / max(1, len(ready))
     headroom = {backend.id: max(MAX_UTILIZATION, average) for backend in ready}
     members = {table: [backend for backend in ready if table.accepts(backend)] for table in tables}
-    for table in sorted(tables, key=lambda each: len(members[each])):
+    for table in sorted(tables, key=lambda candidate: len(members[candidate])):
         for backend in members[table]:
             cost = costs.get(backend.id, 0.0) * rate_per_weight[table.number]
             fitting = headroom[backend.id] / cost / backend.weight if cost else 1.0
             backend.capacity_weights[table.number] = min(1.0, max(MIN_HEALTH_WEIGHT, fitting))
             headroom[backend.id] -= cost * backend.lines[table.number]
-        # Weights are relative: where all backends of a table are too busy, less for each is the same.
+        # Only the ratio of weights matters, so reducing all weights of a table would change nothing. The weights are
+        # therefore divided by the largest one.
         weights = [backend.capacity_weights[table.number] for backend in members[table]]
         table.max_capacity_weight = max(weights, default=1.0)
 
