--- a/onyxhead/policy/channel_budget.py
+++ b/onyxhead/policy/channel_budget.py
@@ -1,7 +1,7 @@
-"""How much the channel to the proxies can still take, by what is queued in it.
+"""The room left in the channel to the proxies, computed from the messages that are not acknowledged yet.
 
-Sizes are in lines (see `ChannelLimits`). The channel keeps order, so an acknowledgement proves that everything sent
-before has left it.
+Sizes are in lines (see `ChannelLimits`). The channel keeps order, so the acknowledgement of a message proves that all
+messages of earlier rounds have left the channel.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from onyxhead.policy.proxies import Proxy, ProxyRegistry
 from onyxhead.time_units import TICKS_PER_SECOND
 
-#: Fraction of the queue limit up to which withdrawals may fill it; the rest covers lines not foreseen.
+#: Fraction of the queue limit that withdrawals may fill; the rest is for lines that the estimate of their cost misses.
 WITHDRAWAL_QUEUE_FRACTION = 0.9
-#: Fraction of the queue limit for full tables that a safety rule asks for; withdrawals must still fit.
+#: Fraction of the queue limit for full tables that a safety rule requires; withdrawals must still fit.
 URGENT_TABLE_QUEUE_FRACTION = 0.7
-#: Fraction of the queue limit for full tables otherwise.
+#: Fraction of the queue limit for other full tables.
 TABLE_QUEUE_FRACTION = 0.5
-#: Fraction of the queue limit for changes: in a slow channel they would delay the next withdrawal.
+#: Fraction of the queue limit for changes of lines and levels; more would delay the next withdrawal in a slow channel.
 CHANGE_QUEUE_FRACTION = 0.45
-#: A channel may be this many times slower than stated before a missing acknowledgement proves a loss.
+#: The channel may be this many times slower than configured; an acknowledgement that takes longer counts as lost.
 MAX_SLOWDOWN = 50
-#: Round numbers run from 1 to this and start again.
+#: Round numbers run from 1 to this value and then start again at 1.
 MAX_ROUND_NUMBER = 65_535
 
 
 class SentMessage(NamedTuple):
-    """A message that has not been acknowledged; at `expires_at` it counts as lost."""
+    """A message that has not been acknowledged; it counts as lost from `expires_at` on."""
 
     round_number: int
     proxy: int
@@ -37,10 +37,10 @@
 
 
 class ChannelBudget:
-    """Counts what is queued in the channel and what the current round has reserved in it."""
+    """Counts the lines queued in the channel and those that the current round has reserved."""
 
     def __init__(self, limits: ChannelLimits, now: int) -> None:
-        #: What a message costs beside its lines: its overhead and the line that asks for an acknowledgement.
+        #: The cost of a message without its lines: the overhead and the acknowledgement request.
         self.message_cost = limits.message_overhead + 1
         self.lines_per_second = limits.lines_per_second
         self.max_queued_lines = limits.max_queued_lines
@@ -58,7 +58,7 @@
         self._lost_after = 2 * limits.max_delay + round(longest_drain)
 
     def begin_round(self, now: int, proxies: ProxyRegistry) -> None:
-        """Drops what no longer counts, and the reservations of the round before."""
+        """Discard expired messages and the reservations of the previous round."""
         self.reserved = {}
         for proxy in proxies.by_id.values():
             while proxy.message_times and proxy.message_times[0] <= now - self._message_window:
@@ -66,43 +66,43 @@
         self.unacknowledged = [sent for sent in self.unacknowledged if sent.expires_at > now]
 
     def available(self, fraction: float, receivers: Sequence[Proxy]) -> float:
-        """The lines that each receiver may get while no more than `fraction` of the queue limit is used.
+        """Return the lines that each receiver may get without using more than `fraction` of the queue limit.
 
-        Negative if there is no room, or if one of them may not be written another message yet.
+        The result is negative if there is no room, or if a receiver has reached its limit of messages.
         """
-        fresh = [proxy for proxy in receivers if proxy.id not in self.reserved]
-        # A part of the messages a proxy may be written is kept back for what cannot wait.
+        new_receivers = [proxy for proxy in receivers if proxy.id not in self.reserved]
+        # Withdrawals may use all messages that a proxy may be sent, other decisions only a fraction of them.
         urgent = fraction >= WITHDRAWAL_QUEUE_FRACTION
         max_messages = self._max_messages if urgent else self._max_messages * fraction
-        if self._max_messages and any(len(proxy.message_times) + 1 > max_messages for proxy in fresh):
+        if self._max_messages and any(len(proxy.message_times) + 1 > max_messages for proxy in new_receivers):
             return -1.0
-        lines_left = fraction * self.max_queued_lines - self.queued() - self.message_cost * len(fresh)
+        lines_left = fraction * self.max_queued_lines - self.queued() - self.message_cost * len(new_receivers)
         return lines_left / max(1, len(receivers))
 
     def reserve(self, lines: float, receivers: Sequence[Proxy]) -> None:
-        """Reserves so many lines for each receiver, and a message if it gets none yet in this round."""
+        """Reserve lines for each receiver, and the cost of a message if it gets its first one in this round."""
         reserved = self.reserved
         for proxy in receivers:
             reserved[proxy.id] = reserved.get(proxy.id, self.message_cost) + lines
 
     def queued(self) -> float:
-        """The lines that are not acknowledged yet or reserved in this round."""
+        """Return the lines that are not acknowledged yet or are reserved in this round."""
         return sum(sent.lines for sent in self.unacknowledged) + sum(self.reserved.values())
 
     def drained_at(self, now: int) -> float:
-        """When everything sent and reserved has left the channel, if it is as fast as stated."""
+        """Return when all sent and reserved lines have left the channel, at its configured speed."""
         return max(self._drained_at, now) + self.transfer_time(sum(self.reserved.values()))
 
     def transfer_time(self, lines: float) -> float:
-        """How long the channel takes for so many lines, if it is as fast as stated."""
+        """Return the time that the channel needs for this many lines, at its configured speed."""
         return lines * TICKS_PER_SECOND / self.lines_per_second
 
     def lines_within(self, duration: int) -> float:
-        """The lines that the channel carries in this time, if it is as fast as stated."""
+        """Return the lines that the channel carries in this time, at its configured speed."""
         return self.lines_per_second * duration / TICKS_PER_SECOND
 
     def finish_round(self, now: int, proxies: ProxyRegistry) -> None:
-        """Turns the reservations into messages sent."""
+        """Record the reservations of the current round as sent messages."""
         self.last_sent = now
         self._drained_at = self.drained_at(now)
         self.round_number = self.round_number % MAX_ROUND_NUMBER + 1
@@ -112,21 +112,21 @@
             proxies.by_id[proxy].message_times.append(now)
 
     def acknowledge(self, now: int, proxy: int, round_number: int) -> None:
-        """Frees a message and what was sent in earlier rounds; an unknown acknowledgement changes nothing."""
-        place = self._position(proxy, round_number)
-        if place is None:
+        """Release an acknowledged message and those sent in earlier rounds; ignore an unknown acknowledgement."""
+        index = self._index(proxy, round_number)
+        if index is None:
             return
         self.last_acknowledged = now
-        # Messages of one round go to different proxies, so one of them proves nothing of the others.
-        same_round = [sent for sent in self.unacknowledged[:place] if sent.round_number == round_number]
-        self.unacknowledged = same_round + self.unacknowledged[place + 1 :]
+        # The messages of one round go to different proxies and have no order among each other.
+        same_round = [sent for sent in self.unacknowledged[:index] if sent.round_number == round_number]
+        self.unacknowledged = same_round + self.unacknowledged[index + 1 :]
 
-    def _position(self, proxy: int, round_number: int) -> int | None:
-        for place, sent in enumerate(self.unacknowledged):
+    def _index(self, proxy: int, round_number: int) -> int | None:
+        for index, sent in enumerate(self.unacknowledged):
             if sent.proxy == proxy and sent.round_number == round_number:
-                return place
+                return index
         return None
 
     def forget_proxy(self, proxy: int) -> None:
-        """Drops what was on its way to a proxy that left: it is lost, and must not count as queued for good."""
+        """Discard the messages to a proxy that left: they are lost, and would count as queued until they expire."""
         self.unacknowledged = [sent for sent in self.unacknowledged if sent.proxy != proxy]
--- a/onyxhead/policy/health_checks.py
+++ b/onyxhead/policy/health_checks.py
@@ -1,4 +1,4 @@
-"""When to check the health of backends, and what the results say of each."""
+"""The schedule of active health checks, and the effect of their results on backends."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from onyxhead.policy.slow_start import SlowStart
 from onyxhead.time_units import TICKS_PER_SECOND
 
-#: Time between health checks of one backend: each costs work, and twice as often tells no more than the noise.
+#: Interval between health checks of one backend. Each check costs work, and half the interval would add only noise.
 HEALTH_CHECK_INTERVAL_TICKS = 2 * TICKS_PER_SECOND
-#: Of the mean response time of a backend, the part that the next health check leaves.
+#: Decay factor of a backend's mean response time at each further health check.
 RESPONSE_TIME_MEMORY = 0.9
-#: The utilization that an unhealthy answer stands for.
+#: The utilization assumed of a backend whose health check was rejected or timed out.
 FULL_UTILIZATION = 1.0
 
 
 def due_health_checks(now: int, ready: Sequence[Backend]) -> Iterator[HealthCheckRequest]:
-    """Yields a request for each backend whose interval is over, and starts the next."""
+    """Yield a request for each backend whose health check is due, and schedule its next one."""
     for backend in ready:
         if backend.next_health_check <= now:
-            # Only where backends report their response time does a second check an interval tell more than noise.
+            # Backends that report their response time are checked twice per interval, since each report adds precision.
             divisor = 2 if backend.response_time else 1
             backend.next_health_check = now + HEALTH_CHECK_INTERVAL_TICKS // divisor
             yield HealthCheckRequest(backend.id)
@@ -37,10 +37,10 @@
     rate_per_weight: dict[int, float],
     slow_start: SlowStart,
 ) -> None:
-    """Updates the backend's reachability, load and response time."""
+    """Update the backend's reachability, load and response time from the result of a health check."""
     backend.timed_out = result is HealthCheckResult.TIMED_OUT
     backend.health_check_failed = result in (HealthCheckResult.TIMED_OUT, HealthCheckResult.REJECTED)
-    # What it reported before it stopped answering no longer holds.
+    # An earlier response time says nothing about a backend that has stopped answering.
     backend.response_time = None
     if result is HealthCheckResult.UNREACHABLE:
         backend.unreachable_count += 1
@@ -52,6 +52,6 @@
             load = LoadReport(utilization=FULL_UTILIZATION if backend.utilization_sum else None)
         backend.add_load_report(load, rate_per_weight)
     if backend.response_time and slow_start.warmup_fraction(backend, now) == 1:
-        before = backend.mean_response_time or backend.response_time
-        mean = RESPONSE_TIME_MEMORY * before + (1 - RESPONSE_TIME_MEMORY) * backend.response_time
+        previous = backend.mean_response_time or backend.response_time
+        mean = RESPONSE_TIME_MEMORY * previous + (1 - RESPONSE_TIME_MEMORY) * backend.response_time
         backend.mean_response_time = mean
