--- a/onyxhead/policy/subsetting.py
+++ b/onyxhead/policy/subsetting.py
@@ -1,7 +1,7 @@
-"""Splits proxies and backends into subsets with narrow tables of their own.
+"""Splits proxies and backends into subsets with smaller tables of their own.
 
-Two conditions call for subsets: full tables for all proxies would take the channel longer than the drain grace, or
-backends accept too few connections. `docs/design.md` (departure 8) says when each acts.
+There are two reasons for subsets: sending full tables to all proxies would take longer than the drain grace, or
+backends accept too few connections. `docs/design.md` (departure 8) says when each of them applies.
 """
 
 from __future__ import annotations
@@ -17,21 +17,22 @@
 from onyxhead.policy.thresholds import CONNECTION_FAILURES, OVERLOAD_LOSS
 from onyxhead.time_units import TICKS_PER_SECOND
 
-#: Backends of a table at least; with fewer, differences of speed no longer even out.
+#: A table has at least this many backends; with fewer, differences of speed no longer even out.
 MIN_TABLE_BACKENDS = 12
-#: After this the subsets for few connections end, since nothing tells that their cause has gone.
+#: Subsets for limited connections end after this time, since no measurement shows that their cause has gone.
 CONNECTION_LIMIT_DURATION_TICKS = 30 * TICKS_PER_SECOND
 
 
 class Subsetting:
-    """The tables in use, and the subsets that they are for."""
+    """The current tables and the partition of proxies and backends into subsets."""
 
     def __init__(self, deployment: Deployment, feedback_delay: int, slow_start: SlowStart, now: int) -> None:
+        #: The number of subsets.
         self.count = 1
-        #: Whether the subsets are those for few connections.
+        #: Whether the current subsets are due to a shortage of connections.
         self.connection_limited = False
         self._base_tables = lay_out_tables(deployment)
-        #: The tables of all subsets, those of one base table together.
+        #: The tables of all subsets; those split from the same base table follow each other.
         self.tables = self._base_tables
         self._parts: list[list[Table]] = [[table] for table in self._base_tables]
         self._backends_per_table = _backends_per_table(deployment)
@@ -41,24 +42,24 @@
         self._repartitioned_at = now
 
     def tables_of(self, backend: Backend) -> list[Table]:
-        """The tables that may hold a line of a backend."""
+        """Return the tables that may hold a line of a backend."""
         return [table for table in self.tables if table.accepts(backend)]
 
     def tables_for(self, proxy: Proxy) -> list[Table]:
-        """The tables that are for a proxy."""
+        """Return the tables that a proxy should use."""
         return [table for table in self.tables if table.serves(proxy)]
 
     def least_busy_subset(self, proxies: Collection[Proxy]) -> int:
-        """The subset for a proxy that joins: that with the lowest baseline rate."""
+        """Return the subset for a proxy that joins: the one with the lowest baseline rate."""
         rates = [0.0] * self.count
         for proxy in proxies:
             rates[proxy.subset] += proxy.baseline_rate
         return rates.index(min(rates))
 
     def least_loaded_subset(self, entry: Endpoint, backends: Iterable[Backend]) -> int:
-        """The subset for a new backend: that with the fewest of its zone, then of its kind, then of all.
+        """Return the subset for a new backend: the one with the fewest of its zone, then of its kind, then of all.
 
-        All subsets need some backends of each zone, as whole zones are lost, and some of each kind.
+        Each subset needs backends of all zones, since a whole zone can fail, and backends of all kinds.
         """
         if self.count == 1:
             return 0
@@ -66,7 +67,7 @@
         for backend in backends:
             if not backend.ready:
                 continue
-            # The backend's subset may date from when there were more of them.
+            # A backend may have been given its subset while there were more subsets than now.
             subset = backend.subset % self.count
             in_zone, of_kind, total = counts[subset]
             counts[subset] = (in_zone + (backend.zone == entry.zone), of_kind + (backend.kind == entry.kind), total + 1)
@@ -80,20 +81,20 @@
         proxies: Collection[Proxy],
         fleet: FleetStatistics,
     ) -> None:
-        """Repartitions if one of the two conditions began or ended, or a subset lost all its backends."""
+        """Repartition if a reason for subsets began or ended, or if a subset lost all its backends."""
         candidates = [[backend for backend in ready if table.allows_zone(backend.zone)] for table in self._base_tables]
-        channel_counts = [max(1, round(len(each) / self._backends_per_table)) for each in candidates]
+        channel_counts = [max(1, round(len(backends) / self._backends_per_table)) for backends in candidates]
         if self._must_repartition(now, candidates, channel_counts, last_departure):
             self.repartition(now, channel_counts, False, ready, proxies)
-        quiet_from = max(
+        settled_at = max(
             self._repartitioned_at + 2 * self._feedback_delay, last_departure + self._slow_start.warmup_time
         )
-        few_connections = fleet.failure_fraction > CONNECTION_FAILURES and fleet.late_fraction < OVERLOAD_LOSS
-        if not few_connections or now <= quiet_from or self.connection_limited:
+        connections_scarce = fleet.failure_fraction > CONNECTION_FAILURES and fleet.late_fraction < OVERLOAD_LOSS
+        if not connections_scarce or now <= settled_at or self.connection_limited:
             return
-        # Each repartition costs all tables again: one backend a subset at once. But each subset needs a warm one for
-        # each table.
-        warm_counts = [sum(self._is_warm(backend, now) for backend in each) for each in candidates]
+        # Each repartition sends all tables again, so the first one makes as many subsets as possible. Their number is
+        # limited because each table of each subset needs a warm backend.
+        warm_counts = [sum(self._is_warm(backend, now) for backend in backends) for backends in candidates]
         count = min(len(proxies), *warm_counts)
         if count > self.count:
             self.repartition(now, [count] * len(self._base_tables), True, ready, proxies)
@@ -102,16 +103,16 @@
         self, now: int, candidates: Sequence[Sequence[Backend]], channel_counts: Sequence[int], last_departure: int
     ) -> bool:
         members = [
-            (table, [backend for backend in each if table.accepts(backend)], each)
-            for parts, each in zip(self._parts, candidates, strict=True)
+            (table, [backend for backend in backends if table.accepts(backend)], backends)
+            for parts, backends in zip(self._parts, candidates, strict=True)
             for table in parts
         ]
         if self.connection_limited:
             lacks_warm = any(not any(self._is_warm(b, now) for b in accepted) for _, accepted, _ in members)
             ended = now > self._repartitioned_at + CONNECTION_LIMIT_DURATION_TICKS
             return lacks_warm or last_departure > self._repartitioned_at or ended
-        # A subset may lose all its backends where they come and go, while another one has some to spare.
-        empty = any(not accepted and len(each) >= table.subset_count for table, accepted, each in members)
+        # A subset may lose all its backends to departures while other subsets have enough of them.
+        empty = any(not accepted and len(backends) >= table.subset_count for table, accepted, backends in members)
         grown = max(channel_counts) >= 2 * self.count
         return grown or (empty and now > self._repartitioned_at + self._drain_grace)
 
@@ -126,13 +127,13 @@
         ready: Sequence[Backend],
         proxies: Collection[Proxy],
     ) -> None:
-        """Splits each base table into so many subsets, and deals out proxies and backends by what comes to each."""
+        """Split each base table into the given number of subsets, and distribute proxies and backends over these."""
         self.count = max(counts)
         self.connection_limited = connection_limited
         self._repartitioned_at = now
         self._lay_out_parts(counts)
-        rates = self._deal_proxies(proxies)
-        self._deal_backends(now, ready, rates)
+        rates = self._distribute_proxies(proxies)
+        self._distribute_backends(now, ready, rates)
 
     def _lay_out_parts(self, counts: Sequence[int]) -> None:
         number = self.tables[-1].number
@@ -145,17 +146,19 @@
             self._parts.append(parts)
         self.tables = [table for parts in self._parts for table in parts]
 
-    def _deal_proxies(self, proxies: Collection[Proxy]) -> list[float]:
-        """Gives the busiest proxies out first, each to the least busy subset; returns the rates of the subsets."""
+    def _distribute_proxies(self, proxies: Collection[Proxy]) -> list[float]:
+        """Assign proxies, busiest first, to the least busy subset each; return the request rates of the subsets."""
         rates = [0.0] * self.count
-        for proxy in sorted(proxies, key=lambda each: (-sum(each.rates), each.id)):
+        for proxy in sorted(proxies, key=lambda candidate: (-sum(candidate.rates), candidate.id)):
             proxy.bound = False
             proxy.subset = rates.index(min(rates))
             rates[proxy.subset] += sum(proxy.rates)
         return rates
 
-    def _deal_backends(self, now: int, ready: Sequence[Backend], rates: Sequence[float]) -> None:
-        # Warm ones that most tables accept come first: a subset without one leaves its proxies without a backend.
+    def _distribute_backends(self, now: int, ready: Sequence[Backend], rates: Sequence[float]) -> None:
+        """Assign backends to subsets in proportion to the subsets' request rates, at least one to each if possible."""
+
+        # Warm backends that most tables accept come first, so that each subset gets one and its proxies can be served.
         def order(backend: Backend) -> tuple[bool, int, int, int, str]:
             accepting = sum(table.allows_zone(backend.zone) for table in self._base_tables)
             return not self._is_warm(backend, now), -accepting, backend.zone, backend.kind, backend.id
@@ -171,12 +174,12 @@
 
 
 def _backends_per_table(deployment: Deployment) -> float:
-    """How many backends a table may hold so that full tables for all proxies fit into the drain grace.
+    """Return the size of a table at which full tables for all proxies can be sent within the drain grace.
 
-    That is the case to prepare for: the other controllers die, and all proxies join this one.
+    A controller has to send these when the other controllers fail and all proxies join it.
     """
     channel = deployment.channel
     lines_in_grace = channel.lines_per_second * deployment.safety.drain_grace / TICKS_PER_SECOND
     lines_per_proxy = lines_in_grace / max(1, deployment.proxy_count)
-    # Beside the message overhead: the acknowledgement request, the assignment, and an admission level for each group.
+    # A message also holds the acknowledgement request, the assignment, and an admission level for each group.
     return max(MIN_TABLE_BACKENDS, lines_per_proxy - (channel.message_overhead + 1) - 1 - len(deployment.groups))
--- a/onyxhead/policy/table_assignment.py
+++ b/onyxhead/policy/table_assignment.py
@@ -1,4 +1,4 @@
-"""Gives proxies that joined their full tables, without filling the channel."""
+"""Assigns full tables to proxies that have joined, without filling the channel."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from onyxhead.policy.tables import Table
 from onyxhead.policy.withdrawals import WithdrawalScheduler
 
-#: Full tables may occupy the channel ahead for one part in so many of the drain grace.
+#: Full tables may keep the channel busy for the drain grace divided by this number.
 AHEAD_DIVISOR = 4
 
 
 class TableAssigner:
-    """Decides which unbound proxies get their tables now."""
+    """Decides which of the proxies without assigned tables get them now."""
 
     def __init__(
         self,
@@ -41,25 +41,25 @@
         self._group_count = len(deployment.groups)
 
     def assign(self, now: int) -> Iterator[TableAssignment]:
-        """Reserves and yields the assignments that fit, for proxies without a usable line first."""
+        """Yield the assignments that fit into the channel and reserve room for them, most urgent proxies first."""
         waiting = self._proxies.unbound()
-        # Full tables would take the room for withdrawals.
+        # Due withdrawals go first; full tables would take the room that they need.
         if not waiting or self._withdrawals.due(now, self._withdrawals.gather_time):
             return
         repeats_pending = bool(self._withdrawals.due(now, -1))
-        limits_bind = self._limits_bind_from_join(now)
+        old_tables_unsafe = self._old_tables_may_be_unsafe(now)
         usable = self._usable_tables()
-        for proxy in sorted(waiting, key=lambda each: _assignment_order(each, usable)):
+        for proxy in sorted(waiting, key=lambda candidate: _assignment_order(candidate, usable)):
             tables = self._subsets.tables_for(proxy)
             numbers = {table.number for table in tables}
-            # An empty table would take away the last lines that the proxy has.
+            # A table without usable lines would replace the lines that the proxy still has.
             if not numbers <= usable:
                 continue
             cost = self._cost(tables)
             if repeats_pending and len(waiting) * cost > self._channel.lines_within(self._drain_grace) / 2:
-                return  # withdrawals are to be sent again first, and full tables would delay them
+                return  # withdrawals must be repeated first, and full tables for all these proxies would delay them
             waited_long = now - proxy.joined_at > self._withdrawals.gather_time
-            urgent = (limits_bind and waited_long) or not proxy.assigned_tables <= usable
+            urgent = (old_tables_unsafe and waited_long) or not proxy.assigned_tables <= usable
             if not self._fits(now, proxy, cost, urgent):
                 return
             proxy.bound = True
@@ -69,15 +69,15 @@
                 every_group = len(table.groups) == self._group_count
                 yield TableAssignment(proxy.id, table.number, () if every_group else tuple(table.groups))
 
-    def _limits_bind_from_join(self, now: int) -> bool:
-        """Whether a table from before the join may hold a backend that drains or warms up."""
+    def _old_tables_may_be_unsafe(self, now: int) -> bool:
+        """Return whether a table that a proxy had before it joined may list a withdrawn or warming backend."""
         return any(
             backend.withdrawn_at or (backend.ready and self._slow_start.warmup_fraction(backend, now) < 1)
             for backend in self._endpoints.by_id.values()
         )
 
     def _usable_tables(self) -> set[int]:
-        """The tables that have a line of a backend which is ready and not withdrawn."""
+        """Return the numbers of the tables with a line of a backend that is ready and not withdrawn."""
         usable: set[int] = set()
         for backend in self._endpoints.ready():
             if not backend.withdrawn_at:
@@ -85,7 +85,7 @@
         return usable
 
     def _cost(self, tables: Sequence[Table]) -> int:
-        """The lines of these tables: lines and withdrawals of their backends, assignments and admission levels."""
+        """Return the cost of sending these tables, in lines, with withdrawals, assignments and admission levels."""
         cost = 0
         for table in tables:
             cost += 1 + len(table.groups)
@@ -98,12 +98,16 @@
         channel = self._channel
         if channel.available(URGENT_TABLE_QUEUE_FRACTION if urgent else TABLE_QUEUE_FRACTION, [proxy]) < cost:
             return False
-        # The channel is kept busy, not full: a withdrawal that comes next must still arrive within the grace. What
-        # costs less than counted shows in the acknowledgements.
+        # A withdrawal that becomes due next must still arrive within the drain grace, so the channel may be busy for a
+        # part of the grace only. The second estimate is the lower one if acknowledgements arrive sooner than expected.
         busy_for = min(channel.drained_at(now) - now, channel.transfer_time(channel.queued()))
         return busy_for <= self._drain_grace / AHEAD_DIVISOR
 
 
 def _assignment_order(proxy: Proxy, usable: set[int]) -> tuple[bool, bool, float, int]:
-    """Sorts proxies left without a usable table first, then those with their standing table only, then the busiest."""
+    """Return the sort key of a proxy that waits for its tables.
+
+    Proxies without a usable table come first, then those that only have the table they were started with, then the
+    busiest.
+    """
     return proxy.assigned_tables <= usable, not proxy.has_standing_table, -proxy.baseline_rate, proxy.id
