--- a/onyxhead/policy/table_changes.py
+++ b/onyxhead/policy/table_changes.py
@@ -1,4 +1,4 @@
-"""Sends the lines that should have another weight, those first that move the most requests."""
+"""Sends changed line weights, starting with the changes that move the most requests."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from onyxhead.policy.subsetting import Subsetting
 from onyxhead.time_units import TICKS_PER_SECOND
 
-#: A rate in requests a second above all others, for lines that go first.
+#: Stands for a request rate higher than any real one, to send a line before all others.
 HIGHEST_RATE = 1e6
-#: Changes wait while more than one part in so many of their own queue limit is not acknowledged.
+#: Changes wait while the unacknowledged lines exceed their own queue limit divided by this number.
 BUSY_DIVISOR = 4
 
 
 class LineChange(NamedTuple):
-    """New weights of a backend's lines, by table, and the requests a second that they move."""
+    """New weights of a backend's lines, by table, and the requests a second that they move to or from the backend."""
 
     moved_rate: float
     backend: Backend
@@ -30,7 +30,7 @@
 
 
 class TableUpdater:
-    """Decides which lines to send in a round."""
+    """Decides which changed lines to send in a round."""
 
     def __init__(
         self,
@@ -51,15 +51,16 @@
         self._weights = weights
 
     def send_changes(self, now: int, rates: RequestRates) -> Iterator[Withdrawal | TableChange]:
-        """Reserves and yields as many changes as fit, and the end of the withdrawal of backends that returned."""
+        """Yield as many changes as fit, with the end of the withdrawal of returning backends, and reserve their room."""
         if self._must_wait(now):
             return
         bound = self._proxies.bound()
         users = {table.number: table.users(self._proxies.by_id.values()) for table in self._subsets.tables}
         lines_left = self._channel.available(CHANGE_QUEUE_FRACTION, bound) * len(bound)
-        # Where all that is ready has returned, waiting until all proxies are bound would leave them bare for good.
+        # Returning backends are held back while proxies wait for their tables, unless a table has no other usable
+        # backend. A proxy gets no table without a usable line, so both would wait for each other forever.
         hold_returning = self._all_tables_usable() and len(bound) < len(self._proxies)
-        chosen: dict[int, list[tuple[str, float]]] = {}
+        lines_by_table: dict[int, list[tuple[str, float]]] = {}
         for _, backend, lines in self._due_changes(now, rates, hold_returning):
             returning = backend.returning
             lines_per_user = 2 if returning else 1  # the line, and the end of the withdrawal
@@ -71,26 +72,26 @@
                 backend.lines[number] = weight
                 backend.changed_in_round[number] = self._channel.round_number + 1
                 backend.restart_measurement(now + self._channel.max_delay)
-                chosen.setdefault(number, []).append((backend.id, weight))
+                lines_by_table.setdefault(number, []).append((backend.id, weight))
             if returning:
                 backend.withdrawn_at = 0
                 yield Withdrawal(backend.id, False)
-        for number, sent in chosen.items():
+        for number, table_lines in lines_by_table.items():
             self.last_sent = now
-            yield TableChange(number, tuple(sent))
+            yield TableChange(number, tuple(table_lines))
 
     def _must_wait(self, now: int) -> bool:
-        """Whether too much is unacknowledged to send changes."""
-        # Many small messages would be mostly overhead, and a slow channel must keep room for what cannot wait. A
-        # message that reached nobody is never acknowledged, so the wait ends.
+        """Return whether too many lines are unacknowledged to send changes."""
+        # Many small messages would consist mostly of overhead, and a slow channel needs room for urgent decisions. The
+        # wait is limited, since a message that reached no proxy is never acknowledged.
         channel = self._channel
-        last = max(channel.last_sent, channel.last_acknowledged)
-        if now >= last + 2 * channel.max_delay + TICKS_PER_SECOND:
+        last_activity = max(channel.last_sent, channel.last_acknowledged)
+        if now >= last_activity + 2 * channel.max_delay + TICKS_PER_SECOND:
             return False
         return channel.queued() > CHANGE_QUEUE_FRACTION * channel.max_queued_lines / BUSY_DIVISOR
 
     def _all_tables_usable(self) -> bool:
-        """Whether each table has a line of a backend that is ready and not withdrawn."""
+        """Return whether each table has a line of a backend that is ready and not withdrawn."""
         usable = [backend for backend in self._endpoints.ready() if not backend.withdrawn_at]
         return all(
             any(table.accepts(backend) and backend.lines[table.number] for backend in usable)
@@ -98,16 +99,18 @@
         )
 
     def _due_changes(self, now: int, rates: RequestRates, hold_returning: bool) -> list[LineChange]:
-        found: list[LineChange] = []
+        """Return the changes to send, those that move the most requests first."""
+        changes: list[LineChange] = []
         for backend in self._endpoints.by_id.values():
             if backend.returning:
-                # Its line comes with the end of the withdrawal, so no table from before may hold it at full weight.
+                # The new line is sent with the end of the withdrawal. Otherwise a proxy would use the line of an older
+                # table, which may have the full weight.
                 lines = self._returning_lines(backend, now)
                 if any(lines.values()) and not hold_returning:
-                    found.append(LineChange(HIGHEST_RATE, backend, lines))
+                    changes.append(LineChange(HIGHEST_RATE, backend, lines))
             else:
-                found += self._changed_lines(backend, now, rates)
-        return sorted(found, key=lambda change: -change.moved_rate)
+                changes += self._changed_lines(backend, now, rates)
+        return sorted(changes, key=lambda change: -change.moved_rate)
 
     def _returning_lines(self, backend: Backend, now: int) -> dict[int, float]:
         lines = {}
@@ -125,7 +128,7 @@
                 yield LineChange(rate if backend.ready else 0.0, backend, {table.number: weight})
 
     def _ramped(self, backend: Backend, weight: float, sent: float, now: int) -> float:
-        """The weight that a line may get now: that of a warming backend rises by one step a round at most."""
+        """Return the weight that a line may get now; a warming backend gains at most one step per round."""
         if self._slow_start.warmup_fraction(backend, now) < 1:
             return min(weight, sent + backend.weight / RAMP_STEPS)
         return weight
--- a/onyxhead/policy/tables.py
+++ b/onyxhead/policy/tables.py
@@ -1,4 +1,4 @@
-"""The routing tables that proxies share: one for all traffic groups that may use the same backends."""
+"""The routing tables that proxies share; traffic groups that may use the same backends have a common table."""
 
 from __future__ import annotations
 
@@ -12,51 +12,51 @@
 
 @dataclass(slots=True, eq=False)
 class Table:
-    """One table; with subsetting, the part of its base table that one subset holds."""
+    """A table for one subset of proxies; without subsetting, there is a single subset."""
 
     number: int
-    #: The zones of the backends that it may hold, None for all.
+    #: The zones of backends that the table accepts, None for all.
     zones: frozenset[int] | None
-    #: The zone of the proxies that it is for, None for all.
+    #: The zone of proxies that use the table, None for all.
     home_zone: int | None
-    #: The traffic groups that use it.
+    #: The traffic groups that use the table.
     groups: list[int]
     subset: int = 0
-    #: The number of subsets that its base table is split into.
+    #: The number of subsets into which its base table is split.
     subset_count: int = 1
     #: The admission level last sent, by group.
     admission_levels: dict[int, float] = field(default_factory=dict)
-    #: The largest capacity weight of its backends, against which the others are measured.
+    #: The largest capacity weight of its backends; line weights use capacity weights relative to it.
     max_capacity_weight: float = 1.0
-    #: The requests a second that its backends can serve in time.
+    #: The requests a second that the accepted backends can serve in time.
     capacity: float = 0.0
 
     def allows_zone(self, zone: int) -> bool:
-        """Whether backends of a zone may serve its groups, whatever their subset."""
+        """Return whether the table's groups may use backends of this zone, regardless of the subset."""
         return self.zones is None or zone in self.zones
 
     def accepts(self, backend: Backend) -> bool:
-        """Whether it may hold a line of this backend."""
+        """Return whether the table may have a line for this backend."""
         return self.subset == backend.subset % self.subset_count and (self.zones is None or backend.zone in self.zones)
 
     def serves(self, proxy: Proxy) -> bool:
-        """Whether it is for this proxy."""
+        """Return whether this proxy should use the table."""
         return self.subset == proxy.subset % self.subset_count and self.home_zone in (None, proxy.zone)
 
     def users(self, proxies: Iterable[Proxy]) -> list[Proxy]:
-        """The proxies that it is for and that have been given their tables."""
+        """Return the proxies that should use the table and have been assigned their tables."""
         return [proxy for proxy in proxies if proxy.bound and self.serves(proxy)]
 
 
 def lay_out_tables(deployment: Deployment) -> list[Table]:
-    """The tables of a deployment before subsetting."""
+    """Return the tables of a deployment without subsetting."""
     tables: dict[tuple[frozenset[int] | None, int | None], Table] = {}
-    for place, group in enumerate(deployment.groups):
-        homes = range(deployment.zone_count) if group.home_zone_only else (None,)
-        for home in homes:
-            zones = _backend_zones(group, home)
-            table = tables.setdefault((zones, home), Table(len(tables), zones, home, []))
-            table.groups.append(place)
+    for index, group in enumerate(deployment.groups):
+        home_zones = range(deployment.zone_count) if group.home_zone_only else (None,)
+        for home_zone in home_zones:
+            zones = _backend_zones(group, home_zone)
+            table = tables.setdefault((zones, home_zone), Table(len(tables), zones, home_zone, []))
+            table.groups.append(index)
     return list(tables.values())
 
 
--- a/onyxhead/policy/warmup_limits.py
+++ b/onyxhead/policy/warmup_limits.py
@@ -1,4 +1,4 @@
-"""Keeps what all tables together bring to a warming backend below what it bears, however few are warm."""
+"""Limits the load of warming backends, over all tables, to what they can bear, even if few backends are warm."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 from onyxhead.policy.tables import Table
 from onyxhead.policy.thresholds import EXCESS_LOSS
 
-#: Of the load that makes a warming backend fail, the part it may get; the rest is for chance and late reports.
+#: The fraction of the load that makes a warming backend fail which it may get; the rest allows for chance and late
+#: reports.
 OVERLOAD_MARGIN = 0.5
-#: Where proxies eject backends after n failures, the bearable load shrinks by 1 + this / n: the newest backend,
-#: which has not failed yet, then gets what the others lose.
+#: If proxies eject backends after n failures, the bearable load is divided by 1 + this / n, since the newest backend,
+#: which has not failed yet, gets the load of the ejected ones.
 EJECTION_FAILURE_SCALE = 6
-#: The fraction of failed attempts from which ejection counts whole.
+#: The fraction of failed attempts from which the effect of ejection counts fully.
 FULL_EJECTION_FAILURES = 0.1
-#: The least fraction of backends, in effect, that ejection leaves to bear the requests.
+#: The smallest fraction of backends assumed to remain when proxies eject the failing ones.
 MIN_REMAINING_FRACTION = 0.2
-#: Limiting one backend brings more to the others, so the limits are found by repetition.
+#: Limiting one backend moves load to the others, so the limits are computed iteratively.
 LIMIT_ITERATIONS = 8
 
 
 class WarmupLimiter:
-    """Sets `warmup_limit` of the backends."""
+    """Sets the `warmup_limit` and `unlimited_load` of the backends."""
 
     def __init__(self, deployment: Deployment, slow_start: SlowStart, weights: LineWeights) -> None:
         ejection_failures = deployment.proxy_ejection_failures
@@ -39,19 +40,19 @@
 
     @property
     def least_bearable_load(self) -> float:
-        """What a backend bears, as a multiple of its normal load, while proxies eject others."""
+        """Return the load that a backend can bear while proxies eject others, as a multiple of its normal load."""
         return self._bearable_load / (1 + self._ejection_effect)
 
     def limit(
         self, now: int, ready: Sequence[Backend], tables: Sequence[Table], rates: RequestRates, fleet: FleetStatistics
     ) -> float:
-        """Sets the limits; returns the fraction of requests that may be admitted so that they hold."""
+        """Set the limits, and return the fraction of requests that can be admitted without overloading a backend."""
         expected = sum(rates.expected[table.number] for table in tables)
-        # Attempts count, not requests, and what proxies eject leaves more for the others.
+        # Retries add attempts to the requests, and the load of ejected backends moves to the others.
         attempts_per_request = max(1.0, fleet.attempt_rate / expected if expected else 1.0)
         strain = attempts_per_request / max(MIN_REMAINING_FRACTION, 1 - fleet.recent_failure_fraction)
         fractions = [self._slow_start.warmup_fraction(backend, now) for backend in ready]
-        warming = [each for each in zip(ready, fractions, strict=True) if each[1] < 1]
+        warming = [pair for pair in zip(ready, fractions, strict=True) if pair[1] < 1]
         weight = sum(backend.weight * fraction for backend, fraction in zip(ready, fractions, strict=True))
         above_baseline = expected > rates.baseline_per_weight * weight
         hold = 2 * len(warming) < len(ready) and self._must_hold(above_baseline, fleet)
@@ -60,7 +61,10 @@
         return self._find_limits(now, ready, warming, tables, rates, strain, fleet.recent_failure_fraction)
 
     def _must_hold(self, above_baseline: bool, fleet: FleetStatistics) -> bool:
-        """Whether warming backends get nothing yet: where proxies eject, those that have not failed would get all."""
+        """Return whether warming backends must get no requests yet.
+
+        If proxies eject failing backends, the warming ones, which have not failed yet, would get all the load.
+        """
         tolerated = EXCESS_LOSS / 2 if above_baseline else EXCESS_LOSS
         return self._ejects and fleet.recent_failure_fraction > tolerated
 
@@ -74,7 +78,8 @@
         strain: float,
         failure_fraction: float,
     ) -> float:
-        # Where next to nothing fails nobody is ejected, and a fleet that grows needs its warming backends.
+        """Lower the limits until no warming backend gets more than it can bear; return the admissible fraction."""
+        # Without failures, proxies eject no backend, and a growing fleet needs its warming backends.
         ejection = self._ejection_effect * min(1.0, failure_fraction / FULL_EJECTION_FAILURES)
         bearable_load = self._bearable_load / (1 + ejection)
         admissible = 1.0
@@ -97,7 +102,7 @@
     def _rates_per_weight(
         self, now: int, ready: Sequence[Backend], tables: Sequence[Table], rates: RequestRates, strain: float
     ) -> dict[int, float]:
-        """What a unit of line weight would attract with the limits so far, by table."""
+        """Return the rate that a unit of line weight would attract under the current limits, by table."""
         per_weight = {}
         for table in tables:
             weight = sum(self._weights.weight(backend, table, now) for backend in ready if table.accepts(backend))
