--- a/onyxhead/policy/table_changes.py
+++ b/onyxhead/policy/table_changes.py
@@ -51,7 +51,7 @@
         self._weights = weights
 
     def send_changes(self, now: int, rates: RequestRates) -> Iterator[Withdrawal | TableChange]:
-        """Yield as many changes as fit, with the end of the withdrawal of returning backends, and reserve their room."""
+        """Yield as many changes as fit, with the end of the withdrawal of returning backends, and reserve room."""
         if self._must_wait(now):
             return
         bound = self._proxies.bound()
--- a/onyxhead/policy/withdrawals.py
+++ b/onyxhead/policy/withdrawals.py
@@ -107,8 +107,8 @@
         if channel.queued() <= overhead:
             return False
         early = now - min(backend.departed_at or now for backend in due) < self.gather_time
-        # A channel slower than configured is still busy after `drained_at`; recent acknowledgements and little room show
-        # this. Sent one by one, withdrawals would then consist almost entirely of overhead.
+        # A channel slower than configured is still busy after `drained_at`, which recent acknowledgements and little
+        # room show. Sent one by one, withdrawals would then consist almost entirely of overhead.
         acknowledged_recently = now < channel.last_acknowledged + 2 * channel.max_delay
         slow = acknowledged_recently and lines_left < overhead
         full = lines_left < cost and (slow or channel.drained_at(now) > now)
--- a/tests/policy_harness.py
+++ b/tests/policy_harness.py
@@ -1,4 +1,4 @@
-"""Gives the policy the events that a host would, and keeps what its decisions come to at each proxy."""
+"""A test harness that feeds events to the policy and applies its decisions to simulated proxies."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 MAX_QUEUED_LINES = 1000
 
 
-def traffic_group(retry_safety: RetrySafety = RetrySafety.IDEMPOTENT, **other: object) -> TrafficGroup:
+def traffic_group(retry_safety: RetrySafety = RetrySafety.IDEMPOTENT, **overrides: object) -> TrafficGroup:
     group = TrafficGroup(
         "g", 1.0, TICKS_PER_SECOND, 3 * TICKS_PER_SECOND, retry_safety, "all", 5 * TICKS_PER_SECOND, None, False
     )
-    return group._replace(**other)
+    return group._replace(**overrides)
 
 
-def deployment(*groups: TrafficGroup, **other: object) -> Deployment:
+def deployment(*groups: TrafficGroup, **overrides: object) -> Deployment:
     return Deployment(
         zone=0,
         zone_count=3,
@@ -60,7 +60,7 @@
         report_interval=TICKS_PER_SECOND,
         health_checks_allowed=False,
         subscription_required=False,
-    )._replace(**other)
+    )._replace(**overrides)
 
 
 def ready_endpoint(backend: str, started_at: int = 0, zone: int = 0, kind: int = 0) -> Endpoint:
@@ -77,21 +77,24 @@
 
 @dataclass
 class SimulatedProxy:
-    """A joined proxy: it uses its standing lines until it is given the shared tables."""
+    """A joined proxy, which uses its standing lines until it is assigned the shared tables.
+
+    The standing lines are those of the table that the proxy was started with.
+    """
 
     standing: tuple[str, ...]
     joined_at: int
     assigned_tables: set[int] = field(default_factory=set)
-    #: Tables on their way to it, as they were when they were assigned.
+    #: Tables on their way to the proxy, with their lines at the time of the assignment.
     pending_tables: dict[int, dict[str, float]] = field(default_factory=dict)
     tables: dict[int, dict[str, float]] = field(default_factory=dict)
     withdrawn: set[str] = field(default_factory=set)
 
     def lines(self, table: int = 0) -> dict[str, float]:
-        """The backends that it may pick, with weights."""
-        first = next(iter(self.tables.values()), dict.fromkeys(self.standing, 1.0))
-        held = self.tables.get(table, first)
-        return {backend: weight for backend, weight in held.items() if backend not in self.withdrawn}
+        """Return the backends that the proxy may pick for a table, with their weights."""
+        default = next(iter(self.tables.values()), dict.fromkeys(self.standing, 1.0))
+        lines = self.tables.get(table, default)
+        return {backend: weight for backend, weight in lines.items() if backend not in self.withdrawn}
 
     def apply(self, decision: Decision) -> None:
         match decision:
@@ -102,14 +105,14 @@
                 (self.withdrawn.add if withdrawn else self.withdrawn.discard)(backend)
 
     def assign(self, assignment: TableAssignment, withdrawn: set[str]) -> None:
-        """Takes a full table, with the first one also what is withdrawn."""
+        """Take over a full table, and with the first table also the current withdrawals."""
         self.withdrawn = self.withdrawn if self.tables else set(withdrawn)
         assigned = {assignment.table: self.pending_tables.pop(assignment.table)}
         self.tables = (self.tables if assignment.groups else {}) | assigned
 
 
 class QueuedMessage(NamedTuple):
-    """A message in the channel."""
+    """A message in the channel from the controller to a proxy."""
 
     receiver: SimulatedProxy
     proxy: int
@@ -119,7 +122,10 @@
 
 
 class PolicyHarness:
-    """One policy and its proxies behind a channel that keeps order, of a rate that a test may change."""
+    """A policy and its simulated proxies, connected by a channel that keeps order.
+
+    A test may change `lines_per_second`, the actual rate of the channel, which the policy does not know.
+    """
 
     def __init__(self, deployment: Deployment, backends: list[Endpoint], now: int = 100 * TICKS_PER_SECOND) -> None:
         self.deployment, self.now = deployment, now
@@ -176,7 +182,7 @@
     # Decisions
 
     def decide(self) -> list[Decision]:
-        """Runs one round and queues its messages."""
+        """Run one decision round and queue its messages."""
         decisions = list(self.policy.decisions(self.now))
         self.decisions += decisions
         requests = [decision for decision in decisions if isinstance(decision, AcknowledgementRequest)]
@@ -195,34 +201,42 @@
         return decisions
 
     def lines_by_proxy(self, decision: Decision) -> dict[int, float]:
-        """Books a decision as the controller does, and counts its lines at each proxy."""
+        """Record a decision as the controller does, and return the lines that it costs by proxy."""
         match decision:
             case TableChange(table, lines):
                 self.tables.setdefault(table, {}).update(lines)
                 return dict.fromkeys(self.users(table), float(len(lines)))
             case AdmissionLevel(table, groups, level, retry_mode):
-                self.admission_levels.update({(table, place): (level, retry_mode) for place in groups})
+                self.admission_levels.update({(table, group): (level, retry_mode) for group in groups})
                 return dict.fromkeys(self.users(table), 1.0)
             case Withdrawal(backend, withdrawn):
                 (self.withdrawn.add if withdrawn else self.withdrawn.discard)(backend)
-                return {p: 1.0 for p, known in self.proxies.items() if not withdrawn or self.may_hold(known, backend)}
+                return {
+                    number: 1.0
+                    for number, proxy in self.proxies.items()
+                    if not withdrawn or self.may_hold(proxy, backend)
+                }
             case TableAssignment(proxy, table, groups):
                 return {proxy: self.assign(self.proxies[proxy], table, bool(groups))}
         return {}
 
-    def assign(self, receiver: SimulatedProxy, table: int, other_groups_stay: bool) -> float:
-        receiver.assigned_tables = receiver.assigned_tables | {table} if other_groups_stay else {table}
-        held = {b: w for b, w in self.tables.get(table, {}).items() if w}
-        receiver.pending_tables[table] = held
-        return 1.0 + len(held) + len(self.withdrawn & set(held))
+    def assign(self, receiver: SimulatedProxy, table: int, keep_other_tables: bool) -> float:
+        """Queue a full table for a proxy, and return the lines that it costs."""
+        receiver.assigned_tables = receiver.assigned_tables | {table} if keep_other_tables else {table}
+        lines = {b: w for b, w in self.tables.get(table, {}).items() if w}
+        receiver.pending_tables[table] = lines
+        return 1.0 + len(lines) + len(self.withdrawn & set(lines))
 
     def may_hold(self, receiver: SimulatedProxy, backend: str) -> bool:
-        """Whether a withdrawal of this backend goes to the proxy: only if a table it has or gets has its line."""
+        """Return whether a withdrawal of this backend is sent to the proxy.
+
+        The proxy must have or be getting a table with a line for the backend.
+        """
         assigned = [self.tables.get(table, {}) for table in receiver.assigned_tables]
-        return any(held.get(backend) for held in assigned) or (not assigned and backend in receiver.standing)
+        return any(lines.get(backend) for lines in assigned) or (not assigned and backend in receiver.standing)
 
     def users(self, table: int) -> list[int]:
-        return [proxy for proxy, known in self.proxies.items() if table in known.assigned_tables]
+        return [number for number, proxy in self.proxies.items() if table in proxy.assigned_tables]
 
     # The channel
 
@@ -230,7 +244,7 @@
         return sum(sent.lines for sent in self.queue)
 
     def deliver(self, duration: int) -> None:
-        """Delivers and acknowledges what the channel carries in this time."""
+        """Deliver and acknowledge the messages that the channel carries in this time."""
         carried = self.sendable_lines + self.lines_per_second * duration / TICKS_PER_SECOND
         self.sendable_lines = min(carried, max(self.queued_lines(), 0.0))
         while self.queue and self.queue[0].lines <= self.sendable_lines:
@@ -244,7 +258,7 @@
             self.policy.on_acknowledgement(self.now, sent.proxy, sent.round_number, 100)
 
     def run(self, seconds: float, step: int = 1_000) -> list[Decision]:
-        """Delivers and decides in steps of so many ticks; returns the decisions."""
+        """Deliver messages and run decision rounds in steps of `step` ticks, and return the decisions."""
         first = len(self.decisions)
         for _ in range(int(seconds * TICKS_PER_SECOND / step)):
             self.now += step
@@ -256,10 +270,13 @@
 # Traffic
 
 
-def fleet(count: int, *proxies: int, **other: object) -> PolicyHarness:
-    """So many backends b0, b1 ... in three zones and of two kinds, and these proxies, after a second."""
+def fleet(count: int, *proxies: int, **overrides: object) -> PolicyHarness:
+    """Create a harness with `count` backends and the given proxies, and run it for a second.
+
+    The backends are called b0, b1 and so on, spread over three zones and two kinds.
+    """
     backends = [ready_endpoint(f"b{n}", zone=n % 3, kind=n % 2) for n in range(count)]
-    harness = PolicyHarness(deployment(**other), backends)
+    harness = PolicyHarness(deployment(**overrides), backends)
     for proxy in proxies:
         harness.join(proxy, "b0", "b1")
     harness.run(1)
@@ -267,14 +284,14 @@
 
 
 def report_traffic(harness: PolicyHarness, seconds: int, requests: int = 10, **results: tuple[int, int]) -> None:
-    """Runs with so many requests a second at each proxy.
+    """Run for some seconds with `requests` requests a second at each proxy.
 
-    Every backend has 20 attempts a second that succeed in 0.1 s, but for those named with their failures and mean
-    latency; `all` names all others.
+    Each backend gets 20 attempts a second, which succeed with a latency of 0.1 s. `results` gives other numbers of
+    failures and mean latencies by backend; the key `all` stands for all backends not named.
     """
     for _ in range(seconds):
-        for backend, known in harness.policy.endpoints.by_id.items():
-            if known.ready:
+        for backend, state in harness.policy.endpoints.by_id.items():
+            if state.ready:
                 failures, mean_latency = results.get(backend, results.get("all", (0, 1000)))
                 harness.report_attempts(backend, 20, failures, mean_latency)
         for proxy in harness.proxies:
@@ -285,26 +302,27 @@
 def run_health_checks(
     harness: PolicyHarness, *unhealthy: str, result: HealthCheckResult = HealthCheckResult.TIMED_OUT
 ) -> None:
-    """Runs three seconds, then answers the health checks of that time; those named get `result`."""
+    """Run for three seconds, then answer the requested health checks; those of `unhealthy` backends get `result`."""
     for decision in harness.run(3):
         if isinstance(decision, HealthCheckRequest):
-            lost = decision.backend in unhealthy
-            harness.report_health(decision.backend, result if lost else HealthCheckResult.HEALTHY, utilization=0.5)
+            failed = decision.backend in unhealthy
+            harness.report_health(decision.backend, result if failed else HealthCheckResult.HEALTHY, utilization=0.5)
     harness.run(1.1)
 
 
 def answer_health_checks(harness: PolicyHarness, seconds: int, **latency: int) -> list[Decision]:
-    """Runs while each health check is answered at once, with a response time of 0.1 s.
+    """Run for some seconds while each health check is answered at once, with a response time of 0.1 s.
 
-    Those named (`all` for the others) tell another one, in ticks; 0 stands for no answer in time.
+    `latency` gives other response times in ticks by backend, where 0 stands for a time-out; the key `all` stands for
+    all backends not named.
     """
     decisions: list[Decision] = []
     for _ in range(10 * seconds):
-        decided = harness.run(0.1)
-        decisions += decided
-        for request in decided:
+        step_decisions = harness.run(0.1)
+        decisions += step_decisions
+        for request in step_decisions:
             if isinstance(request, HealthCheckRequest):
-                told = latency.get(request.backend, latency.get("all", 1000))
-                result = HealthCheckResult.HEALTHY if told else HealthCheckResult.TIMED_OUT
-                harness.report_health(request.backend, result, latency=told or None)
+                response_time = latency.get(request.backend, latency.get("all", 1000))
+                result = HealthCheckResult.HEALTHY if response_time else HealthCheckResult.TIMED_OUT
+                harness.report_health(request.backend, result, latency=response_time or None)
     return decisions
