--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -1,4 +1,4 @@
-"""Admission levels: load shedding and recovery."""
+"""Tests of admission levels: load shedding and recovery."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 
 
-def test_overload_of_all_backends_lowers_the_levels_and_no_weight() -> None:
+def test_overload_of_all_backends_lowers_admission_levels_but_no_weight() -> None:
     harness = fleet(8, 1, 2)
     report_traffic(harness, 4)
     report_traffic(harness, 4, all=(10, 12_000))
@@ -26,7 +26,7 @@
     assert 0.2 <= harness.admission_levels[0, 0][0] < 1
 
 
-def test_levels_recover_as_soon_as_responses_are_fast_whatever_fails() -> None:
+def test_levels_recover_once_responses_are_fast_even_if_attempts_still_fail() -> None:
     harness = fleet(8, 1, 2)
     report_traffic(harness, 4)
     report_traffic(harness, 12, all=(10, 12_000))
@@ -34,22 +34,22 @@
     assert harness.admission_levels[0, 0][0] == 1
 
 
-def test_rate_level_divides_the_requests_among_proxies() -> None:
+def test_rate_levels_divide_the_admitted_requests_among_proxies() -> None:
     harness = fleet(8, 1, 2, admission_mode=AdmissionMode.RATE)
     report_traffic(harness, 3)
     report_traffic(harness, 3, all=(10, 12_000))
     assert 0 < harness.admission_levels[0, 0][0] <= 10
 
 
-def test_levels_allow_no_retry_that_might_have_a_second_effect() -> None:
+def test_retry_modes_forbid_retries_that_could_have_a_second_effect() -> None:
     unsafe = traffic_group(RetrySafety.NOT_IDEMPOTENT)
-    loose = deployment(unsafe, traffic_group(RetrySafety.DEDUPLICATED), traffic_group(), default_retry_mode=2)
-    assert PolicyHarness(loose, []).policy.admission.retry_modes == [1, 1, 2]
-    strict = loose._replace(safety=loose.safety._replace(rejection_may_have_effect=True))
+    lenient = deployment(unsafe, traffic_group(RetrySafety.DEDUPLICATED), traffic_group(), default_retry_mode=2)
+    assert PolicyHarness(lenient, []).policy.admission.retry_modes == [1, 1, 2]
+    strict = lenient._replace(safety=lenient.safety._replace(rejection_may_have_effect=True))
     assert PolicyHarness(strict, []).policy.admission.retry_modes == [0, 0, 2]
 
 
-def test_levels_are_cut_to_seven_tenths_of_what_was_served_and_no_further() -> None:
+def test_target_rate_is_not_cut_below_seven_tenths_of_the_served_rate() -> None:
     harness = fleet(8, 1, 2)
     report_traffic(harness, 4)
     targets = []
@@ -57,12 +57,13 @@
         report_traffic(harness, 1, all=(10, 12_000))
         targets.append(harness.policy.admission.target_rate)
     limits = [target for target in targets if target]
-    # The first cut is to four fifths; the most that was served fades by a two-hundredth a second.
+    # The first cut is to 0.8 of the served rate, the limit 0.7 of it; the highest served rate decays by 0.5 % a second.
     assert limits and min(limits) > 0.82 * limits[0]
 
 
 def test_levels_follow_health_checks_before_attempt_statistics() -> None:
-    # Bursts were over, or had overloaded the fleet, before statistics that are seconds late moved a level.
+    # Attempt statistics are seconds late. With these alone, a burst was over or had overloaded the fleet before a level
+    # changed.
     harness = fleet(9, 1, 2, health_checks_allowed=True)
     report_traffic(harness, 3, requests=90)
     answer_health_checks(harness, 3, all=12_000)
@@ -71,7 +72,7 @@
     assert harness.admission_levels[0, 0][0] == 1
 
 
-def test_some_slow_backends_lower_no_level() -> None:
+def test_a_minority_of_slow_backends_lowers_no_level() -> None:
     harness = fleet(9, 1, 2, health_checks_allowed=True)
     report_traffic(harness, 3, requests=90)
     answer_health_checks(harness, 6, b0=30_000, b1=30_000, b2=30_000, b3=30_000)
@@ -88,7 +89,7 @@
     assert not harness.policy.admission.uses_health_checks and harness.admission_levels[0, 0][0] < 1
 
 
-def test_slight_lateness_lowers_the_level_slightly_though_backends_look_full() -> None:
+def test_slight_lateness_lowers_the_level_slightly_even_at_full_reported_utilization() -> None:
     harness = fleet(8, 1, 2)
     for _ in range(6):
         for backend in harness.policy.endpoints.by_id:
@@ -99,8 +100,8 @@
     assert 0.1 < harness.policy.admission.late_fraction < 0.2 and 0.85 < harness.admission_levels[0, 0][0] < 1
 
 
-def test_rate_level_bounds_also_groups_that_are_admitted_whole() -> None:
-    # A burst is reported seconds late: what is known of the first group does not bound what comes of it.
+def test_rate_levels_also_limit_fully_admitted_groups() -> None:
+    # A burst is reported seconds late, so the actual request rate of the first group may exceed its reported rate.
     groups = (traffic_group(utility=3.0), traffic_group())
     harness = PolicyHarness(
         deployment(*groups, admission_mode=AdmissionMode.RATE), [ready_endpoint(f"b{n}") for n in range(8)]
@@ -113,8 +114,8 @@
     assert harness.policy.admission.levels[0] == 1 and harness.admission_levels[0, 0][0] < 1e6
 
 
-def test_small_changes_of_level_are_not_sent() -> None:
-    # A message to every proxy each second, for a hundredth of level, delayed the withdrawal of departed backends.
+def test_small_changes_of_admission_levels_are_not_sent() -> None:
+    # A message to every proxy each second, for a change of a level by 0.01, delayed withdrawals of departed backends.
     harness = fleet(8, *range(6))
     report_traffic(harness, 3, requests=30)
     report_traffic(harness, 6, requests=30, all=(10, 12_000))
--- a/tests/test_policy_channel.py
+++ b/tests/test_policy_channel.py
@@ -1,4 +1,4 @@
-"""The channel: what waits in it, and the limits of messages to one proxy."""
+"""Tests of the channel budget: the queue limit, and the limit of messages to one proxy."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.policy_harness import deployment, draining_endpoint, fleet, ready_endpoint, report_traffic
 
 
-def test_no_further_round_is_queued_in_a_channel_far_slower_than_stated() -> None:
+def test_queue_stays_within_its_limit_in_a_channel_far_slower_than_configured() -> None:
     harness = fleet(20, *range(8))
     harness.lines_per_second /= 30
     for second in range(40):
@@ -15,7 +15,7 @@
         assert harness.queued_lines() <= harness.deployment.channel.max_queued_lines / 2
 
 
-def test_messages_to_one_proxy_stay_within_their_limit() -> None:
+def test_messages_to_one_proxy_stay_within_the_limit() -> None:
     channel = deployment().channel._replace(max_messages=4, message_window=10 * TICKS_PER_SECOND)
     harness = fleet(8, 1, channel=channel)
     for second in range(9):
@@ -32,7 +32,7 @@
     assert all(lines[f"b{n}"] < 0.5 for n in range(0, 12, 2))
 
 
-def test_proxy_that_left_delays_no_further_round() -> None:
+def test_messages_to_a_proxy_that_left_delay_no_later_round() -> None:
     harness = fleet(12, *range(20))
     harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(4)))
     harness.decide()
--- a/tests/test_policy_endpoint_list.py
+++ b/tests/test_policy_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: subscription, removals, and events that name nobody known."""
+"""Tests of the endpoint list: subscription, removals, and events about unknown proxies and backends."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     assert len([decision for decision in harness.run(1) if isinstance(decision, Withdrawal)]) == 4
 
 
-def test_rejected_subscription_is_retried_and_the_old_list_stays() -> None:
+def test_rejected_subscription_is_retried_and_the_old_list_is_kept() -> None:
     harness = fleet(4, 1, subscription_required=True)
     assert harness.decisions.count(SubscribeToEndpoints()) == 1
     harness.update_endpoints(event=WatchEvent.REJECTED)
@@ -27,8 +27,8 @@
     harness.policy.on_proxy_left(harness.now, 77)
     harness.policy.on_acknowledgement(harness.now, 77, 9, 1)
     harness.policy.on_request_rate(harness.now, 77, 9, 1, 0)
-    harness.report_attempts("nobody", 3)
-    harness.report_health("nobody", HealthCheckResult.HEALTHY)
+    harness.report_attempts("unknown", 3)
+    harness.report_health("unknown", HealthCheckResult.HEALTHY)
     harness.update_endpoints(ready_endpoint("b1")._replace(weight=0.0))
     harness.policy.on_proxy_joined(harness.now, 1, 0, 10.0, True)
     harness.now += 10 * WARMUP_TIME
--- a/tests/test_policy_health_checks.py
+++ b/tests/test_policy_health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: unreachable backends and zones, and how often to check."""
+"""Tests of health checks: unreachable backends and zones, and the interval between checks."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.policy_harness import answer_health_checks, fleet, report_traffic, run_health_checks
 
 
-def test_unreachable_zone_keeps_a_minimal_weight_until_its_first_answer() -> None:
+def test_unreachable_zone_has_a_minimal_weight_until_its_backends_answer() -> None:
     harness = fleet(9, 1, health_checks_allowed=True)
     report_traffic(harness, 2)
     run_health_checks(harness, "b0", "b3", "b6")
@@ -17,20 +17,20 @@
     assert harness.proxies[1].lines()["b0"] == 1
 
 
-def test_no_zone_is_unreachable_where_all_time_out() -> None:
+def test_no_zone_counts_as_unreachable_if_all_zones_time_out() -> None:
     harness = fleet(9, 1, health_checks_allowed=True)
     run_health_checks(harness, *(f"b{n}" for n in range(9)))
     assert min(harness.proxies[1].lines().values()) == 1
 
 
-def test_two_refused_connections_leave_a_backend_a_minimal_weight() -> None:
+def test_two_failed_connections_reduce_a_backend_to_a_minimal_weight() -> None:
     harness = fleet(9, 1, health_checks_allowed=True)
     run_health_checks(harness, "b0", result=HealthCheckResult.UNREACHABLE)
     run_health_checks(harness, "b0", result=HealthCheckResult.UNREACHABLE)
     assert harness.proxies[1].lines()["b0"] < 0.01
 
 
-def test_health_checks_are_twice_as_frequent_only_where_they_tell_the_response_time() -> None:
+def test_health_checks_are_twice_as_frequent_only_if_they_report_response_times() -> None:
     answered = answer_health_checks(fleet(4, 1, health_checks_allowed=True), 8)
     timed_out = answer_health_checks(fleet(4, 1, health_checks_allowed=True), 8, all=0)
     counts = [
--- a/tests/test_policy_outlier_detection.py
+++ b/tests/test_policy_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: by attempt statistics, and by health checks."""
+"""Tests of outlier detection by attempt statistics and by health checks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.policy_harness import fleet, report_traffic
 
 
-def test_slow_backends_lose_weight_though_half_of_the_fleet_is_slow() -> None:
+def test_slow_backends_lose_weight_even_if_half_of_the_fleet_is_slow() -> None:
     harness = fleet(8, 1)
     report_traffic(harness, 14, **{f"b{n}": (8, 9000) for n in range(0, 8, 2)})
     lines = harness.proxies[1].lines()
@@ -33,7 +33,7 @@
     assert lines["b4"] < 0.9 and all(lines[f"b{n}"] == 1 for n in range(9) if n != 4)
 
 
-def test_health_checks_lower_no_weight_where_many_time_out() -> None:
+def test_health_checks_lower_no_weight_if_many_time_out() -> None:
     harness = fleet(9, 1, health_checks_allowed=True)
     report_traffic(harness, 6)
     for _ in range(4):
@@ -44,7 +44,7 @@
     assert all(harness.policy.endpoints.by_id[f"b{n}"].health_weight == 1 for n in range(3, 6))
 
 
-def test_fast_health_checks_hide_no_backend_whose_requests_fail() -> None:
+def test_fast_health_checks_do_not_hide_a_backend_whose_requests_fail() -> None:
     harness = fleet(9, 1, health_checks_allowed=True)
     for _ in range(12):
         for n in range(9):
@@ -53,7 +53,7 @@
     assert harness.proxies[1].lines()["b4"] < 0.3
 
 
-def test_health_checks_with_errors_lower_the_weight_before_attempt_statistics_do() -> None:
+def test_rejected_health_checks_lower_the_weight_before_attempt_statistics_do() -> None:
     harness = fleet(9, 1, health_checks_allowed=True)
     report_traffic(harness, 6)
     for second in range(5):
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the ramp of new backends, and what they bear while they warm up."""
+"""Tests of slow start: the ramp of new backends, and the limits of their load while they warm up."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 )
 
 
-def test_backend_that_returns_under_its_old_identifier_starts_at_a_tenth_and_rises_in_tenths() -> None:
+def test_weight_of_a_returning_backend_starts_at_a_tenth_and_rises_in_tenths() -> None:
     harness = fleet(6, 1)
     harness.update_endpoints(departed_endpoint("b2"))
     harness.run(8)
     harness.update_endpoints(ready_endpoint("b2", started_at=harness.now))
-    seen = [0.0]
+    weights = [0.0]
     for _ in range(17):
         harness.run(1)
-        seen.append(harness.proxies[1].lines().get("b2", 0.0))
-    assert 0.1 in seen and seen[-1] == 1.0
-    assert all(later - earlier < 0.11 for earlier, later in pairwise(seen[:14]))
+        weights.append(harness.proxies[1].lines().get("b2", 0.0))
+    assert 0.1 in weights and weights[-1] == 1.0
+    assert all(later - earlier < 0.11 for earlier, later in pairwise(weights[:14]))
 
 
-def test_warming_backend_gets_no_more_than_it_bears_though_few_are_warm() -> None:
+def test_warming_backends_are_not_overloaded_even_if_few_backends_are_warm() -> None:
     harness = fleet(10, 1)
     report_traffic(harness, 4)
     started_at = harness.now
@@ -40,11 +40,11 @@
     report_traffic(harness, 6)
     lines = harness.proxies[1].lines()
     warmup = 0.2 + 0.8 * (harness.now - started_at) / WARMUP_TIME
-    # A backend was seen to serve 20 requests a second; 140 come to the seven that are left.
+    # The policy has measured 20 requests a second at each backend; the seven remaining backends get 140 together.
     assert all(0 < 140 * lines[f"n{n}"] / sum(lines.values()) <= 20 * 1.5 * warmup for n in range(6))
 
 
-def test_warming_backends_serve_at_a_lower_admission_level_where_hardly_any_is_warm() -> None:
+def test_admission_level_is_lowered_for_warming_backends_if_none_is_warm() -> None:
     harness = PolicyHarness(
         deployment(), [ready_endpoint(f"b{n}", started_at=99 * TICKS_PER_SECOND) for n in range(10)]
     )
@@ -54,7 +54,7 @@
     assert harness.admission_levels[0, 0][0] < 0.5
 
 
-def test_warming_backends_are_limited_to_what_they_bear_at_the_next_admission_level() -> None:
+def test_expected_rates_allow_for_the_next_rise_of_the_admission_level() -> None:
     harness = fleet(10, 1)
     report_traffic(harness, 4, requests=200)
     report_traffic(harness, 8, requests=200, all=(10, 12_000))
@@ -63,11 +63,13 @@
     assert expected > 1.2 * harness.policy.admission.levels[0] * 200
 
 
-def test_growing_fleet_without_failures_uses_its_warming_backends_though_proxies_eject() -> None:
-    calm, failing = (fleet(6, 1, proxy_ejection_failures=3) for _ in range(2))
-    for harness, results in ((calm, (0, 1000)), (failing, (3, 1000))):
+def test_growing_fleet_without_failures_uses_its_warming_backends_even_if_proxies_eject() -> None:
+    healthy, failing = (fleet(6, 1, proxy_ejection_failures=3) for _ in range(2))
+    for harness, results in ((healthy, (0, 1000)), (failing, (3, 1000))):
         report_traffic(harness, 6, requests=120, all=results)
         harness.update_endpoints(*(ready_endpoint(f"n{n}", started_at=harness.now) for n in range(10)))
         report_traffic(harness, 5, requests=120, all=results)
-    shares = [sum(harness.proxies[1].lines().get(f"n{n}", 0.0) for n in range(10)) for harness in (calm, failing)]
-    assert shares[0] > 1.5 * shares[1]
+    new_weights = [
+        sum(harness.proxies[1].lines().get(f"n{n}", 0.0) for n in range(10)) for harness in (healthy, failing)
+    ]
+    assert new_weights[0] > 1.5 * new_weights[1]
