--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -1,4 +1,4 @@
-"""A plain model of the safety rules beside the policy, on generated schedules with several controllers."""
+"""Tests of the policy against an independent model of the safety rules, on generated schedules of events."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
     ready_endpoint,
 )
 
-STEP = 1_000
-#: What a warming backend may get, as a multiple of what it can do; above 3 by some slack for chance.
+STEP_TICKS = 1_000
+#: The load that a warming backend may get, as a multiple of what it can do: the limit of 3 with a tolerance for chance.
 OVERLOAD_FACTOR = 3.3
 INITIAL_WARMUP_FRACTION = 0.2
 
 
 class RuleChecker:
-    """What the rules allow one controller, worked out anew in each step from the whole history."""
+    """Checks one controller against the rules, computed in each step from the whole history of its endpoints."""
 
     def __init__(self, harness: PolicyHarness) -> None:
         self.harness = harness
         self.history: dict[str, list[tuple[int, Endpoint]]] = {}
-        #: When each proxy last had a line, or had none for want of warm backends.
+        #: When each proxy last had a line, or could have none because no backend was warm.
         self.last_served: dict[int, int] = {}
+        #: Since when each warming backend has been overloaded by the lines of a proxy, by proxy and backend.
         self.overloaded_since: dict[tuple[int, str], int] = {}
         self.most_ready = 0
 
@@ -83,17 +84,17 @@
             overloaded = equal_backends and warmup < 1 and load > OVERLOAD_FACTOR * warmup
             if not overloaded:
                 self.overloaded_since.pop((number, backend), None)
-            # What is sent counts against the controller once it has known of the start for the grace.
+            # The controller has the drain grace, from the start of the overload or the join, to correct the lines.
             since = self.overloaded_since.setdefault((number, backend), now) if overloaded else now
             assert now - max(since, proxy.joined_at) <= DRAIN_GRACE * slowdown, (backend, load, warmup)
 
 
 class Schedule:
-    """Backends start, drain, fail and return; proxies join, disconnect and change their controller."""
+    """A random schedule: backends start, drain, fail and return; proxies join, disconnect and change controllers."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        # With unequal backends some lose weight, and the plain share of a warming one says little.
+        # If backends differ, some lose weight, and the load of a warming one cannot be computed from its weight alone.
         self.equal_backends = seed % 2 == 0
         self.names = [f"b{n}" for n in range(self.random.randint(4, 16))]
         self.endpoints = {name: ready_endpoint(name, zone=n % 3, kind=n % 2) for n, name in enumerate(self.names)}
@@ -117,25 +118,25 @@
 
     def reconnect(self, proxy: int) -> None:
         controller = self.controller_of[proxy]
-        held = tuple(controller.harness.proxies[proxy].lines())
+        last_lines = tuple(controller.harness.proxies[proxy].lines())
         controller.harness.leave(proxy)
         controller.last_served.pop(proxy, None)
-        self.join(proxy, held)
+        self.join(proxy, last_lines)
 
     def restart(self, controller: RuleChecker) -> None:
-        proxies = [proxy for proxy, known in self.controller_of.items() if known is controller]
-        held = {proxy: tuple(controller.harness.proxies[proxy].lines()) for proxy in proxies}
+        proxies = [proxy for proxy, its_controller in self.controller_of.items() if its_controller is controller]
+        last_lines = {proxy: tuple(controller.harness.proxies[proxy].lines()) for proxy in proxies}
         controller.harness = self.start_controller(controller.harness.now)
         controller.history, controller.last_served = {}, {}
         self.record_endpoints(controller)
         for proxy in proxies:
-            controller.harness.join(proxy, *held[proxy])
+            controller.harness.join(proxy, *last_lines[proxy])
 
     def change_endpoint(self) -> None:
         name, now = self.random.choice(self.names), self.controllers[0].harness.now
         entry = self.endpoints[name]
-        long_ready = sum(other.ready and not other.started_at for other in self.endpoints.values())
-        if entry.ready and long_ready > len(self.names) / 2:
+        warm_from_start = sum(other.ready and not other.started_at for other in self.endpoints.values())
+        if entry.ready and warm_from_start > len(self.names) / 2:
             entry = entry._replace(ready=False, draining=self.random.random() < 0.5)
         else:
             entry = entry._replace(ready=True, draining=False, started_at=now)
@@ -152,14 +153,14 @@
             harness.lines_per_second = harness.deployment.channel.lines_per_second / slowdown
             if self.random.random() < 0.05:
                 self.report_attempts(harness)
-            harness.run(STEP / TICKS_PER_SECOND, STEP)
+            harness.run(STEP_TICKS / TICKS_PER_SECOND, STEP_TICKS)
             controller.check(slowdown, self.equal_backends)
 
     def report_attempts(self, harness: PolicyHarness) -> None:
-        common = (self.random.randint(0, 30), self.random.randint(500, 3000))
+        common_statistics = (self.random.randint(0, 30), self.random.randint(500, 3000))
         for name in self.names:
-            own = (self.random.randint(0, 30), self.random.randint(500, 30_000))
-            attempts, mean_latency = common if self.equal_backends else own
+            own_statistics = (self.random.randint(0, 30), self.random.randint(500, 30_000))
+            attempts, mean_latency = common_statistics if self.equal_backends else own_statistics
             failures = 0 if self.equal_backends else self.random.randint(0, attempts)
             harness.report_attempts(name, attempts, failures, mean_latency)
 
--- a/tests/test_policy_subsetting.py
+++ b/tests/test_policy_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting: narrow tables for a slow channel, and for backends that accept few connections."""
+"""Tests of subsetting: smaller tables for a slow channel, and for backends that accept few connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-def test_attempts_that_fail_everywhere_though_responses_are_fast_lead_to_narrow_tables() -> None:
+def test_failures_at_all_backends_with_fast_responses_lead_to_small_tables() -> None:
     harness = fleet(12, *range(12))
     report_traffic(harness, 4)
     report_traffic(harness, 12, all=(14, 1000))
@@ -30,8 +30,8 @@
     assert all(len(proxy.lines()) >= 11 for proxy in harness.proxies.values())
 
 
-def test_attempts_at_an_unreachable_zone_make_no_subsets() -> None:
-    # A controller that started during a network partition took its two unreachable zones for a lack of connections.
+def test_failed_attempts_at_unreachable_zones_cause_no_subsets() -> None:
+    # A controller that started during a network partition mistook its two unreachable zones for a lack of connections.
     backends = [ready_endpoint(f"b{n}", zone=n % 3) for n in range(12)]
     harness = PolicyHarness(deployment(health_checks_allowed=True), backends)
     for proxy in range(1, 9):
@@ -46,7 +46,7 @@
     assert harness.policy.subsets.count == 1 and harness.policy.fleet.failure_fraction < 0.1
 
 
-def test_no_subset_lacks_a_backend_for_a_group_that_few_may_serve() -> None:
+def test_each_subset_has_a_backend_for_a_group_that_few_backends_may_serve() -> None:
     groups = traffic_group(), traffic_group(allowed_zones=frozenset((0,)))
     harness = PolicyHarness(deployment(*groups), [ready_endpoint(f"b{n}", zone=n % 3) for n in range(12)])
     for proxy in range(12):
@@ -59,7 +59,7 @@
         assert any(table.accepts(backend) for backend in harness.policy.endpoints.by_id.values()), table.number
 
 
-def test_subset_whose_only_backend_departs_is_not_left_empty() -> None:
+def test_subset_whose_only_backend_departs_gets_another_one() -> None:
     harness = fleet(12, *range(12))
     report_traffic(harness, 4)
     report_traffic(harness, 12, all=(14, 1000))
@@ -74,29 +74,30 @@
     assert not steps_without_lines
 
 
-def test_tables_are_narrow_where_full_ones_for_all_take_longer_than_the_drain_grace() -> None:
-    # 40 proxies may have 25 lines each within the grace: the message overhead, and 17 backends of the 50.
+def test_tables_are_small_if_sending_full_ones_to_all_proxies_exceeds_the_drain_grace() -> None:
+    # Within the drain grace the channel carries 25 lines for each of 40 proxies: the message overhead, and 17 of the 50
+    # backends.
     harness = fleet(50, *range(8), proxy_count=40)
     harness.run(4)
-    held = {number: set(proxy.lines()) for number, proxy in harness.proxies.items()}
-    assert all(12 <= len(lines) <= 20 for lines in held.values())
-    assert set().union(*held.values()) == set(harness.policy.endpoints.by_id)
-    assert all({int(name[1:]) % 3 for name in lines} == {0, 1, 2} for lines in held.values())
+    lines_by_proxy = {number: set(proxy.lines()) for number, proxy in harness.proxies.items()}
+    assert all(12 <= len(lines) <= 20 for lines in lines_by_proxy.values())
+    assert set().union(*lines_by_proxy.values()) == set(harness.policy.endpoints.by_id)
+    assert all({int(name[1:]) % 3 for name in lines} == {0, 1, 2} for lines in lines_by_proxy.values())
     harness.update_endpoints(draining_endpoint("b7"))
     harness.decide()
-    holders = {number for number, lines in held.items() if "b7" in lines}
-    assert set(harness.policy.round_recipients) == holders != set(held)
+    holders = {number for number, lines in lines_by_proxy.items() if "b7" in lines}
+    assert set(harness.policy.round_recipients) == holders != set(lines_by_proxy)
     harness.update_endpoints(
         departed_endpoint("b7"), ready_endpoint("b50", started_at=harness.now - WARMUP_TIME, zone=1, kind=1)
     )
     harness.run(4)
     tables = {frozenset(proxy.lines()) for proxy in harness.proxies.values()}
-    # A new backend goes where fewest of its zone are, as whole zones are lost.
-    alike = {table: sum(int(name[1:]) % 3 == 1 for name in table - {"b50"}) for table in tables}
-    assert [alike[table] for table in tables if "b50" in table] == [min(alike.values())]
+    # A new backend joins the subset with the fewest backends of its zone, since a whole zone can fail.
+    in_zone = {table: sum(int(name[1:]) % 3 == 1 for name in table - {"b50"}) for table in tables}
+    assert [in_zone[table] for table in tables if "b50" in table] == [min(in_zone.values())]
 
 
-def test_proxies_that_join_together_during_a_deploy_get_narrow_tables_instead_of_old_withdrawals() -> None:
+def test_proxies_that_join_together_during_a_deploy_get_small_tables_instead_of_repeated_withdrawals() -> None:
     harness = fleet(50, *range(4), proxy_count=40)
     harness.run(4)
     harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(10)))
@@ -108,7 +109,7 @@
     assert not any(set(proxy.lines()) & {f"b{n}" for n in range(10)} for proxy in harness.proxies.values())
 
 
-def test_fleet_is_repartitioned_when_a_narrow_table_is_left_empty() -> None:
+def test_fleet_is_repartitioned_if_a_small_table_loses_all_its_backends() -> None:
     harness = fleet(50, *range(8), proxy_count=40)
     harness.run(4)
     lost = set(harness.proxies[0].lines())
@@ -117,9 +118,9 @@
     assert all(set(proxy.lines()) - lost and not set(proxy.lines()) & lost for proxy in harness.proxies.values())
 
 
-def test_backend_that_was_away_while_subsets_became_fewer_returns_and_new_ones_get_a_subset() -> None:
+def test_returning_and_new_backends_get_a_subset_after_the_number_of_subsets_fell() -> None:
     harness = fleet(50, *range(30), proxy_count=40)
-    harness.repartition(30, connection_limited=True)  # as where connections are few
+    harness.repartition(30, connection_limited=True)  # as if backends accepted few connections
     last = max(harness.policy.endpoints.by_id.values(), key=lambda b: b.subset)
     harness.update_endpoints(departed_endpoint(last.id))
     harness.repartition(3, connection_limited=False)
--- a/tests/test_policy_table_assignment.py
+++ b/tests/test_policy_table_assignment.py
@@ -1,4 +1,4 @@
-"""Tables: how groups share them, and when proxies that join get theirs."""
+"""Tests of tables: which groups share one, and when joining proxies get theirs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_joining_proxy_gets_the_full_table_once() -> None:
+def test_joining_proxy_gets_the_full_table_exactly_once() -> None:
     harness = fleet(6, 1)
     assert harness.proxies[1].lines() == {f"b{n}": 1.0 for n in range(6)}
     assert not any(isinstance(decision, TableChange) for decision in harness.run(5))
@@ -35,9 +35,9 @@
     ]
 
 
-def test_withdrawals_that_reach_nobody_delay_no_assignment() -> None:
-    # Withdrawals were repeated for joining proxies that held none of the backends; the messages were never sent, so
-    # never acknowledged, and counted as queued for minutes.
+def test_withdrawals_without_receivers_delay_no_assignment() -> None:
+    # Withdrawals were repeated for joining proxies without lines of the withdrawn backends. Their messages were never
+    # sent, hence never acknowledged, and counted as queued for minutes.
     harness = fleet(12, *range(12))
     harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(2, 10)))
     harness.run(4)
@@ -48,7 +48,7 @@
     assert not harness.policy.channel.unacknowledged
 
 
-def test_levels_and_full_tables_wait_for_withdrawals_that_many_joining_proxies_need() -> None:
+def test_withdrawals_for_many_joining_proxies_go_before_levels_and_full_tables() -> None:
     harness = fleet(16, *range(16))
     harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(8)))
     harness.run(1)
@@ -63,14 +63,15 @@
 
 
 def test_few_proxies_that_join_during_a_deploy_get_their_tables_without_repeated_withdrawals() -> None:
-    # Each join repeated all withdrawals to all proxies that still held a line, and the channel was never free.
+    # Each join repeated all withdrawals to all proxies that still had a line of the backend, so the channel was always
+    # busy.
     harness = fleet(30, *range(60), channel=ChannelLimits(900.0, 6.0, 3600, 2000, 5000, 0, 0))
     harness.run(8)
     harness.lines_per_second /= 2
     harness.decisions.clear()
-    for place in range(6):
-        harness.join(60 + place, "b0", "b1", "b9")
-        harness.update_endpoints(draining_endpoint(f"b{place}"))
+    for index in range(6):
+        harness.join(60 + index, "b0", "b1", "b9")
+        harness.update_endpoints(draining_endpoint(f"b{index}"))
         harness.run(0.5)
     harness.run(2)
     assert sum(isinstance(decision, Withdrawal) for decision in harness.decisions) == 6
--- a/tests/test_policy_withdrawals.py
+++ b/tests/test_policy_withdrawals.py
@@ -1,4 +1,4 @@
-"""Withdrawals of departed backends, and the end of a withdrawal."""
+"""Tests of withdrawals of departed backends, and of the end of a withdrawal."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     assert TableChange(0, (("b2", 0),)) in harness.run(2)
 
 
-def test_withdrawals_behind_a_busy_channel_gather_into_few_messages() -> None:
+def test_withdrawals_gather_into_few_messages_while_the_channel_is_busy() -> None:
     harness = fleet(20, *range(30))
     harness.run(30)
     harness.lines_per_second /= 2
@@ -24,7 +24,7 @@
     assert not any(f"b{n}" in proxy.lines() for proxy in harness.proxies.values() for n in range(12))
 
 
-def test_proxies_that_wait_for_their_tables_get_recent_withdrawals_first() -> None:
+def test_waiting_proxies_get_recent_withdrawals_before_their_tables() -> None:
     harness = fleet(80, 0)
     harness.update_endpoints(draining_endpoint("b1"))
     harness.run(1)
@@ -34,9 +34,9 @@
     assert not any("b1" in proxy.lines() for proxy in harness.proxies.values())
 
 
-def test_repeated_withdrawals_start_with_the_latest() -> None:
-    # When two of three controllers died during a deploy, backends that had departed long before filled the third one's
-    # channel, while proxies went on using those that had departed as their own controllers died.
+def test_withdrawals_are_repeated_latest_first() -> None:
+    # Two of three controllers died during a deploy. Repeated withdrawals of backends that had departed long before filled
+    # the third controller's channel, while proxies still used backends that departed as their own controllers died.
     harness = fleet(40, *range(30))
     for n in range(20):
         harness.update_endpoints(draining_endpoint(f"b{n}"))
@@ -50,8 +50,9 @@
     assert repeated[:2] == ["b19", "b18"], repeated
 
 
-def test_withdrawals_in_a_channel_far_slower_than_stated_gather_by_acknowledgements() -> None:
-    # Each was sent alone as soon as it had room, with a message to every proxy, and reached the last proxy 15 s late.
+def test_withdrawals_gather_if_acknowledgements_show_that_the_channel_is_far_slower_than_configured() -> None:
+    # Each withdrawal was sent alone as soon as it had room, in a message to every proxy, and reached the last proxy 15 s
+    # late.
     harness = fleet(40, *range(50))
     harness.run(30)
     harness.lines_per_second /= 6
@@ -60,12 +61,16 @@
         harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(6 * wave, 6 * wave + 6)))
         harness.run(2)
     harness.run(38)
-    left = [n for proxy in harness.proxies.values() for n in range(30) if f"b{n}" in proxy.lines()]
-    assert not left, (len(left), sum(isinstance(decision, AcknowledgementRequest) for decision in harness.decisions))
+    remaining = [n for proxy in harness.proxies.values() for n in range(30) if f"b{n}" in proxy.lines()]
+    assert not remaining, (
+        len(remaining),
+        sum(isinstance(decision, AcknowledgementRequest) for decision in harness.decisions),
+    )
 
 
-def test_backends_that_all_returned_are_restored_though_a_proxy_waits_for_its_table() -> None:
-    # A proxy gets no table without a line, and each waited for the other: no backend for good beside warm ones.
+def test_withdrawals_end_if_all_backends_return_while_a_proxy_waits_for_its_table() -> None:
+    # The proxy gets no table without a usable line, and the returning backends were held back until it had its table. So
+    # it never got any backend, although warm ones were ready.
     harness = fleet(2, 1)
     harness.update_endpoints(departed_endpoint("b0"), departed_endpoint("b1"))
     harness.run(8)
