--- a/onyxhead/policy/admission.py
+++ b/onyxhead/policy/admission.py
@@ -33,7 +33,7 @@
 #: Fraction of the baseline rate that is admitted at least while only some responses are late.
 MIN_BASELINE_FRACTION = 0.9
 #: Decay factor per period of the highest served rate.
-SERVED_MEMORY = 0.995
+SERVED_RATE_DECAY = 0.995
 #: Factors by which the target rises: by attempt statistics, and by health checks, which show a recovery sooner.
 RECOVERY_FACTOR = 1.2
 FAST_RECOVERY_FACTOR = 2
@@ -66,7 +66,7 @@
         self._utility = utility
         self._channel = channel
         self._feedback_delay = feedback_delay
-        self._most_served = 0.0
+        self._peak_served_rate = 0.0
         self._next_step = now
         utilities = [group.utility for group in deployment.groups]
         self._by_utility = sorted(range(len(utilities)), key=lambda group: (-utilities[group], group))
@@ -76,19 +76,21 @@
         if not self.uses_health_checks:
             self.late_fraction = late_fraction
 
-    def follow_attempts(self, now: int, best_quartile_loss: float, success_rate: float, proxies: ProxyRegistry) -> None:
+    def adjust_to_attempts(
+        self, now: int, best_quartile_loss: float, success_rate: float, proxies: ProxyRegistry
+    ) -> None:
         """Cut or raise the target rate according to attempt statistics."""
-        self._most_served = max(SERVED_MEMORY * self._most_served, success_rate)
+        self._peak_served_rate = max(SERVED_RATE_DECAY * self._peak_served_rate, success_rate)
         if self.uses_health_checks:
             return
         if best_quartile_loss > OVERLOAD_LOSS and self.late_fraction > LATE_LOSS and now >= self._next_step:
-            served = max(self._most_served, proxies.baseline_rate())
+            served = max(self._peak_served_rate, proxies.baseline_rate())
             self._cut(min(proxies.request_rate(), served))
             self._next_step = now + self._feedback_delay
         elif self.late_fraction < LATE_LOSS and self.target_rate:
             self.target_rate *= RECOVERY_FACTOR
 
-    def follow_health_checks(
+    def adjust_to_health_checks(
         self, now: int, ready: Sequence[Backend], baseline_rate: float, failure_fraction: float, late_fraction: float
     ) -> None:
         """Cut or raise the target rate according to response times of health checks.
@@ -107,7 +109,7 @@
             return
         self._next_step = now + TICKS_PER_SECOND
         if self.late_fraction > HEALTH_CHECK_CUT_LOSS:
-            self._cut(max(self._most_served, baseline_rate))
+            self._cut(max(self._peak_served_rate, baseline_rate))
         else:
             self.target_rate *= FAST_RECOVERY_FACTOR
 
--- a/onyxhead/policy/attempt_statistics.py
+++ b/onyxhead/policy/attempt_statistics.py
@@ -9,7 +9,7 @@
 
 #: Proxies avoid a backend for some time after failures, so the recent failure fraction falls at most by this factor
 #: a period.
-FAILURE_MEMORY = 0.9
+FAILURE_DECAY = 0.9
 
 
 @dataclass(slots=True)
@@ -78,7 +78,7 @@
         rate = ended.attempts * TICKS_PER_SECOND / (now - self._period_began)
         self.attempt_rate = (self.attempt_rate + rate) / 2
         self.failure_fraction = ended.failures / ended.attempts if ended.attempts else 0.0
-        self.recent_failure_fraction = max(self.failure_fraction, FAILURE_MEMORY * self.recent_failure_fraction)
+        self.recent_failure_fraction = max(self.failure_fraction, FAILURE_DECAY * self.recent_failure_fraction)
         self.late_fraction = self._utility.late_fraction(ended.mean_latency)
         self._period_began = now
         return True
--- a/onyxhead/policy/balancer.py
+++ b/onyxhead/policy/balancer.py
@@ -252,7 +252,7 @@
         loss = self.outliers.measure_fleet(ready)
         if loss is None:
             return
-        self.admission.follow_attempts(now, loss.best_quartile, self.fleet.success_rate, self.proxies)
+        self.admission.adjust_to_attempts(now, loss.best_quartile, self.fleet.success_rate, self.proxies)
         self.outliers.detect(now, ready, loss.average, self.subsets)
 
     def _update_estimates(self, now: int, ready: Sequence[Backend]) -> None:
@@ -263,7 +263,7 @@
         limited = self.subsets.connection_limited
         capacity = update_capacities(now, ready, tables, rates.per_weight, self.slow_start, default_rate, limited)
         warmup_fraction = self.warmup_limiter.limit(now, ready, tables, rates, fleet)
-        self.admission.follow_health_checks(
+        self.admission.adjust_to_health_checks(
             now, ready, self.proxies.baseline_rate(), fleet.failure_fraction, fleet.late_fraction
         )
         self.admission.update_levels(self.proxies, tables, capacity, warmup_fraction)
--- a/onyxhead/policy/endpoints.py
+++ b/onyxhead/policy/endpoints.py
@@ -11,7 +11,7 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 #: Decay factor of the sums of a backend's load reports at each further report.
-LOAD_REPORT_MEMORY = 0.8
+LOAD_REPORT_DECAY = 0.8
 #: The lowest health weight. A backend that loses much utility keeps some requests, so that reports show its recovery.
 MIN_HEALTH_WEIGHT = 0.05
 #: The number of departed backends to remember, so that their withdrawal can be repeated to proxies with old tables.
@@ -115,8 +115,8 @@
         if load.latency is not None:
             self.response_time = load.latency
         if load.utilization is not None and rate > 0 and max(self.lines.values()) > MIN_HEALTH_WEIGHT:
-            self.utilization_sum = LOAD_REPORT_MEMORY * self.utilization_sum + load.utilization
-            self.rate_sum = LOAD_REPORT_MEMORY * self.rate_sum + rate
+            self.utilization_sum = LOAD_REPORT_DECAY * self.utilization_sum + load.utilization
+            self.rate_sum = LOAD_REPORT_DECAY * self.rate_sum + rate
 
 
 class EndpointRegistry:
--- a/onyxhead/policy/health_checks.py
+++ b/onyxhead/policy/health_checks.py
@@ -14,7 +14,7 @@
 #: Interval between health checks of one backend. Each check costs work, and half the interval would add only noise.
 HEALTH_CHECK_INTERVAL_TICKS = 2 * TICKS_PER_SECOND
 #: Decay factor of a backend's mean response time at each further health check.
-RESPONSE_TIME_MEMORY = 0.9
+RESPONSE_TIME_DECAY = 0.9
 #: The utilization assumed of a backend whose health check was rejected or timed out.
 FULL_UTILIZATION = 1.0
 
@@ -53,5 +53,5 @@
         backend.add_load_report(load, rate_per_weight)
     if backend.response_time and slow_start.warmup_fraction(backend, now) == 1:
         previous = backend.mean_response_time or backend.response_time
-        mean = RESPONSE_TIME_MEMORY * previous + (1 - RESPONSE_TIME_MEMORY) * backend.response_time
+        mean = RESPONSE_TIME_DECAY * previous + (1 - RESPONSE_TIME_DECAY) * backend.response_time
         backend.mean_response_time = mean
--- a/onyxhead/policy/proxies.py
+++ b/onyxhead/policy/proxies.py
@@ -24,7 +24,7 @@
     #: The measured request rate, by traffic group.
     rates: list[float]
     #: Whether the proxy has been assigned its tables.
-    bound: bool = False
+    has_tables: bool = False
     #: The times of the messages written to the proxy within the current message window.
     message_times: deque[int] = field(default_factory=deque)
     #: The numbers of the tables last assigned to the proxy; after a repartition, still those of the old partition.
@@ -45,13 +45,13 @@
         """Return all joined proxies."""
         return list(self.by_id.values())
 
-    def bound(self) -> list[Proxy]:
+    def with_tables(self) -> list[Proxy]:
         """Return the proxies that have been assigned their tables."""
-        return [proxy for proxy in self.by_id.values() if proxy.bound]
+        return [proxy for proxy in self.by_id.values() if proxy.has_tables]
 
-    def unbound(self) -> list[Proxy]:
+    def waiting_for_tables(self) -> list[Proxy]:
         """Return the proxies that wait for their tables."""
-        return [proxy for proxy in self.by_id.values() if not proxy.bound]
+        return [proxy for proxy in self.by_id.values() if not proxy.has_tables]
 
     def baseline_rate(self) -> float:
         """Return the usual requests a second at all proxies together."""
--- a/onyxhead/policy/subsetting.py
+++ b/onyxhead/policy/subsetting.py
@@ -13,7 +13,7 @@
 from onyxhead.policy.inputs import Deployment, Endpoint
 from onyxhead.policy.proxies import Proxy
 from onyxhead.policy.slow_start import SlowStart
-from onyxhead.policy.tables import Table, lay_out_tables
+from onyxhead.policy.tables import Table, create_base_tables
 from onyxhead.policy.thresholds import CONNECTION_FAILURES, OVERLOAD_LOSS
 from onyxhead.time_units import TICKS_PER_SECOND
 
@@ -31,10 +31,10 @@
         self.count = 1
         #: Whether the current subsets are due to a shortage of connections.
         self.connection_limited = False
-        self._base_tables = lay_out_tables(deployment)
+        self._base_tables = create_base_tables(deployment)
         #: The tables of all subsets; those split from the same base table follow each other.
         self.tables = self._base_tables
-        self._parts: list[list[Table]] = [[table] for table in self._base_tables]
+        self._tables_by_base: list[list[Table]] = [[table] for table in self._base_tables]
         self._backends_per_table = _backends_per_table(deployment)
         self._drain_grace = deployment.safety.drain_grace
         self._feedback_delay = feedback_delay
@@ -104,8 +104,8 @@
     ) -> bool:
         members = [
             (table, [backend for backend in backends if table.accepts(backend)], backends)
-            for parts, backends in zip(self._parts, candidates, strict=True)
-            for table in parts
+            for subset_tables, backends in zip(self._tables_by_base, candidates, strict=True)
+            for table in subset_tables
         ]
         if self.connection_limited:
             lacks_warm = any(not any(self._is_warm(b, now) for b in accepted) for _, accepted, _ in members)
@@ -131,26 +131,26 @@
         self.count = max(counts)
         self.connection_limited = connection_limited
         self._repartitioned_at = now
-        self._lay_out_parts(counts)
+        self._split_base_tables(counts)
         rates = self._distribute_proxies(proxies)
         self._distribute_backends(now, ready, rates)
 
-    def _lay_out_parts(self, counts: Sequence[int]) -> None:
+    def _split_base_tables(self, counts: Sequence[int]) -> None:
         number = self.tables[-1].number
-        self._parts = []
+        self._tables_by_base = []
         for base, count in zip(self._base_tables, counts, strict=True):
-            parts = []
+            subset_tables = []
             for subset in range(count):
                 number += 1
-                parts.append(Table(number, base.zones, base.home_zone, base.groups, subset, count))
-            self._parts.append(parts)
-        self.tables = [table for parts in self._parts for table in parts]
+                subset_tables.append(Table(number, base.zones, base.home_zone, base.groups, subset, count))
+            self._tables_by_base.append(subset_tables)
+        self.tables = [table for subset_tables in self._tables_by_base for table in subset_tables]
 
     def _distribute_proxies(self, proxies: Collection[Proxy]) -> list[float]:
         """Assign proxies, busiest first, to the least busy subset each; return the request rates of the subsets."""
         rates = [0.0] * self.count
         for proxy in sorted(proxies, key=lambda candidate: (-sum(candidate.rates), candidate.id)):
-            proxy.bound = False
+            proxy.has_tables = False
             proxy.subset = rates.index(min(rates))
             rates[proxy.subset] += sum(proxy.rates)
         return rates
--- a/onyxhead/policy/table_assignment.py
+++ b/onyxhead/policy/table_assignment.py
@@ -15,7 +15,7 @@
 from onyxhead.policy.withdrawals import WithdrawalScheduler
 
 #: Full tables may keep the channel busy for the drain grace divided by this number.
-AHEAD_DIVISOR = 4
+BUSY_TIME_DIVISOR = 4
 
 
 class TableAssigner:
@@ -42,7 +42,7 @@
 
     def assign(self, now: int) -> Iterator[TableAssignment]:
         """Yield the assignments that fit into the channel and reserve room for them, most urgent proxies first."""
-        waiting = self._proxies.unbound()
+        waiting = self._proxies.waiting_for_tables()
         # Due withdrawals go first; full tables would take the room that they need.
         if not waiting or self._withdrawals.due(now, self._withdrawals.gather_time):
             return
@@ -62,7 +62,7 @@
             urgent = (old_tables_unsafe and waited_long) or not proxy.assigned_tables <= usable
             if not self._fits(now, proxy, cost, urgent):
                 return
-            proxy.bound = True
+            proxy.has_tables = True
             proxy.assigned_tables = numbers
             self._channel.reserve(cost, [proxy])
             for table in tables:
@@ -101,7 +101,7 @@
         # A withdrawal that becomes due next must still arrive within the drain grace, so the channel may be busy for a
         # part of the grace only. The second estimate is the lower one if acknowledgements arrive sooner than expected.
         busy_for = min(channel.drained_at(now) - now, channel.transfer_time(channel.queued()))
-        return busy_for <= self._drain_grace / AHEAD_DIVISOR
+        return busy_for <= self._drain_grace / BUSY_TIME_DIVISOR
 
 
 def _assignment_order(proxy: Proxy, usable: set[int]) -> tuple[bool, bool, float, int]:
--- a/onyxhead/policy/table_changes.py
+++ b/onyxhead/policy/table_changes.py
@@ -18,7 +18,7 @@
 #: Stands for a request rate higher than any real one, to send a line before all others.
 HIGHEST_RATE = 1e6
 #: Changes wait while the unacknowledged lines exceed their own queue limit divided by this number.
-BUSY_DIVISOR = 4
+UNACKNOWLEDGED_DIVISOR = 4
 
 
 class LineChange(NamedTuple):
@@ -54,12 +54,12 @@
         """Yield as many changes as fit, with the end of the withdrawal of returning backends, and reserve room."""
         if self._must_wait(now):
             return
-        bound = self._proxies.bound()
+        receivers = self._proxies.with_tables()
         users = {table.number: table.users(self._proxies.by_id.values()) for table in self._subsets.tables}
-        lines_left = self._channel.available(CHANGE_QUEUE_FRACTION, bound) * len(bound)
+        lines_left = self._channel.available(CHANGE_QUEUE_FRACTION, receivers) * len(receivers)
         # Returning backends are held back while proxies wait for their tables, unless a table has no other usable
         # backend. A proxy gets no table without a usable line, so both would wait for each other forever.
-        hold_returning = self._all_tables_usable() and len(bound) < len(self._proxies)
+        hold_returning = self._all_tables_usable() and len(receivers) < len(self._proxies)
         lines_by_table: dict[int, list[tuple[str, float]]] = {}
         for _, backend, lines in self._due_changes(now, rates, hold_returning):
             returning = backend.returning
@@ -88,7 +88,7 @@
         last_activity = max(channel.last_sent, channel.last_acknowledged)
         if now >= last_activity + 2 * channel.max_delay + TICKS_PER_SECOND:
             return False
-        return channel.queued() > CHANGE_QUEUE_FRACTION * channel.max_queued_lines / BUSY_DIVISOR
+        return channel.queued() > CHANGE_QUEUE_FRACTION * channel.max_queued_lines / UNACKNOWLEDGED_DIVISOR
 
     def _all_tables_usable(self) -> bool:
         """Return whether each table has a line of a backend that is ready and not withdrawn."""
--- a/onyxhead/policy/tables.py
+++ b/onyxhead/policy/tables.py
@@ -45,10 +45,10 @@
 
     def users(self, proxies: Iterable[Proxy]) -> list[Proxy]:
         """Return the proxies that should use the table and have been assigned their tables."""
-        return [proxy for proxy in proxies if proxy.bound and self.serves(proxy)]
+        return [proxy for proxy in proxies if proxy.has_tables and self.serves(proxy)]
 
 
-def lay_out_tables(deployment: Deployment) -> list[Table]:
+def create_base_tables(deployment: Deployment) -> list[Table]:
     """Return the tables of a deployment without subsetting."""
     tables: dict[tuple[frozenset[int] | None, int | None], Table] = {}
     for index, group in enumerate(deployment.groups):
--- a/onyxhead/policy/warmup_limits.py
+++ b/onyxhead/policy/warmup_limits.py
@@ -50,17 +50,17 @@
         expected = sum(rates.expected[table.number] for table in tables)
         # Retries add attempts to the requests, and the load of ejected backends moves to the others.
         attempts_per_request = max(1.0, fleet.attempt_rate / expected if expected else 1.0)
-        strain = attempts_per_request / max(MIN_REMAINING_FRACTION, 1 - fleet.recent_failure_fraction)
+        load_factor = attempts_per_request / max(MIN_REMAINING_FRACTION, 1 - fleet.recent_failure_fraction)
         fractions = [self._slow_start.warmup_fraction(backend, now) for backend in ready]
         warming = [pair for pair in zip(ready, fractions, strict=True) if pair[1] < 1]
         weight = sum(backend.weight * fraction for backend, fraction in zip(ready, fractions, strict=True))
         above_baseline = expected > rates.baseline_per_weight * weight
-        hold = 2 * len(warming) < len(ready) and self._must_hold(above_baseline, fleet)
+        hold_back = 2 * len(warming) < len(ready) and self._must_hold_back(above_baseline, fleet)
         for backend, fraction in zip(ready, fractions, strict=True):
-            backend.warmup_limit = 0.0 if hold and fraction < 1 else 1.0
-        return self._find_limits(now, ready, warming, tables, rates, strain, fleet.recent_failure_fraction)
+            backend.warmup_limit = 0.0 if hold_back and fraction < 1 else 1.0
+        return self._find_limits(now, ready, warming, tables, rates, load_factor, fleet.recent_failure_fraction)
 
-    def _must_hold(self, above_baseline: bool, fleet: FleetStatistics) -> bool:
+    def _must_hold_back(self, above_baseline: bool, fleet: FleetStatistics) -> bool:
         """Return whether warming backends must get no requests yet.
 
         If proxies eject failing backends, the warming ones, which have not failed yet, would get all the load.
@@ -75,7 +75,7 @@
         warming: Sequence[tuple[Backend, float]],
         tables: Sequence[Table],
         rates: RequestRates,
-        strain: float,
+        load_factor: float,
         failure_fraction: float,
     ) -> float:
         """Lower the limits until no warming backend gets more than it can bear; return the admissible fraction."""
@@ -85,7 +85,7 @@
         admissible = 1.0
         for iteration in range(LIMIT_ITERATIONS if warming else 0):
             admissible = 1.0
-            per_weight = self._rates_per_weight(now, ready, tables, rates, strain)
+            per_weight = self._rates_per_weight(now, ready, tables, rates, load_factor)
             for backend, fraction in warming:
                 accepting = [table for table in tables if table.accepts(backend)]
                 load = sum(per_weight[t.number] * self._weights.weight(backend, t, now) for t in accepting)
@@ -100,11 +100,11 @@
         return admissible
 
     def _rates_per_weight(
-        self, now: int, ready: Sequence[Backend], tables: Sequence[Table], rates: RequestRates, strain: float
+        self, now: int, ready: Sequence[Backend], tables: Sequence[Table], rates: RequestRates, load_factor: float
     ) -> dict[int, float]:
         """Return the rate that a unit of line weight would attract under the current limits, by table."""
         per_weight = {}
         for table in tables:
             weight = sum(self._weights.weight(backend, table, now) for backend in ready if table.accepts(backend))
-            per_weight[table.number] = rates.expected[table.number] * strain / weight if weight else 0.0
+            per_weight[table.number] = rates.expected[table.number] * load_factor / weight if weight else 0.0
         return per_weight
--- a/onyxhead/policy/withdrawals.py
+++ b/onyxhead/policy/withdrawals.py
@@ -61,7 +61,7 @@
         return due
 
     def _proxies_to_notify_again(self, now: int, min_wait: int) -> list[Proxy]:
-        waiting = [proxy for proxy in self._proxies.unbound() if now - proxy.joined_at > min_wait]
+        waiting = [proxy for proxy in self._proxies.waiting_for_tables() if now - proxy.joined_at > min_wait]
         # Repeating a withdrawal costs a message to each proxy whose line for the backend is not removed yet. If full
         # tables for the waiting proxies cost less, no withdrawal is repeated, and the proxies get their tables.
         table_size = len(self._endpoints.ready()) / self._subsets.count
@@ -91,7 +91,7 @@
             # reservation for that proxy would never be acknowledged. If most proxies lack tables, the round therefore
             # asks all proxies for an acknowledgement. If few do, later acknowledgements of the other proxies release
             # the reservations, and asking all proxies would fill the channel.
-            self.notifies_all = 2 * sum(not proxy.bound for proxy in all_proxies) > len(all_proxies)
+            self.notifies_all = 2 * sum(not proxy.has_tables for proxy in all_proxies) > len(all_proxies)
             self._channel.reserve(0, all_proxies if self.notifies_all else holders[backend.id])
             self._channel.reserve(1, holders[backend.id])
             yield Withdrawal(backend.id, True)
@@ -126,7 +126,7 @@
         # This runs in each round while withdrawals wait, so backends in the same tables share one search.
         holders = {}
         for tables in set(tables_by_backend.values()):
-            holders[tables] = [p for p in proxies if not p.bound or any(table.serves(p) for table in tables)]
+            holders[tables] = [p for p in proxies if not p.has_tables or any(table.serves(p) for table in tables)]
         return {backend: holders[tables] for backend, tables in tables_by_backend.items()}
 
 
--- a/tests/test_policy_table_assignment.py
+++ b/tests/test_policy_table_assignment.py
@@ -75,4 +75,4 @@
         harness.run(0.5)
     harness.run(2)
     assert sum(isinstance(decision, Withdrawal) for decision in harness.decisions) == 6
-    assert all(proxy.bound for proxy in harness.policy.proxies.by_id.values())
+    assert all(proxy.has_tables for proxy in harness.policy.proxies.by_id.values())
--- a/tests/test_policy_withdrawals.py
+++ b/tests/test_policy_withdrawals.py
@@ -78,4 +78,4 @@
     harness.update_endpoints(ready_endpoint("b0", started_at=harness.now), ready_endpoint("b1", started_at=harness.now))
     harness.run(6)
     assert all(set(proxy.lines()) == {"b0", "b1"} for proxy in harness.proxies.values())
-    assert harness.policy.proxies.by_id[2].bound
+    assert harness.policy.proxies.by_id[2].has_tables
