--- a/onyxhead/policy/capacity.py
+++ b/onyxhead/policy/capacity.py
@@ -1,4 +1,4 @@
-"""Estimates the rate that backends can serve, from the measured cost of requests at them and at others of their kind.
+"""Estimates the request rate that each backend can serve, from request costs measured there and at its whole kind.
 
 All functions take the ready backends. The cost of a request is the utilization that one request a second causes.
 """
@@ -47,15 +47,16 @@
 def _update_speed_weights(ready: Sequence[Backend], connection_limited: bool) -> None:
     """Reduce the weight of backends slower than the median of their kind.
 
-    Machines of one kind differ in speed, and attempt statistics show it late. In subsets for limited connections all
-    get 1: where a subset has a single backend, its weight has no effect and each change would only cost a line.
+    Machines of one kind differ in speed, and attempt statistics show it late. While connections are limited, all
+    backends get a speed weight of 1: a subset may then have a single backend, whose weight has no effect, and each
+    change would only cost a line.
     """
     for same_kind in _by_kind(ready).values():
         measured = [backend for backend in same_kind if backend.mean_response_time]
         times = sorted(backend.mean_response_time for backend in measured)
         for backend in measured:
-            relative = times[len(times) // 2] / backend.mean_response_time
-            speed = 1.0 if connection_limited else min(1.0, max(MIN_SPEED_WEIGHT, relative))
+            relative_speed = times[len(times) // 2] / backend.mean_response_time
+            speed = 1.0 if connection_limited else min(1.0, max(MIN_SPEED_WEIGHT, relative_speed))
             if abs(speed - backend.speed_weight) > SIGNIFICANT_SPEED_CHANGE * backend.speed_weight:
                 backend.speed_weight = speed
 
@@ -111,8 +112,8 @@
             fitting = headroom[backend.id] / cost / backend.weight if cost else 1.0
             backend.capacity_weights[table.number] = min(1.0, max(MIN_HEALTH_WEIGHT, fitting))
             headroom[backend.id] -= cost * backend.lines[table.number]
-        # Only the ratio of weights matters, so reducing all weights of a table would change nothing. The weights are
-        # therefore divided by the largest one.
+        # Only the ratio of weights matters, so reducing all weights of a table would change nothing. Line weights
+        # therefore use capacity weights relative to the largest one.
         weights = [backend.capacity_weights[table.number] for backend in members[table]]
         table.max_capacity_weight = max(weights, default=1.0)
 
--- a/onyxhead/policy/inputs.py
+++ b/onyxhead/policy/inputs.py
@@ -105,7 +105,10 @@
 
 
 class Endpoint(NamedTuple):
-    """A backend as service discovery lists it; `started_at` is 0 if it started long ago."""
+    """A backend as service discovery lists it.
+
+    `kind` identifies its kind of machine; `started_at` is 0 if the backend started long ago.
+    """
 
     backend: str
     zone: int
--- a/onyxhead/policy/subsetting.py
+++ b/onyxhead/policy/subsetting.py
@@ -102,6 +102,7 @@
     def _must_repartition(
         self, now: int, candidates: Sequence[Sequence[Backend]], channel_counts: Sequence[int], last_departure: int
     ) -> bool:
+        """Return whether the current subsets no longer fit the backends or the channel."""
         members = [
             (table, [backend for backend in backends if table.accepts(backend)], backends)
             for subset_tables, backends in zip(self._tables_by_base, candidates, strict=True)
@@ -109,8 +110,8 @@
         ]
         if self.connection_limited:
             lacks_warm = any(not any(self._is_warm(b, now) for b in accepted) for _, accepted, _ in members)
-            ended = now > self._repartitioned_at + CONNECTION_LIMIT_DURATION_TICKS
-            return lacks_warm or last_departure > self._repartitioned_at or ended
+            expired = now > self._repartitioned_at + CONNECTION_LIMIT_DURATION_TICKS
+            return lacks_warm or last_departure > self._repartitioned_at or expired
         # A subset may lose all its backends to departures while other subsets have enough of them.
         empty = any(not accepted and len(backends) >= table.subset_count for table, accepted, backends in members)
         grown = max(channel_counts) >= 2 * self.count
--- a/onyxhead/policy/table_assignment.py
+++ b/onyxhead/policy/table_assignment.py
@@ -107,7 +107,7 @@
 def _assignment_order(proxy: Proxy, usable: set[int]) -> tuple[bool, bool, float, int]:
     """Return the sort key of a proxy that waits for its tables.
 
-    Proxies without a usable table come first, then those that only have the table they were started with, then the
-    busiest.
+    Proxies that use a table without a usable line come first, then those that only have the table they were started
+    with, then the busiest.
     """
     return proxy.assigned_tables <= usable, not proxy.has_standing_table, -proxy.baseline_rate, proxy.id
--- a/onyxhead/policy/warmup_limits.py
+++ b/onyxhead/policy/warmup_limits.py
@@ -13,8 +13,7 @@
 from onyxhead.policy.tables import Table
 from onyxhead.policy.thresholds import EXCESS_LOSS
 
-#: The fraction of the load that makes a warming backend fail which it may get; the rest allows for chance and late
-#: reports.
+#: A warming backend may get this fraction of the load that makes it fail; the rest allows for chance and late reports.
 OVERLOAD_MARGIN = 0.5
 #: If proxies eject backends after n failures, the bearable load is divided by 1 + this / n, since the newest backend,
 #: which has not failed yet, gets the load of the ejected ones.
@@ -46,7 +45,7 @@
     def limit(
         self, now: int, ready: Sequence[Backend], tables: Sequence[Table], rates: RequestRates, fleet: FleetStatistics
     ) -> float:
-        """Set the limits, and return the fraction of requests that can be admitted without overloading a backend."""
+        """Limit warming backends, and return the fraction of requests that can be admitted without overloading one."""
         expected = sum(rates.expected[table.number] for table in tables)
         # Retries add attempts to the requests, and the load of ejected backends moves to the others.
         attempts_per_request = max(1.0, fleet.attempt_rate / expected if expected else 1.0)
@@ -78,7 +77,7 @@
         load_factor: float,
         failure_fraction: float,
     ) -> float:
-        """Lower the limits until no warming backend gets more than it can bear; return the admissible fraction."""
+        """Lower the limits to what each warming backend can bear, and return the admissible fraction of requests."""
         # Without failures, proxies eject no backend, and a growing fleet needs its warming backends.
         ejection = self._ejection_effect * min(1.0, failure_fraction / FULL_EJECTION_FAILURES)
         bearable_load = self._bearable_load / (1 + ejection)
@@ -89,8 +88,8 @@
             for backend, fraction in warming:
                 accepting = [table for table in tables if table.accepts(backend)]
                 load = sum(per_weight[t.number] * self._weights.weight(backend, t, now) for t in accepting)
-                normal = bearable_load * rates.baseline_per_weight * backend.weight
-                bearable = normal * backend.health_weight * fraction
+                bearable_when_warm = bearable_load * rates.baseline_per_weight * backend.weight
+                bearable = bearable_when_warm * backend.health_weight * fraction
                 if iteration == 0:
                     backend.unlimited_load = load / bearable if bearable else 0.0
                 bearable *= backend.budget_share
--- a/onyxhead/policy/withdrawals.py
+++ b/onyxhead/policy/withdrawals.py
@@ -61,6 +61,7 @@
         return due
 
     def _proxies_to_notify_again(self, now: int, min_wait: int) -> list[Proxy]:
+        """Return the proxies for which withdrawals must be repeated because their tables will take too long."""
         waiting = [proxy for proxy in self._proxies.waiting_for_tables() if now - proxy.joined_at > min_wait]
         # Repeating a withdrawal costs a message to each proxy whose line for the backend is not removed yet. If full
         # tables for the waiting proxies cost less, no withdrawal is repeated, and the proxies get their tables.
