--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -119,7 +119,7 @@
     harness = fleet(8, *range(6))
     report_traffic(harness, 3, requests=30)
     report_traffic(harness, 6, requests=30, all=(10, 12_000))
-    for n in range(20):
-        report_traffic(harness, 1, requests=30 + n % 4, all=(0, 5_000))
+    for index in range(20):
+        report_traffic(harness, 1, requests=30 + index % 4, all=(0, 5_000))
     sent = [decision.level for decision in harness.decisions if isinstance(decision, AdmissionLevel)]
     assert sent and all(abs(after - before) > 0.1 * max(after, before) for before, after in pairwise(sent)), sent
--- a/tests/test_policy_capacity.py
+++ b/tests/test_policy_capacity.py
@@ -48,9 +48,9 @@
 def test_backend_much_slower_than_the_median_of_its_kind_loses_weight_and_small_differences_are_ignored() -> None:
     harness = fleet(12, 1, health_checks_allowed=True)
     for _ in range(12):
-        for n in range(12):
-            response_time = 3000 if n == 4 else 1100 + 30 * n
-            harness.report_health(f"b{n}", latency=response_time)
+        for index in range(12):
+            response_time = 3000 if index == 4 else 1100 + 30 * index
+            harness.report_health(f"b{index}", latency=response_time)
         report_traffic(harness, 1)
     lines = harness.proxies[1].lines()
     assert 0.3 <= lines["b4"] < 0.5 and all(lines[f"b{n}"] == 1 for n in range(12) if n != 4)
--- a/tests/test_policy_outlier_detection.py
+++ b/tests/test_policy_outlier_detection.py
@@ -25,8 +25,8 @@
     harness = fleet(9, 1, health_checks_allowed=True)
     report_traffic(harness, 6)
     for _ in range(4):
-        for n in range(9):
-            harness.report_health(f"b{n}", latency=1000)
+        for index in range(9):
+            harness.report_health(f"b{index}", latency=1000)
         harness.report_health("b4", result, latency=response_time)
         report_traffic(harness, 1)
     lines = harness.proxies[1].lines()
@@ -37,9 +37,9 @@
     harness = fleet(9, 1, health_checks_allowed=True)
     report_traffic(harness, 6)
     for _ in range(4):
-        for n in range(9):
-            result = HealthCheckResult.TIMED_OUT if n < 6 else HealthCheckResult.HEALTHY
-            harness.report_health(f"b{n}", result, latency=1000)
+        for index in range(9):
+            result = HealthCheckResult.TIMED_OUT if index < 6 else HealthCheckResult.HEALTHY
+            harness.report_health(f"b{index}", result, latency=1000)
         report_traffic(harness, 1)
     assert all(harness.policy.endpoints.by_id[f"b{n}"].health_weight == 1 for n in range(3, 6))
 
@@ -47,8 +47,8 @@
 def test_fast_health_checks_do_not_hide_a_backend_whose_requests_fail() -> None:
     harness = fleet(9, 1, health_checks_allowed=True)
     for _ in range(12):
-        for n in range(9):
-            harness.report_health(f"b{n}", latency=500)
+        for index in range(9):
+            harness.report_health(f"b{index}", latency=500)
         report_traffic(harness, 1, b4=(16, 1000))
     assert harness.proxies[1].lines()["b4"] < 0.3
 
@@ -57,9 +57,9 @@
     harness = fleet(9, 1, health_checks_allowed=True)
     report_traffic(harness, 6)
     for second in range(5):
-        for n in range(9):
-            result = HealthCheckResult.REJECTED if n == 4 and second % 2 else HealthCheckResult.HEALTHY
-            harness.report_health(f"b{n}", result, latency=1000)
+        for index in range(9):
+            result = HealthCheckResult.REJECTED if index == 4 and second % 2 else HealthCheckResult.HEALTHY
+            harness.report_health(f"b{index}", result, latency=1000)
         report_traffic(harness, 1)
     lines = harness.proxies[1].lines()
     assert lines["b4"] < 0.9 and all(lines[f"b{n}"] == 1 for n in range(9) if n != 4)
--- a/tests/test_policy_subsetting.py
+++ b/tests/test_policy_subsetting.py
@@ -38,10 +38,12 @@
         harness.join(proxy, "b0", "b1")
     harness.run(1)
     for _ in range(20):
-        for n in range(12):
-            unreachable = n % 3 > 0
-            harness.report_health(f"b{n}", HealthCheckResult.TIMED_OUT if unreachable else HealthCheckResult.HEALTHY)
-            harness.report_attempts(f"b{n}", 20, 20 if unreachable else 0, 100)
+        for index in range(12):
+            unreachable = index % 3 > 0
+            harness.report_health(
+                f"b{index}", HealthCheckResult.TIMED_OUT if unreachable else HealthCheckResult.HEALTHY
+            )
+            harness.report_attempts(f"b{index}", 20, 20 if unreachable else 0, 100)
         harness.run(1)
     assert harness.policy.subsets.count == 1 and harness.policy.fleet.failure_fraction < 0.1
 
@@ -121,11 +123,11 @@
 def test_returning_and_new_backends_get_a_subset_after_the_number_of_subsets_fell() -> None:
     harness = fleet(50, *range(30), proxy_count=40)
     harness.repartition(30, connection_limited=True)  # as if backends accepted few connections
-    last = max(harness.policy.endpoints.by_id.values(), key=lambda b: b.subset)
-    harness.update_endpoints(departed_endpoint(last.id))
+    last_backend = max(harness.policy.endpoints.by_id.values(), key=lambda backend: backend.subset)
+    harness.update_endpoints(departed_endpoint(last_backend.id))
     harness.repartition(3, connection_limited=False)
     harness.update_endpoints(
-        ready_endpoint(last.id, started_at=harness.now), ready_endpoint("b50", started_at=harness.now)
+        ready_endpoint(last_backend.id, started_at=harness.now), ready_endpoint("b50", started_at=harness.now)
     )
     harness.run(WARMUP_TIME / TICKS_PER_SECOND)
-    assert {last.id, "b50"} <= {name for proxy in harness.proxies.values() for name in proxy.lines()}
+    assert {last_backend.id, "b50"} <= {name for proxy in harness.proxies.values() for name in proxy.lines()}
--- a/tests/test_policy_withdrawals.py
+++ b/tests/test_policy_withdrawals.py
@@ -17,8 +17,8 @@
     harness = fleet(20, *range(30))
     harness.run(30)
     harness.lines_per_second /= 2
-    for n in range(12):
-        harness.update_endpoints(draining_endpoint(f"b{n}"))
+    for index in range(12):
+        harness.update_endpoints(draining_endpoint(f"b{index}"))
         harness.run(0.2)
     harness.run(5)
     assert not any(f"b{n}" in proxy.lines() for proxy in harness.proxies.values() for n in range(12))
@@ -38,8 +38,8 @@
     # Two of three controllers died during a deploy. Repeated withdrawals of backends that had departed long before filled
     # the third controller's channel, while proxies still used backends that departed as their own controllers died.
     harness = fleet(40, *range(30))
-    for n in range(20):
-        harness.update_endpoints(draining_endpoint(f"b{n}"))
+    for index in range(20):
+        harness.update_endpoints(draining_endpoint(f"b{index}"))
         harness.run(0.3)
     harness.run(2)
     harness.decisions.clear()
