--- a/onyxhead/controller/configuration/access.py
+++ b/onyxhead/controller/configuration/access.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from onyxhead.controller.configuration.tree import RpcError, Tree, changes
+from onyxhead.controller.configuration.tree import RpcError, Tree, tree_changes
 from onyxhead.settings.model import AccessRule, NetconfUser
 
 DENIED_BY_DEFAULT = frozenset({"kill-session", "delete-config"})
@@ -18,7 +18,7 @@
         self.users, self.rules = users, rules
         self.denied = {"operations": 0, "writes": 0}
 
-    def may_run(self, user: str, rpc: str) -> None:
+    def authorize_operation(self, user: str, rpc: str) -> None:
         """Raises RpcError access-denied for an operation that the user may not run."""
         if rpc == "close-session":
             return
@@ -33,14 +33,14 @@
         self.denied["operations"] += 1
         raise RpcError("access-denied", f"{user} may not run {rpc}", kind="protocol")
 
-    def may_write(self, user: str, before: Tree, after: Tree, root: str) -> None:
+    def authorize_write(self, user: str, before: Tree, after: Tree, root: str) -> None:
         """Raises RpcError access-denied for the first change that no rule permits."""
-        for operation, path in changes(before, after, root):
+        for operation, path in tree_changes(before, after, root):
             if not self._permits(user, path, operation):
                 self.denied["writes"] += 1
                 raise RpcError("access-denied", f"{user} may not {operation} {path}", path)
 
-    def readable(self, user: str, path: str) -> bool:
+    def may_read(self, user: str, path: str) -> bool:
         """Whether the user may read the data at a path."""
         for rule in self._rules(user):
             if rule.rpc is None and _covers(rule, "read") and _below(path, rule.path):
--- a/onyxhead/controller/configuration/commit_plan.py
+++ b/onyxhead/controller/configuration/commit_plan.py
@@ -38,29 +38,32 @@
 class CommitPlan(NamedTuple):
     """What a commit does: which backends it drains or restores, and which weights it changes.
 
-    With `rebuild` all proxies join again; `seconds` is the time for which its lines occupy the channel.
+    With `restarts_policy` all proxies join again; `seconds` is the time for which its lines occupy the channel.
     """
 
     drains: tuple[str, ...]
     restores: tuple[str, ...]
     weights: tuple[str, ...]
-    rebuild: bool
-    seconds: float
+    restarts_policy: bool
+    channel_time_s: float
 
 
-def drained(tree: Tree) -> set[str]:
+def drained_backends(tree: Tree) -> set[str]:
     """The backends that a configuration drains."""
     return {each["id"] for each in tree.get("backend", ()) if each.get("drained")}
 
 
-def weights(tree: Tree) -> dict[str, str]:
+def backend_weights(tree: Tree) -> dict[str, str]:
     """The weights that a configuration gives to backends."""
     return {each["id"]: each["weight"] for each in tree.get("backend", ()) if "weight" in each}
 
 
 def plan_commit(before: Tree, after: Tree, facts: FleetFacts) -> CommitPlan:
     """The plan of a commit. Raises RpcError for one that would break a rule by itself."""
-    drains, restores = drained(after) - drained(before), drained(before) - drained(after)
+    drains, restores = (
+        drained_backends(after) - drained_backends(before),
+        drained_backends(before) - drained_backends(after),
+    )
     lines_per_second = float(_part(after, "channel").get("pace", DEFAULT_LINES_PER_SECOND))
     if not after.get("group"):
         raise RpcError("operation-failed", "no traffic group would be left", "/fleet/group")
@@ -69,16 +72,20 @@
     ready_drains = len(drains & {backend.id for backend in facts.backends if backend.ready})
     drain_lines = facts.proxies * (facts.message_overhead + 1 + ready_drains)
     _check_drains(after, facts, ready_drains, drain_lines)
-    rebuild = any(_part(before, name) != _part(after, name) for name in RESTARTING_PARTS)
-    if rebuild:
+    restarts_policy = any(_part(before, name) != _part(after, name) for name in RESTARTING_PARTS)
+    if restarts_policy:
         table_lines = len(facts.backends) + 1 + facts.message_overhead
         lines = facts.proxies * table_lines * max(1, len(after["group"]))
     else:
         lines = drain_lines if ready_drains or restores else 0.0
-    reweighted = {name for name, weight in weights(after).items() if weights(before).get(name) != weight}
-    reweighted |= weights(before).keys() - weights(after).keys()
+    reweighted = {
+        name for name, weight in backend_weights(after).items() if backend_weights(before).get(name) != weight
+    }
+    reweighted |= backend_weights(before).keys() - backend_weights(after).keys()
     seconds = lines / lines_per_second
-    return CommitPlan(tuple(sorted(drains)), tuple(sorted(restores)), tuple(sorted(reweighted)), rebuild, seconds)
+    return CommitPlan(
+        tuple(sorted(drains)), tuple(sorted(restores)), tuple(sorted(reweighted)), restarts_policy, seconds
+    )
 
 
 def _check_queue_limit(after: Tree, facts: FleetFacts) -> None:
@@ -105,10 +112,13 @@
     for group in after["group"]:
         zones = set(group.get("zone", ()))
         usable = [b for b in facts.backends if b.ready and b.warm and (not zones or b.zone in zones)]
-        left = [b for b in usable if b.id not in drained(after)]
+        left = [b for b in usable if b.id not in drained_backends(after)]
         earlier = next((each for each in before.get("group", ()) if each["name"] == group["name"]), None)
         had_some = earlier is not None and any(
-            b.ready and b.warm and b.id not in drained(before) and (b.zone in (earlier.get("zone") or [b.zone]))
+            b.ready
+            and b.warm
+            and b.id not in drained_backends(before)
+            and (b.zone in (earlier.get("zone") or [b.zone]))
             for b in facts.backends
         )
         if not left and (had_some or (earlier is None and facts.backends)):
--- a/onyxhead/controller/configuration/datastores.py
+++ b/onyxhead/controller/configuration/datastores.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from onyxhead.controller.configuration.tree import Edit, Node, RpcError, Tree, apply
+from onyxhead.controller.configuration.tree import Edit, Node, RpcError, Tree, apply_edit
 
 CONFIRM_TIMEOUT = 600
 RUNNING, CANDIDATE, STARTUP = "running", "candidate", "startup"
@@ -82,7 +82,7 @@
         if name == CANDIDATE:
             self.candidate = self.running
 
-    def may_write(self, session: int, name: str) -> None:
+    def check_unlocked(self, session: int, name: str) -> None:
         """Raises RpcError in-use where another session holds the lock."""
         holder = self.locks.get(name, session)
         if holder != session:
@@ -90,13 +90,13 @@
 
     # Changes
 
-    def edited(self, session: int, name: str, edit: Edit, default: str, test: bool = True) -> Tree:
+    def preview_edit(self, session: int, name: str, edit: Edit, default: str, test: bool = True) -> Tree:
         """What the datastore would hold after the edit; nothing is set. Raises RpcError."""
         if name == RUNNING:
             raise RpcError("operation-not-supported", "running is changed by commit", kind="protocol")
         before = self.get(name)
-        self.may_write(session, name)
-        after = apply(self.node, before, edit, default)
+        self.check_unlocked(session, name)
+        after = apply_edit(self.node, before, edit, default)
         if test:
             self.check(after)
         return after
@@ -104,7 +104,7 @@
     def put(self, session: int, name: str, tree: Tree) -> None:
         """Replace the content of a datastore. Raises RpcError."""
         self.get(name)
-        self.may_write(session, name)
+        self.check_unlocked(session, name)
         if name == RUNNING:
             raise RpcError("operation-not-supported", "running is changed by commit", kind="protocol")
         if name == CANDIDATE:
@@ -115,12 +115,12 @@
 
     def discard(self, session: int) -> None:
         """Make the candidate equal to running. Raises RpcError."""
-        self.may_write(session, CANDIDATE)
+        self.check_unlocked(session, CANDIDATE)
         self.candidate = self.running
 
     # Commits
 
-    def commit(
+    def prepare_commit(
         self,
         session: int,
         user: str,
@@ -132,7 +132,7 @@
     ) -> Commit:
         """The commit to store; nothing has changed until `committed`. Raises RpcError."""
         for name in (RUNNING, CANDIDATE):
-            self.may_write(session, name)
+            self.check_unlocked(session, name)
         waiting = self.last
         if waiting.confirm_by:
             if waiting.persist_id != persist_id or (not waiting.persist_id and session != self.commit_session):
@@ -147,14 +147,14 @@
         rollback_to = waiting.rollback_to if unconfirmed else waiting.number
         return Commit(number, self.candidate, user, CONFIRMED_COMMIT, now + timeout, rollback_to, persist)
 
-    def committed(self, session: int, commit: Commit) -> None:
+    def on_commit_stored(self, session: int, commit: Commit) -> None:
         """The commit is on disk and holds from now on."""
         self.commits[commit.number] = self.last = commit
         self.running, self.commit_session = commit.tree, session
         if commit.kind == ROLLBACK and self.candidate != commit.tree and not self.locks.get(CANDIDATE):
             self.candidate = commit.tree
 
-    def cancel(self, session: int, user: str, persist_id: str = "") -> Commit:
+    def prepare_cancel(self, session: int, user: str, persist_id: str = "") -> Commit:
         """The commit that takes an unconfirmed one back. Raises RpcError."""
         waiting = self.last
         if not waiting.confirm_by:
@@ -163,7 +163,7 @@
             raise RpcError("invalid-value", "the commit that waits has another persist-id")
         return self._rollback(user)
 
-    def expired(self, now: float) -> Commit | None:
+    def expire_commit(self, now: float) -> Commit | None:
         """The commit that takes back what nobody confirmed in time, if there is one to be made."""
         return self._rollback("(time-out)") if self.last.confirm_by and now >= self.last.confirm_by else None
 
--- a/onyxhead/controller/configuration/service.py
+++ b/onyxhead/controller/configuration/service.py
@@ -82,12 +82,12 @@
     def edit(self, user: str, session: int, name: str, edit: Edit, default: str, test: str) -> None:
         """Edit a datastore, with a default operation and a test option (RFC 6241, section 7.2). Raises RpcError."""
         before = self.datastores.get(name)
-        after = self.datastores.edited(session, name, edit, default, test != "set")
+        after = self.datastores.preview_edit(session, name, edit, default, test != "set")
         self.replace(user, session, name, before, after, test)
 
     def replace(self, user: str, session: int, name: str, before: Tree, after: Tree, test: str = "set") -> None:
         """Put a whole tree into candidate or startup, if the user may. Raises RpcError."""
-        self.access.may_write(user, before, after, ROOT_PATH)
+        self.access.authorize_write(user, before, after, ROOT_PATH)
         if test == "test-only":
             return
         if name == STARTUP:
@@ -107,17 +107,17 @@
     ) -> Commit:
         """Commit the candidate (RFC 6241, section 8.4). Raises RpcError, with nothing changed."""
         now = self.callbacks.wall_time()
-        made = self.datastores.commit(session, user, now, confirmed, timeout, persist, persist_id)
-        self.access.may_write(user, self.datastores.running, made.tree, ROOT_PATH)
+        made = self.datastores.prepare_commit(session, user, now, confirmed, timeout, persist, persist_id)
+        self.access.authorize_write(user, self.datastores.running, made.tree, ROOT_PATH)
         return self._apply(session, made)
 
     def cancel(self, user: str, session: int, persist_id: str) -> Commit:
         """Take an unconfirmed commit back. Raises RpcError."""
-        return self._apply(session, self.datastores.cancel(session, user, persist_id))
+        return self._apply(session, self.datastores.prepare_cancel(session, user, persist_id))
 
     def expire_commit(self) -> Commit | None:
         """Take back a commit that nobody confirmed in time."""
-        rollback = self.datastores.expired(self.callbacks.wall_time())
+        rollback = self.datastores.expire_commit(self.callbacks.wall_time())
         return self._apply(0, rollback) if rollback is not None else None
 
     def _apply(self, session: int, commit: Commit) -> Commit:
@@ -135,7 +135,7 @@
         except OSError as error:
             self.callbacks.audit(commit.user, session, commit.kind, f"not written: {error}")
             raise RpcError("operation-failed", f"the commit could not be written: {error}") from None
-        self.datastores.committed(session, commit)
+        self.datastores.on_commit_stored(session, commit)
         if commit.tree != before:
             self.callbacks.apply(commit.tree, plan)
         self.callbacks.audit(commit.user, session, f"{commit.kind} {commit.number}", "done")
--- a/onyxhead/controller/configuration/tree.py
+++ b/onyxhead/controller/configuration/tree.py
@@ -48,7 +48,7 @@
     children: list[Edit] = field(default_factory=list)
 
 
-def apply(node: Node, tree: Tree, edit: Edit, default: str) -> Tree:
+def apply_edit(node: Node, tree: Tree, edit: Edit, default: str) -> Tree:
     """The tree after the edit of a container. Raises RpcError, with nothing changed."""
     return _container(node, tree, edit, edit.operation or default, "")
 
@@ -113,12 +113,12 @@
         return _keep_or_remove(change, tree, node.name)
     if operation == "none":
         return tree
-    return tree | {node.name: parsed(node, edit.text, where)}
+    return tree | {node.name: parse_value(node, edit.text, where)}
 
 
 def _value(node: Node, tree: Tree, edit: Edit, operation: str, where: str) -> Tree:
     current: list[Any] = tree.get(node.name, [])
-    value = parsed(node, edit.text, where)
+    value = parse_value(node, edit.text, where)
     if (change := _change(value in current, operation, where)) is not Change.WRITE:
         return tree if change is Change.KEEP else _put(tree, node.name, [each for each in current if each != value])
     if operation == "none" or value in current:
@@ -133,7 +133,7 @@
         matching = [child for child in edit.children if child.name == name]
         if len(matching) != 1:
             raise RpcError("missing-element", f"an entry of {node.name} needs one {name}", where, bad_element=name)
-        key.append(parsed(node.children[name], matching[0].text, f"{where}/{name}"))
+        key.append(parse_value(node.children[name], matching[0].text, f"{where}/{name}"))
     named = f"{where}[{' and '.join(f'{n}={v!r}' for n, v in zip(node.keys, key, strict=True))}]"
     own = next((each for each in current if [each[name] for name in node.keys] == key), None)
     rest = [each for each in current if each is not own]
@@ -155,7 +155,7 @@
     return tree | {name: value} if value else {k: v for k, v in tree.items() if k != name}
 
 
-def parsed(node: Node, text: str, where: str) -> Any:  # noqa: ANN401  a leaf of the configuration tree
+def parse_value(node: Node, text: str, where: str) -> Any:  # noqa: ANN401  a leaf of the configuration tree
     """The value of a leaf's text. Raises RpcError."""
     value = node.parse(text)
     if value is None:
@@ -163,19 +163,19 @@
     return value
 
 
-def changes(before: Tree, after: Tree, path: str = "") -> Iterator[tuple[str, str]]:
+def tree_changes(before: Tree, after: Tree, path: str = "") -> Iterator[tuple[str, str]]:
     """What differs, as operation (create, update, delete) and data node path without keys' values."""
     for name in sorted(before.keys() | after.keys()):
         old, new, where = before.get(name), after.get(name), f"{path}/{name}"
         if old == new:
             continue
         if isinstance(old or new, dict):
-            yield from changes(old or {}, new or {}, where)
+            yield from tree_changes(old or {}, new or {}, where)
         elif isinstance(old or new, list) and isinstance((old or new or [0])[0], dict):
             one, two = ({str(next(iter(each.values()))): each for each in of or []} for of in (old, new))
             for key in sorted(one.keys() | two.keys()):
                 if one.get(key) != two.get(key):
-                    yield from changes(one.get(key, {}), two.get(key, {}), where)
+                    yield from tree_changes(one.get(key, {}), two.get(key, {}), where)
         else:
             yield ("create" if old is None else "delete" if new is None else "update"), where
 
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -13,27 +13,27 @@
 from onyxhead.settings.model import ControllerSettings
 
 
-def tree_of(settings: ControllerSettings) -> Tree:
+def settings_tree(settings: ControllerSettings) -> Tree:
     """The part of a controller's settings that can be edited in service."""
     start = settings.deployment
     groups = [_group(group, settings.zones) for group in sorted(start.groups, key=lambda group: group.name)]
     tree: Tree = {
         "group": groups,
         "channel": {
-            "pace": figure(start.channel.lines_per_second),
+            "pace": decimal_text(start.channel.lines_per_second),
             "most-waiting": int(start.channel.max_queued_lines),
         },
         "guards": {
             "drain-grace": start.safety.drain_grace,
             "unserved-limit": start.safety.unserved_limit,
             "cold-time": start.safety.warmup_time,
-            "overload-factor": figure(start.safety.overload_factor),
+            "overload-factor": decimal_text(start.safety.overload_factor),
         },
     }
     backends = []
     for name, (weight, out) in sorted(settings.overrides.items()):
         backends.append(
-            {"id": name} | ({"weight": figure(weight)} if weight else {}) | ({"drained": True} if out else {})
+            {"id": name} | ({"weight": decimal_text(weight)} if weight else {}) | ({"drained": True} if out else {})
         )
     return tree | ({"backend": backends} if backends else {})
 
@@ -41,7 +41,7 @@
 def _group(group: TrafficGroup, zones: tuple[str, ...]) -> Tree:
     made: Tree = {
         "name": group.name,
-        "utility": figure(group.utility),
+        "utility": decimal_text(group.utility),
         "latency-budget": group.latency_budget,
         "expiry": group.timeout,
         "repeats": group.retry_safety.value,
@@ -52,13 +52,13 @@
     return made | ({"zone": sorted(zones[zone] for zone in group.allowed_zones)} if group.allowed_zones else {})
 
 
-def figure(value: float) -> str:
+def decimal_text(value: float) -> str:
     """A decimal64 with three digits, as RFC 7951 writes it."""
     text = format(Decimal(str(round(value, 3))).normalize(), "f")
     return text if "." in text else f"{text}.0"
 
 
-def deployment(tree: Tree, settings: ControllerSettings) -> Deployment:
+def deployment_from_tree(tree: Tree, settings: ControllerSettings) -> Deployment:
     """The policy's deployment under a tree; all else stays as in the settings. Raises ValueError."""
     start, channel, guards = settings.deployment, tree.get("channel", {}), tree.get("guards", {})
     groups = []
@@ -94,7 +94,7 @@
     )
 
 
-def overlaid(endpoint_list: EndpointList, tree: Tree) -> EndpointList:
+def with_configured_backends(endpoint_list: EndpointList, tree: Tree) -> EndpointList:
     """Discovery's list under the weights and drains of a configuration."""
     configured = {each["id"]: each for each in tree.get("backend", ())}
     return endpoint_list._replace(
@@ -107,7 +107,7 @@
     return entry._replace(weight=weight, state="draining" if configured.get("drained") else entry.state)
 
 
-def as_records(tree: Tree, prefixes: dict[str, str]) -> str:
+def settings_text(tree: Tree, prefixes: dict[str, str]) -> str:
     """The tree as a settings file that the controller's own file can include in place of these fields."""
     channel, guards = tree.get("channel", {}), tree.get("guards", {})
     groups = {}
--- a/onyxhead/controller/configuration_service.py
+++ b/onyxhead/controller/configuration_service.py
@@ -13,7 +13,7 @@
 from onyxhead.controller.configuration.datastores import Commit, Datastores
 from onyxhead.controller.configuration.service import ConfigurationCallbacks, ConfigurationService
 from onyxhead.controller.configuration.tree import RpcError, Tree
-from onyxhead.controller.configuration.views import deployment, tree_of
+from onyxhead.controller.configuration.views import deployment_from_tree, settings_tree
 from onyxhead.controller.controller_status import controller_status
 from onyxhead.controller.core import ControllerCore
 from onyxhead.fronts.netconf import schema
@@ -41,7 +41,7 @@
     def check(tree: Tree) -> None:
         schema.validate_tree(tree)
         try:
-            deployment(tree, settings)
+            deployment_from_tree(tree, settings)
         except ValueError as error:
             raise RpcError("invalid-value", str(error), "/fleet/group") from None
 
@@ -67,7 +67,7 @@
 def _commits(settings: ControllerSettings, store: Store) -> list[Commit]:
     """The stored commits, with one more if the settings file has changed."""
     commits = [Commit(*record) for record in store.load_commits()]
-    tree = tree_of(settings)
+    tree = settings_tree(settings)
     if not commits or store.get(SETTINGS_TREE) != tree:
         number = commits[-1].number + 1 if commits else 1
         commit = Commit(number, tree, SETTINGS_USER, SETTINGS_COMMIT)
--- a/onyxhead/controller/endpoint_overlay.py
+++ b/onyxhead/controller/endpoint_overlay.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from onyxhead.controller.configuration.tree import Tree
-from onyxhead.controller.configuration.views import overlaid
+from onyxhead.controller.configuration.views import with_configured_backends
 from onyxhead.controller.endpoint_list import DRAINING, EndpointList
 from onyxhead.operate.overrides import BackendOverrides, keeps_out
 from onyxhead.policy.inputs import Endpoint
@@ -22,7 +22,7 @@
     ) -> EndpointList:
         """The list to follow. `last` is the one followed now and `endpoints` are what the policy knows of it: a cordon
         does not drain a backend that serves."""
-        configured = overlaid(endpoint_list, self.tree)
+        configured = with_configured_backends(endpoint_list, self.tree)
         in_use = last.entries if last is not None else ()
         serving = {e.id: e.started for e in in_use if e.id in endpoints and endpoints[e.id].ready}
         entries = tuple(
--- a/onyxhead/controller/http_routes.py
+++ b/onyxhead/controller/http_routes.py
@@ -12,7 +12,7 @@
 import structlog
 
 from onyxhead.controller import log_events
-from onyxhead.controller.configuration.views import as_records, tree_of
+from onyxhead.controller.configuration.views import settings_text, settings_tree
 from onyxhead.controller.controller_status import controller_status
 from onyxhead.controller.core_host import CoreHost
 from onyxhead.controller.discovery_watch import DiscoveryWatch
@@ -40,7 +40,7 @@
 log = structlog.get_logger()
 
 
-class Parts(NamedTuple):
+class ControllerParts(NamedTuple):
     """The parts of a controller that requests reach.
 
     `fleet` and `fleet_commands` are None for a controller that is alone, `load_reports` is None if none are taken.
@@ -62,7 +62,7 @@
 class HttpRoutes:
     """Handles requests whole; each answer is complete when it is returned."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: ControllerParts) -> None:
         self.parts = parts
 
     async def handle_request(self, request: Request, writer: asyncio.StreamWriter) -> Response:
@@ -88,8 +88,8 @@
             case "GET", ["v1", "state"]:
                 return json_response(HTTPStatus.OK, self._state())
             case "GET", ["v1", "config"]:
-                tree = parts.overlay.tree or tree_of(parts.settings)
-                return json_response(HTTPStatus.OK, {"records": as_records(tree, parts.settings.prefixes)})
+                tree = parts.overlay.tree or settings_tree(parts.settings)
+                return json_response(HTTPStatus.OK, {"records": settings_text(tree, parts.settings.prefixes)})
             case "GET", ["v1", "orders"]:
                 records = await asyncio.to_thread(parts.store.recent_decisions, SHOWN_DECISIONS)
                 return json_response(HTTPStatus.OK, [record.to_json() for record in records])
--- a/onyxhead/controller/operator_commands.py
+++ b/onyxhead/controller/operator_commands.py
@@ -9,7 +9,7 @@
 
 from onyxhead.controller import log_events
 from onyxhead.controller.configuration.commit_plan import BackendFacts, FleetFacts
-from onyxhead.controller.configuration.views import tree_of
+from onyxhead.controller.configuration.views import settings_tree
 from onyxhead.controller.core_host import CoreHost
 from onyxhead.controller.discovery_watch import DiscoveryWatch
 from onyxhead.controller.endpoint_list import READY, EndpointEntry
@@ -49,7 +49,7 @@
             return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, "no list has been heard yet")
         overrides = self.overlay.overrides.copy()
         backends = [Backend(each.id, each.zone, each.kind) for each in self.watch.endpoint_list.entries]
-        tree = self.overlay.tree or tree_of(self.settings)
+        tree = self.overlay.tree or settings_tree(self.settings)
         try:
             answer = overrides.execute(command, tree, backends, self.fleet_facts())
             is_new = not command.dry_run and not answer.repeated
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -17,7 +17,7 @@
 from onyxhead.controller import log_events
 from onyxhead.controller.configuration.commit_plan import CommitPlan, FleetFacts
 from onyxhead.controller.configuration.tree import Tree
-from onyxhead.controller.configuration.views import deployment
+from onyxhead.controller.configuration.views import deployment_from_tree
 from onyxhead.controller.core import ControllerCore
 from onyxhead.controller.core_host import CoreHost
 from onyxhead.controller.decision_loop import DecisionLoop
@@ -26,7 +26,7 @@
 from onyxhead.controller.fleet_commands import FleetCommands
 from onyxhead.controller.fleet_state import FleetState
 from onyxhead.controller.fleet_transport import FleetTransport
-from onyxhead.controller.http_routes import HttpRoutes, Parts
+from onyxhead.controller.http_routes import ControllerParts, HttpRoutes
 from onyxhead.controller.join_handler import JoinHandler
 from onyxhead.controller.key_rotation import rotate_keys
 from onyxhead.controller.load_report_ingest import LoadReportIngest
@@ -64,7 +64,7 @@
         self.netconf: NetconfServer | None = None
         self.configuration = self._open_configuration()
         tree = self.configuration.datastores.running if self.configuration is not None else {}
-        start = deployment(tree, settings) if self.configuration is not None else settings.deployment
+        start = deployment_from_tree(tree, settings) if self.configuration is not None else settings.deployment
         self.overlay = EndpointOverlay(tree, BackendOverrides(self.store.get(OPERATOR_STATE)))
         recovered = self.store.recovered
         core = self._new_core(start, recovered.epoch, recovered.proxy_numbers, recover_history(self.store))
@@ -139,7 +139,7 @@
         return LoadReportIngest(settings.load_reports, settings.seed, settings.tls, self.host, self.supervisor)
 
     def _routes(self) -> HttpRoutes:
-        parts = Parts(
+        parts = ControllerParts(
             settings=self.settings,
             host=self.host,
             store=self.store,
@@ -218,12 +218,12 @@
             log_events.CONFIGURATION_APPLIED,
             drains=plan.drains,
             restores=plan.restores,
-            rebuild=plan.rebuild,
-            channel_s=plan.seconds,
+            rebuild=plan.restarts_policy,
+            channel_s=plan.channel_time_s,
         )
         self.overlay.tree = tree
-        if plan.rebuild:
-            self._restart_policy(deployment(tree, self.settings))
+        if plan.restarts_policy:
+            self._restart_policy(deployment_from_tree(tree, self.settings))
         self.watch.refresh()
 
     def _restart_policy(self, start: Deployment) -> None:
--- a/onyxhead/fronts/netconf/editing.py
+++ b/onyxhead/fronts/netconf/editing.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from onyxhead.controller.configuration.datastores import STARTUP
-from onyxhead.controller.configuration.tree import Edit, RpcError, Tree, apply
+from onyxhead.controller.configuration.tree import Edit, RpcError, Tree, apply_edit
 from onyxhead.fronts.netconf import schema
 from onyxhead.fronts.netconf.data_trees import read_edits
 from onyxhead.fronts.netconf.request_parameters import datastore_parameter, require_one_of, text_parameter
@@ -72,7 +72,7 @@
     if config is None:
         return context.service.datastores.get(datastore_parameter(request, "source"))
     edits = read_edits(config, schema.config_schema())
-    return apply(schema.config_schema(), {}, edits[0], "replace") if edits else {}
+    return apply_edit(schema.config_schema(), {}, edits[0], "replace") if edits else {}
 
 
 def lock(context: SessionContext, request: Element) -> list[Element]:
--- a/onyxhead/fronts/netconf/operations.py
+++ b/onyxhead/fronts/netconf/operations.py
@@ -37,5 +37,5 @@
     operation = OPERATIONS.get(name)
     if operation is None:
         raise RpcError("operation-not-supported", f"{name} is not served", kind="protocol")
-    context.service.access.may_run(context.user, name)
+    context.service.access.authorize_operation(context.user, name)
     return operation(context, request) or [new_element("ok")]
--- a/onyxhead/fronts/netconf/retrieval.py
+++ b/onyxhead/fronts/netconf/retrieval.py
@@ -57,7 +57,7 @@
     readable: Tree = {}
     for name, value in tree.items():
         child, child_path = node.children[name], f"{path}/{name}"
-        if name not in node.keys and not context.service.access.readable(context.user, child_path):
+        if name not in node.keys and not context.service.access.may_read(context.user, child_path):
             continue
         match child.kind:
             case "list":
--- a/onyxhead/operate/overrides.py
+++ b/onyxhead/operate/overrides.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from typing import Any
 
-from onyxhead.controller.configuration.commit_plan import FleetFacts, drained, plan_commit
+from onyxhead.controller.configuration.commit_plan import FleetFacts, drained_backends, plan_commit
 from onyxhead.controller.configuration.tree import RpcError, Tree
 from onyxhead.operate.answers import CommandAnswer, CommandEffect, CommandStatus
 from onyxhead.operate.commands import Backend, Command, CommandError, select_backends
@@ -95,13 +95,13 @@
             plan = plan_commit(with_drains(tree, self.drained), with_drains(tree, drains), facts)
         except RpcError as error:
             return CommandEffect(CommandStatus.REFUSED, error.text, [])
-        if command.verb == "restore" and (configured := sorted(set(selected) & drained(tree))):
+        if command.verb == "restore" and (configured := sorted(set(selected) & drained_backends(tree))):
             reason = f"{', '.join(configured)}: drained by the configuration, and only that can restore them"
             return CommandEffect(CommandStatus.REFUSED, reason, [])
         if not command.dry_run:
             self.drained, self.cordoned = drains, cordons
         reason = "" if changed else "it was so already"
-        return CommandEffect(CommandStatus.APPLIED, reason, changed, round(plan.seconds, 3))
+        return CommandEffect(CommandStatus.APPLIED, reason, changed, round(plan.channel_time_s, 3))
 
     def _remember(self, answer: CommandAnswer) -> None:
         self.completed[answer.command_id] = answer
--- a/tests/configuration_samples.py
+++ b/tests/configuration_samples.py
@@ -6,7 +6,7 @@
 
 from onyxhead.controller.configuration.commit_plan import BackendFacts, FleetFacts
 from onyxhead.controller.configuration.datastores import Commit, Datastores
-from onyxhead.controller.configuration.tree import Edit, Tree, apply
+from onyxhead.controller.configuration.tree import Edit, Tree, apply_edit
 from onyxhead.fronts.netconf import schema
 from onyxhead.fronts.netconf.data_trees import read_edits
 from onyxhead.fronts.netconf.xml_elements import BASE_NAMESPACE, FLEET_NAMESPACE, parse_message
@@ -27,7 +27,7 @@
 
 def edited_tree(text: str, default: str = "merge", tree: Tree = TREE) -> Tree:
     """The tree after an edit with this content."""
-    return apply(schema.config_schema(), tree, parse_edit(text), default)
+    return apply_edit(schema.config_schema(), tree, parse_edit(text), default)
 
 
 def backend_xml(name: str, operation: str = "", content: str = "") -> str:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -13,8 +13,8 @@
 from onyxhead.controller.configuration.commit_plan import BackendFacts, CommitPlan, FleetFacts, plan_commit
 from onyxhead.controller.configuration.datastores import Commit, Datastores
 from onyxhead.controller.configuration.service import ConfigurationCallbacks, ConfigurationService
-from onyxhead.controller.configuration.tree import RpcError, Tree, changes, with_defaults
-from onyxhead.controller.configuration.views import as_records, deployment, tree_of
+from onyxhead.controller.configuration.tree import RpcError, Tree, tree_changes, with_defaults
+from onyxhead.controller.configuration.views import deployment_from_tree, settings_text, settings_tree
 from onyxhead.fronts.netconf import schema
 from onyxhead.settings.load import read_settings
 from onyxhead.settings.model import AccessRule, ControllerSettings, NetconfUser
@@ -77,7 +77,7 @@
 
 def test_changes_lists_created_and_updated_nodes() -> None:
     two = edited_tree(backend_xml("b1", "", "<weight>2</weight>") + "<channel><pace>7</pace></channel>")
-    assert list(changes(TREE, two, "/fleet")) == [
+    assert list(tree_changes(TREE, two, "/fleet")) == [
         ("create", "/fleet/backend/id"),
         ("create", "/fleet/backend/weight"),
         ("update", "/fleet/channel/pace"),
@@ -162,8 +162,8 @@
     rng, datastores, model, now = random.Random(seed), new_datastores(), ReferenceModel(), 100.0
     for step in range(30):
         now += rng.choice((0.1, 0.1, 3.0))
-        if (rollback := datastores.expired(now)) is not None:
-            datastores.committed(0, rollback)
+        if (rollback := datastores.expire_commit(now)) is not None:
+            datastores.on_commit_stored(0, rollback)
         if model.pending and now >= model.pending[2]:
             model.roll_back()
         operation, session, value = rng.choice(OPERATIONS), rng.choice((1, 2)), step + 1
@@ -189,7 +189,9 @@
     match operation.split():
         case ["edit"]:
             text = backend_xml("b1", "", f"<weight>{value}</weight>")
-            datastores.put(session, "candidate", datastores.edited(session, "candidate", parse_edit(text), "merge"))
+            datastores.put(
+                session, "candidate", datastores.preview_edit(session, "candidate", parse_edit(text), "merge")
+            )
         case ["lock", name]:
             datastores.lock(session, name)
         case ["unlock", name]:
@@ -197,23 +199,25 @@
         case ["discard"]:
             datastores.discard(session)
         case ["commit" | "confirmed"]:
-            datastores.committed(session, datastores.commit(session, "u", now, operation == "confirmed", 5))
+            datastores.on_commit_stored(
+                session, datastores.prepare_commit(session, "u", now, operation == "confirmed", 5)
+            )
         case ["cancel"]:
-            datastores.committed(session, datastores.cancel(session, "u"))
+            datastores.on_commit_stored(session, datastores.prepare_cancel(session, "u"))
         case ["end"]:
             if (rollback := datastores.close_session(session)) is not None:
-                datastores.committed(0, rollback)
+                datastores.on_commit_stored(0, rollback)
 
 
 def test_a_persistent_commit_can_be_confirmed_by_any_session_that_knows_its_id() -> None:
     datastores = new_datastores()
     run_operation(datastores, "edit", 1, 3, 0)
-    datastores.committed(1, datastores.commit(1, "u", 0.0, True, 60, persist="k"))
+    datastores.on_commit_stored(1, datastores.prepare_commit(1, "u", 0.0, True, 60, persist="k"))
     assert datastores.close_session(1) is None and weight_of(datastores.running) == 3
     with pytest.raises(RpcError):
-        datastores.commit(2, "u", 1.0, persist_id="other")
-    datastores.committed(2, datastores.commit(2, "u", 1.0, persist_id="k"))
-    assert datastores.expired(1000.0) is None and weight_of(datastores.running) == 3
+        datastores.prepare_commit(2, "u", 1.0, persist_id="other")
+    datastores.on_commit_stored(2, datastores.prepare_commit(2, "u", 1.0, persist_id="k"))
+    assert datastores.expire_commit(1000.0) is None and weight_of(datastores.running) == 3
 
 
 # Planning of commits
@@ -240,8 +244,8 @@
 
 def test_a_plan_names_drains_restores_and_whether_the_policy_restarts() -> None:
     plan = plan_commit(drained_tree("b0"), drained_tree("b1"), fleet_facts())
-    assert (plan.drains, plan.restores, plan.rebuild) == (("b1",), ("b0",), False) and plan.seconds > 0
-    assert plan_commit(TREE, TREE | {"guards": {"drain-grace": 9000}}, fleet_facts()).rebuild
+    assert (plan.drains, plan.restores, plan.restarts_policy) == (("b1",), ("b0",), False) and plan.channel_time_s > 0
+    assert plan_commit(TREE, TREE | {"guards": {"drain-grace": 9000}}, fleet_facts()).restarts_policy
     assert plan_commit(TREE, TREE, fleet_facts()) == CommitPlan((), (), (), False, 0.0)
 
 
@@ -250,16 +254,16 @@
     path.write_text(CONTROLLER + "backends: {b1: {weight: 2.5}, b2: {drained: true}}\n")
     first = read_settings(path)
     assert isinstance(first, ControllerSettings)
-    tree = tree_of(first)
+    tree = settings_tree(first)
     schema.validate_tree(tree)
-    assert deployment(tree, first) == first.deployment
+    assert deployment_from_tree(tree, first) == first.deployment
     changed = edited_tree(
         backend_xml("b3", "", "<weight>0.5</weight>") + "<channel><pace>777</pace></channel>", tree=tree
     )
     unchanged = "\n".join(line for line in CONTROLLER.splitlines() if not line.startswith(("groups", "channel")))
-    path.write_text(unchanged + "\n" + as_records(changed, first.prefixes))
+    path.write_text(unchanged + "\n" + settings_text(changed, first.prefixes))
     second = read_settings(path)
-    assert isinstance(second, ControllerSettings) and tree_of(second) == changed
+    assert isinstance(second, ControllerSettings) and settings_tree(second) == changed
 
 
 # Access
@@ -273,19 +277,19 @@
         AccessRule("kill", ("ops",), None, "kill-session", ("exec",), True),
     )
     access = Access({"o": NetconfUser((), ("ops",)), "v": NetconfUser((), ())}, rules)
-    access.may_write("o", TREE, edited_tree(backend_xml("b1")), "/fleet")
+    access.authorize_write("o", TREE, edited_tree(backend_xml("b1")), "/fleet")
     for user, tree in (
         ("v", edited_tree(backend_xml("b1"))),
         ("o", edited_tree("<channel><pace>9</pace></channel>")),
         ("o", {}),
     ):
         with pytest.raises(RpcError, match="may not"):
-            access.may_write(user, TREE, tree, "/fleet")
-    access.may_run("o", "kill-session")
-    access.may_run("v", "get")
+            access.authorize_write(user, TREE, tree, "/fleet")
+    access.authorize_operation("o", "kill-session")
+    access.authorize_operation("v", "get")
     with pytest.raises(RpcError):
-        access.may_run("v", "kill-session")
-    assert not access.readable("v", "/fleet/guards/drain-grace") and access.readable("v", "/fleet/channel")
+        access.authorize_operation("v", "kill-session")
+    assert not access.may_read("v", "/fleet/guards/drain-grace") and access.may_read("v", "/fleet/channel")
 
 
 # Commits interrupted at every step
@@ -337,9 +341,9 @@
 def test_an_unconfirmed_commit_is_rolled_back_also_if_the_controller_was_down_at_its_timeout() -> None:
     datastores = new_datastores()
     run_operation(datastores, "edit", 1, 3, 0)
-    commit = datastores.commit(1, "u", 100.0, True, 60, persist="k")
-    datastores.committed(1, commit)
+    commit = datastores.prepare_commit(1, "u", 100.0, True, 60, persist="k")
+    datastores.on_commit_stored(1, commit)
     restarted = Datastores(schema.config_schema(), [datastores.commits[1], commit], schema.validate_tree)
-    assert weight_of(restarted.running) == 3 and restarted.expired(159.0) is None
-    rollback = restarted.expired(161.0)
+    assert weight_of(restarted.running) == 3 and restarted.expire_commit(159.0) is None
+    rollback = restarted.expire_commit(161.0)
     assert rollback is not None and rollback.tree == TREE
