--- a/onyxhead/controller/configuration/__init__.py
+++ b/onyxhead/controller/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration that is edited in service: data trees under a schema, datastores, access, commits. No I/O."""
+"""The configuration that clients edit at run time: data trees, datastores, access rules and commits. No I/O."""
--- a/onyxhead/controller/configuration/commit_plan.py
+++ b/onyxhead/controller/configuration/commit_plan.py
@@ -1,6 +1,7 @@
-"""What a commit would do to the safety rules of docs/design.md: it is rejected before it acts, or planned. No I/O.
+"""Checks a commit against the safety rules of docs/design.md and plans its effects. No I/O.
 
-Only what an edit itself would break is rejected. What the fleet suffers for other reasons is left to the policy.
+A commit is rejected only if its own changes would break a rule. Violations that exist for other reasons, such as failed
+backends, are left to the policy.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 MAX_WITHDRAWAL_SHARE = 0.9
-"""Share of the queue limit that withdrawals may fill, as in the policy."""
+"""Share of the queue limit that withdrawals may fill. The policy uses the same share."""
 DEFAULT_LINES_PER_SECOND, DEFAULT_MAX_QUEUED_LINES, DEFAULT_DRAIN_GRACE = 1000, 2000, 20_000
-RESTARTING_PARTS = ("channel", "guards", "group")
-"""Parts of the tree whose change needs a new start of the policy."""
+POLICY_START_PARTS = ("channel", "guards", "group")
+"""Parts of the tree that the policy reads only when it starts, so that changing them restarts it."""
 
 
 class BackendFacts(NamedTuple):
-    """A backend as discovery lists it now."""
+    """A backend as discovery lists it now. `warm` tells whether it has run for at least the warm-up time."""
 
     id: str
     zone: str
@@ -27,7 +28,10 @@
 
 
 class FleetFacts(NamedTuple):
-    """What the controller knows when a commit is planned. `message_overhead` in lines for each message."""
+    """The state of the fleet on which the plan of a commit depends.
+
+    `proxies` is the number of joined proxies. `message_overhead` is the cost of a message beyond its lines, in lines.
+    """
 
     backends: tuple[BackendFacts, ...]
     proxies: int
@@ -36,9 +40,10 @@
 
 
 class CommitPlan(NamedTuple):
-    """What a commit does: which backends it drains or restores, and which weights it changes.
+    """The effects of a commit: the backends that it drains or restores, and those whose weights it changes.
 
-    With `restarts_policy` all proxies join again; `seconds` is the time for which its lines occupy the channel.
+    `restarts_policy` tells whether the policy restarts, after which all proxies join again. `channel_time_s` is the
+    time for which the messages that the commit causes occupy the channel.
     """
 
     drains: tuple[str, ...]
@@ -49,17 +54,17 @@
 
 
 def drained_backends(tree: Tree) -> set[str]:
-    """The backends that a configuration drains."""
-    return {each["id"] for each in tree.get("backend", ()) if each.get("drained")}
+    """Return the ids of the backends that a configuration drains."""
+    return {entry["id"] for entry in tree.get("backend", ()) if entry.get("drained")}
 
 
 def backend_weights(tree: Tree) -> dict[str, str]:
-    """The weights that a configuration gives to backends."""
-    return {each["id"]: each["weight"] for each in tree.get("backend", ()) if "weight" in each}
+    """Return the weights that a configuration sets, by backend id."""
+    return {entry["id"]: entry["weight"] for entry in tree.get("backend", ()) if "weight" in entry}
 
 
 def plan_commit(before: Tree, after: Tree, facts: FleetFacts) -> CommitPlan:
-    """The plan of a commit. Raises RpcError for one that would break a rule by itself."""
+    """Return the plan of a commit. Raise RpcError if the commit itself would break a safety rule."""
     drains, restores = (
         drained_backends(after) - drained_backends(before),
         drained_backends(before) - drained_backends(after),
@@ -72,7 +77,7 @@
     ready_drains = len(drains & {backend.id for backend in facts.backends if backend.ready})
     drain_lines = facts.proxies * (facts.message_overhead + 1 + ready_drains)
     _check_drains(after, facts, ready_drains, drain_lines)
-    restarts_policy = any(_part(before, name) != _part(after, name) for name in RESTARTING_PARTS)
+    restarts_policy = any(_part(before, name) != _part(after, name) for name in POLICY_START_PARTS)
     if restarts_policy:
         table_lines = len(facts.backends) + 1 + facts.message_overhead
         lines = facts.proxies * table_lines * max(1, len(after["group"]))
@@ -82,46 +87,53 @@
         name for name, weight in backend_weights(after).items() if backend_weights(before).get(name) != weight
     }
     reweighted |= backend_weights(before).keys() - backend_weights(after).keys()
-    seconds = lines / lines_per_second
+    channel_time_s = lines / lines_per_second
     return CommitPlan(
-        tuple(sorted(drains)), tuple(sorted(restores)), tuple(sorted(reweighted)), restarts_policy, seconds
+        tuple(sorted(drains)), tuple(sorted(restores)), tuple(sorted(reweighted)), restarts_policy, channel_time_s
     )
 
 
 def _check_queue_limit(after: Tree, facts: FleetFacts) -> None:
     limit = _max_queued_lines(after)
     if limit < facts.queued_lines:
-        text = f"{facts.queued_lines:.0f} lines wait now; a limit of {limit} would be broken at once (rule 5)"
+        text = f"{facts.queued_lines:.0f} lines are queued now, more than the new limit of {limit} (rule 5)"
         raise RpcError("operation-failed", text, "/fleet/channel/most-waiting")
 
 
 def _check_drains(after: Tree, facts: FleetFacts, drains: int, lines: float) -> None:
-    """All withdrawals must reach the proxies within the drain grace."""
+    """Reject drains whose withdrawals could not all reach the proxies within the drain grace.
+
+    `drains` is the number of ready backends that are drained, `lines` the size of the messages that withdraw them.
+    """
     lines_per_second = float(_part(after, "channel").get("pace", DEFAULT_LINES_PER_SECOND))
     grace_s = _part(after, "guards").get("drain-grace", DEFAULT_DRAIN_GRACE) / TICKS_PER_SECOND
     capacity = min(MAX_WITHDRAWAL_SHARE * _max_queued_lines(after), lines_per_second * grace_s)
     if drains and lines > capacity:
-        fitting = max(0, int(capacity / max(1, facts.proxies) - facts.message_overhead - 1))
-        text = f"{drains} drains at once take {lines:.0f} lines, {capacity:.0f} pass in the grace: "
-        text += f"{fitting} at a time (rule 3)"
+        drains_that_fit = max(0, int(capacity / max(1, facts.proxies) - facts.message_overhead - 1))
+        text = f"{drains} drains at once need {lines:.0f} lines, but {capacity:.0f} can be sent in the drain grace: "
+        text += f"drain at most {drains_that_fit} at a time (rule 3)"
         raise RpcError("operation-failed", text, "/fleet/backend")
 
 
 def _check_groups(before: Tree, after: Tree, facts: FleetFacts) -> None:
-    """An edit must not take a group's last warm backend; a group that had none before is not the edit's doing."""
+    """Reject a commit that leaves a group without a warm backend, unless the group had none before."""
     for group in after["group"]:
         zones = set(group.get("zone", ()))
-        usable = [b for b in facts.backends if b.ready and b.warm and (not zones or b.zone in zones)]
-        left = [b for b in usable if b.id not in drained_backends(after)]
-        earlier = next((each for each in before.get("group", ()) if each["name"] == group["name"]), None)
-        had_some = earlier is not None and any(
-            b.ready
-            and b.warm
-            and b.id not in drained_backends(before)
-            and (b.zone in (earlier.get("zone") or [b.zone]))
-            for b in facts.backends
+        usable = [
+            backend
+            for backend in facts.backends
+            if backend.ready and backend.warm and (not zones or backend.zone in zones)
+        ]
+        remaining = [backend for backend in usable if backend.id not in drained_backends(after)]
+        group_before = next((each for each in before.get("group", ()) if each["name"] == group["name"]), None)
+        had_usable = group_before is not None and any(
+            backend.ready
+            and backend.warm
+            and backend.id not in drained_backends(before)
+            and (backend.zone in (group_before.get("zone") or [backend.zone]))
+            for backend in facts.backends
         )
-        if not left and (had_some or (earlier is None and facts.backends)):
+        if not remaining and (had_usable or (group_before is None and facts.backends)):
             text = f"group {group['name']!r} would have no warm backend (rule 1)"
             raise RpcError("operation-failed", text, "/fleet/backend")
 
--- a/onyxhead/controller/configuration/datastores.py
+++ b/onyxhead/controller/configuration/datastores.py
@@ -1,7 +1,8 @@
-"""Running, candidate and startup: who may change them, and what a commit is (RFC 6241, sections 7 and 8).
+"""The running, candidate and startup datastores, with their locks and commits (RFC 6241, sections 7 and 8). No I/O.
 
-No I/O. A commit is made here and takes effect once it is on disk: `commit` returns what is to be stored, `committed`
-says that it was. Times are in seconds of the wall clock, since a timeout outlives the process.
+A commit takes two steps, so that it takes effect only once it is on disk: `prepare_commit` returns the commit that the
+caller has to store, and `on_commit_stored` puts it into the running datastore. Times are in seconds of the wall clock,
+because the timeout of a commit continues across a restart of the process.
 """
 
 from __future__ import annotations
@@ -12,17 +13,19 @@
 from onyxhead.controller.configuration.tree import Edit, Node, RpcError, Tree, apply_edit
 
 CONFIRM_TIMEOUT = 600
+"""Default time in seconds for confirming a commit (RFC 6241, section 8.4.5.1)."""
 RUNNING, CANDIDATE, STARTUP = "running", "candidate", "startup"
 NAMES = (RUNNING, CANDIDATE, STARTUP)
 COMMIT, CONFIRMED_COMMIT, CONFIRM, ROLLBACK = "commit", "confirmed commit", "confirm", "roll back"
-"""Kinds of commits, as they are stored and shown in the audit log."""
+"""Kinds of commits, as they are stored and as the audit log shows them."""
 
 
 class Commit(NamedTuple):
     """One state of the running datastore.
 
-    It is taken back at `confirm_by` if nobody confirms it, 0.0 for never; `rollback_to` is the number of the commit
-    that holds then. With a `persist_id` another session may confirm it.
+    If `confirm_by` is set (not 0.0), the commit is rolled back at that time unless it is confirmed; `rollback_to` is
+    the number of the commit whose tree is then restored. With a `persist_id`, any session that knows the id may
+    confirm the commit.
     """
 
     number: int
@@ -35,9 +38,10 @@
 
 
 class Datastores:
-    """`check` raises RpcError for a tree that the schema rejects.
+    """The three datastores, the locks on them, and all commits by number.
 
-    `candidate_session` is the session that changed the candidate last, `commit_session` the one of the last commit.
+    `check` raises RpcError for an invalid tree. `candidate_session` is the session that last changed the candidate,
+    `commit_session` the session that made the last commit.
     """
 
     def __init__(
@@ -54,7 +58,7 @@
         self.sessions: set[int] = set()
 
     def get(self, name: str) -> Tree:
-        """The content of a datastore. Raises RpcError for an unknown name."""
+        """Return the content of a datastore. Raise RpcError for an unknown name."""
         if name not in NAMES:
             raise RpcError("invalid-value", f"there is no datastore {name!r}")
         return {RUNNING: self.running, CANDIDATE: self.candidate, STARTUP: self.startup}[name]
@@ -62,19 +66,23 @@
     # Locks
 
     def lock(self, session: int, name: str) -> None:
-        """Lock a datastore. Raises RpcError lock-denied, with the session that holds it or stands in the way."""
+        """Lock a datastore.
+
+        Raise RpcError lock-denied if it is locked, has uncommitted changes or waits for a confirmation. The error names
+        the session responsible, 0 for a commit that waits.
+        """
         self.get(name)
         if name in self.locks:
             raise RpcError("lock-denied", f"{name} is locked", kind="protocol", session_id=str(self.locks[name]))
         if name == CANDIDATE and self.candidate != self.running:
             holder = str(self.candidate_session)
-            raise RpcError("lock-denied", "candidate has changes of its own", kind="protocol", session_id=holder)
+            raise RpcError("lock-denied", "candidate has uncommitted changes", kind="protocol", session_id=holder)
         if name == RUNNING and self.last.confirm_by:
             raise RpcError("lock-denied", "a commit waits to be confirmed", kind="protocol", session_id="0")
         self.locks[name] = session
 
     def unlock(self, session: int, name: str) -> None:
-        """Unlock a datastore; changes of the candidate are discarded with its lock. Raises RpcError."""
+        """Unlock a datastore, discarding uncommitted changes of the candidate. Raise RpcError if it is not locked."""
         self.get(name)
         if self.locks.get(name) != session:
             raise RpcError("operation-failed", f"{name} is not locked by this session", kind="protocol")
@@ -83,7 +91,7 @@
             self.candidate = self.running
 
     def check_unlocked(self, session: int, name: str) -> None:
-        """Raises RpcError in-use where another session holds the lock."""
+        """Raise RpcError in-use if another session has locked the datastore."""
         holder = self.locks.get(name, session)
         if holder != session:
             raise RpcError("in-use", f"{name} is locked by session {holder}", kind="protocol")
@@ -91,7 +99,7 @@
     # Changes
 
     def preview_edit(self, session: int, name: str, edit: Edit, default: str, test: bool = True) -> Tree:
-        """What the datastore would hold after the edit; nothing is set. Raises RpcError."""
+        """Return the tree that an edit would result in, and store nothing. Raise RpcError if the edit is rejected."""
         if name == RUNNING:
             raise RpcError("operation-not-supported", "running is changed by commit", kind="protocol")
         before = self.get(name)
@@ -102,7 +110,7 @@
         return after
 
     def put(self, session: int, name: str, tree: Tree) -> None:
-        """Replace the content of a datastore. Raises RpcError."""
+        """Replace the content of candidate or startup. Raise RpcError if it is locked or the tree is invalid."""
         self.get(name)
         self.check_unlocked(session, name)
         if name == RUNNING:
@@ -114,7 +122,7 @@
             self.startup = tree
 
     def discard(self, session: int) -> None:
-        """Make the candidate equal to running. Raises RpcError."""
+        """Reset the candidate to running. Raise RpcError if another session has locked it."""
         self.check_unlocked(session, CANDIDATE)
         self.candidate = self.running
 
@@ -130,41 +138,44 @@
         persist: str = "",
         persist_id: str = "",
     ) -> Commit:
-        """The commit to store; nothing has changed until `committed`. Raises RpcError."""
+        """Return a commit of the candidate for the caller to store. It takes effect with `on_commit_stored`.
+
+        Raise RpcError if the session may not commit now, or the candidate is invalid.
+        """
         for name in (RUNNING, CANDIDATE):
             self.check_unlocked(session, name)
-        waiting = self.last
-        if waiting.confirm_by:
-            if waiting.persist_id != persist_id or (not waiting.persist_id and session != self.commit_session):
+        pending = self.last
+        if pending.confirm_by:
+            if pending.persist_id != persist_id or (not pending.persist_id and session != self.commit_session):
                 raise RpcError("invalid-value", "another commit waits to be confirmed, under another persist-id")
         elif persist_id:
             raise RpcError("invalid-value", "no commit waits to be confirmed")
         self.check(self.candidate)
-        number, unconfirmed = waiting.number + 1, bool(waiting.confirm_by)
+        number, unconfirmed = pending.number + 1, bool(pending.confirm_by)
         if not confirmed:
             return Commit(number, self.candidate, user, CONFIRM if unconfirmed else COMMIT)
-        # A chain of unconfirmed commits is rolled back to where it began, not to its last link.
-        rollback_to = waiting.rollback_to if unconfirmed else waiting.number
+        # After several unconfirmed commits in a row, a rollback restores the state before the first of them.
+        rollback_to = pending.rollback_to if unconfirmed else pending.number
         return Commit(number, self.candidate, user, CONFIRMED_COMMIT, now + timeout, rollback_to, persist)
 
     def on_commit_stored(self, session: int, commit: Commit) -> None:
-        """The commit is on disk and holds from now on."""
+        """Put a commit that is now on disk into the running datastore."""
         self.commits[commit.number] = self.last = commit
         self.running, self.commit_session = commit.tree, session
         if commit.kind == ROLLBACK and self.candidate != commit.tree and not self.locks.get(CANDIDATE):
             self.candidate = commit.tree
 
     def prepare_cancel(self, session: int, user: str, persist_id: str = "") -> Commit:
-        """The commit that takes an unconfirmed one back. Raises RpcError."""
-        waiting = self.last
-        if not waiting.confirm_by:
+        """Return a commit that rolls back the unconfirmed one. Raise RpcError if the session may not cancel it."""
+        pending = self.last
+        if not pending.confirm_by:
             raise RpcError("operation-failed", "no commit waits to be confirmed")
-        if waiting.persist_id != persist_id or (not waiting.persist_id and session != self.commit_session):
-            raise RpcError("invalid-value", "the commit that waits has another persist-id")
+        if pending.persist_id != persist_id or (not pending.persist_id and session != self.commit_session):
+            raise RpcError("invalid-value", "the commit that waits to be confirmed has another persist-id")
         return self._rollback(user)
 
     def expire_commit(self, now: float) -> Commit | None:
-        """The commit that takes back what nobody confirmed in time, if there is one to be made."""
+        """Return a commit that rolls back the unconfirmed one if its deadline has passed, else None."""
         return self._rollback("(time-out)") if self.last.confirm_by and now >= self.last.confirm_by else None
 
     def _rollback(self, user: str) -> Commit:
@@ -174,11 +185,14 @@
     # Sessions
 
     def open_session(self, session: int) -> None:
-        """A session has begun."""
+        """Add a session that has begun."""
         self.sessions.add(session)
 
     def close_session(self, session: int) -> Commit | None:
-        """A session has ended: its locks are released. Returns the rollback of a commit that only it could confirm."""
+        """Release the locks of a session that has ended.
+
+        If only this session could have confirmed the last commit, return a commit that rolls it back.
+        """
         self.sessions.discard(session)
         if self.locks.get(CANDIDATE) == session:
             self.candidate = self.running
--- a/onyxhead/controller/configuration/service.py
+++ b/onyxhead/controller/configuration/service.py
@@ -1,7 +1,7 @@
-"""The configuration service: every edit is checked, planned, stored, and only then put into effect. No I/O itself.
+"""The configuration service: checks, plans and stores every commit before it takes effect. No I/O of its own.
 
-The order matters: a commit must be on disk before anything acts on it, and nothing is answered before both are done. If
-the process is killed in between, the next incarnation finds the commit and puts it into effect.
+A commit is first written to disk, then put into effect, and only then answered. If the process is killed after the
+write, the next incarnation reads the commit from disk and puts it into effect.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Notification(NamedTuple):
-    """Something that happened, for subscribers and for replay. `at` in seconds of the wall clock."""
+    """An event for subscribers, kept for replay. `at` is in seconds of the wall clock."""
 
     at: float
     name: str
@@ -28,8 +28,11 @@
 
 
 class ConfigurationCallbacks(NamedTuple):
-    """What the server does for the service. `write_commit` and `save_startup` return once it is on disk, or raise
-    OSError. `audit` takes the user, the session, the action and its result.
+    """Functions of the server that the service calls.
+
+    `write_commit` and `save_startup` return once the data is on disk, and raise OSError if it cannot be written.
+    `apply` puts a stored commit into effect. `state` returns the state data that clients can read. `audit` takes the
+    user, the session, the action and its result.
     """
 
     facts: Callable[[], FleetFacts]
@@ -42,7 +45,10 @@
 
 
 class ConfigurationService:
-    """Sessions, edits and commits of all clients. `listeners` take notifications, by the session's number."""
+    """Handles the sessions, edits and commits of all clients.
+
+    `listeners` receive notifications and `terminators` close connections, both by session number.
+    """
 
     def __init__(self, datastores: Datastores, access: Access, callbacks: ConfigurationCallbacks) -> None:
         self.datastores, self.access, self.callbacks = datastores, access, callbacks
@@ -54,23 +60,23 @@
     # Sessions
 
     def open_session(self, terminate: Callable[[], None]) -> int:
-        """Begin a session and return its number. `terminate` closes its connection."""
+        """Open a session and return its number. `terminate` closes its connection."""
         number, self.next_session = self.next_session, self.next_session + 1
         self.terminators[number] = terminate
         self.datastores.open_session(number)
         return number
 
     def close_session(self, session: int) -> None:
-        """End a session; a commit that only it could confirm is taken back."""
+        """End a session, and roll back an unconfirmed commit that only this session could have confirmed."""
         self.terminators.pop(session, None)
         self.listeners.pop(session, None)
         if (rollback := self.datastores.close_session(session)) is not None:
             self._apply(session, rollback)
 
     def kill_session(self, user: str, session: int, own: int) -> None:
-        """End another session. Raises RpcError."""
+        """End another session than the user's own. Raise RpcError if there is no such session."""
         if session == own:
-            raise RpcError("invalid-value", "a session ends itself by close-session", kind="protocol")
+            raise RpcError("invalid-value", "a session cannot kill itself; use close-session", kind="protocol")
         if session not in self.terminators:
             raise RpcError("invalid-value", f"there is no session {session}", kind="protocol")
         self.callbacks.audit(user, own, f"kill-session {session}", "done")
@@ -80,13 +86,16 @@
     # Changes
 
     def edit(self, user: str, session: int, name: str, edit: Edit, default: str, test: str) -> None:
-        """Edit a datastore, with a default operation and a test option (RFC 6241, section 7.2). Raises RpcError."""
+        """Edit a datastore. Raise RpcError if the edit is rejected.
+
+        `default` is the default operation and `test` the test option (RFC 6241, section 7.2).
+        """
         before = self.datastores.get(name)
         after = self.datastores.preview_edit(session, name, edit, default, test != "set")
         self.replace(user, session, name, before, after, test)
 
     def replace(self, user: str, session: int, name: str, before: Tree, after: Tree, test: str = "set") -> None:
-        """Put a whole tree into candidate or startup, if the user may. Raises RpcError."""
+        """Replace the tree of candidate or startup. Raise RpcError if the user may not, or the tree is invalid."""
         self.access.authorize_write(user, before, after, ROOT_PATH)
         if test == "test-only":
             return
@@ -105,18 +114,18 @@
         persist: str = "",
         persist_id: str = "",
     ) -> Commit:
-        """Commit the candidate (RFC 6241, section 8.4). Raises RpcError, with nothing changed."""
+        """Commit the candidate (RFC 6241, section 8.4). If it is rejected, raise RpcError and change nothing."""
         now = self.callbacks.wall_time()
-        made = self.datastores.prepare_commit(session, user, now, confirmed, timeout, persist, persist_id)
-        self.access.authorize_write(user, self.datastores.running, made.tree, ROOT_PATH)
-        return self._apply(session, made)
+        commit = self.datastores.prepare_commit(session, user, now, confirmed, timeout, persist, persist_id)
+        self.access.authorize_write(user, self.datastores.running, commit.tree, ROOT_PATH)
+        return self._apply(session, commit)
 
     def cancel(self, user: str, session: int, persist_id: str) -> Commit:
-        """Take an unconfirmed commit back. Raises RpcError."""
+        """Roll back an unconfirmed commit. Raise RpcError if the session may not cancel it."""
         return self._apply(session, self.datastores.prepare_cancel(session, user, persist_id))
 
     def expire_commit(self) -> Commit | None:
-        """Take back a commit that nobody confirmed in time."""
+        """Roll back an unconfirmed commit whose deadline has passed."""
         rollback = self.datastores.expire_commit(self.callbacks.wall_time())
         return self._apply(0, rollback) if rollback is not None else None
 
@@ -125,7 +134,7 @@
         try:
             plan = plan_commit(before, commit.tree, self.callbacks.facts())
         except RpcError as error:
-            # What a rollback restores was in effect before: it is restored whatever it costs.
+            # A rollback restores a configuration that was in effect before, so it is applied even if it breaks a rule.
             if commit.kind != ROLLBACK:
                 self.callbacks.audit(commit.user, session, commit.kind, f"refused: {error.text}")
                 raise
@@ -146,7 +155,7 @@
     # Notifications
 
     def notify(self, name: str, values: dict[str, Any]) -> None:
-        """Tell all listeners, and keep the notification for replay."""
+        """Send a notification to all listeners, and keep it for replay."""
         notification = Notification(self.callbacks.wall_time(), name, values)
         self.notifications.append(notification)
         for listener in list(self.listeners.values()):
--- a/onyxhead/controller/configuration/tree.py
+++ b/onyxhead/controller/configuration/tree.py
@@ -1,7 +1,7 @@
-"""Data trees and edits of them, as one function from tree to tree (RFC 6241, section 7.2).
+"""Configuration data trees, and edits as functions from one tree to the next (RFC 6241, section 7.2).
 
-A tree is plain JSON values as RFC 7951 writes them: objects, lists of entries, lists of values, scalars. An edit never
-changes a tree in place: it is whole or it is not.
+A tree consists of plain JSON values in the encoding of RFC 7951: objects, lists of entries, lists of values, scalars.
+An edit returns a new tree and leaves the old one unchanged, so a failed edit has no partial effect.
 """
 
 from __future__ import annotations
@@ -18,7 +18,11 @@
 
 
 class RpcError(ControllerError):
-    """An error that a client is told (RFC 6241, appendix A): `tag` and `kind` (its type) from the RFC, and a path."""
+    """An error that is reported to the client.
+
+    `tag` and `kind` are the error-tag and error-type of RFC 6241, appendix A; `path` is the data node concerned, and
+    `info` holds the elements of error-info.
+    """
 
     def __init__(self, tag: str, text: str, path: str = "", kind: str = "application", **info: str) -> None:
         super().__init__(text)
@@ -27,7 +31,10 @@
 
 @dataclass(frozen=True)
 class Node:
-    """One node of the schema. `kind` is container, list, leaf or leaf-list; `parse` turns text into a value."""
+    """One node of the schema.
+
+    `kind` is container, list, leaf or leaf-list. `parse` converts text into a value, or returns None if it is invalid.
+    """
 
     name: str
     kind: str
@@ -40,7 +47,7 @@
 
 @dataclass
 class Edit:
-    """One element of an edit: its operation if it names one, its text or its children."""
+    """One element of an edit, with its own operation if it names one, and its text or its children."""
 
     name: str
     operation: str | None = None
@@ -49,148 +56,154 @@
 
 
 def apply_edit(node: Node, tree: Tree, edit: Edit, default: str) -> Tree:
-    """The tree after the edit of a container. Raises RpcError, with nothing changed."""
-    return _container(node, tree, edit, edit.operation or default, "")
+    """Return the tree after an edit of a container. Raise RpcError if the edit is invalid."""
+    return _edit_container(node, tree, edit, edit.operation or default, "")
 
 
-def _container(node: Node, tree: Tree, edit: Edit, operation: str, path: str) -> Tree:
-    # Below a replaced or created node nothing of the old one is left; `none` only leads the way.
-    made = {} if operation in ("replace", "create") else dict(tree)
+def _edit_container(node: Node, tree: Tree, edit: Edit, operation: str, path: str) -> Tree:
+    # Replacing or creating a node discards its old content. With `none`, only children that name an operation change.
+    result = {} if operation in ("replace", "create") else dict(tree)
     inherited = "merge" if operation in ("replace", "create") else operation
     for child in edit.children:
-        made = _member(node, made, child, child.operation or inherited, f"{path}/{node.name}")
-    return made
+        result = _edit_child(node, result, child, child.operation or inherited, f"{path}/{node.name}")
+    return result
 
 
-def _member(node: Node, tree: Tree, edit: Edit, operation: str, path: str) -> Tree:
-    where = f"{path}/{edit.name}"
+def _edit_child(node: Node, tree: Tree, edit: Edit, operation: str, path: str) -> Tree:
+    node_path = f"{path}/{edit.name}"
     child = node.children.get(edit.name)
     if child is None:
         raise RpcError("unknown-element", f"there is no {edit.name} in {node.name}", path, bad_element=edit.name)
     if not child.config:
-        raise RpcError("invalid-value", f"{edit.name} is state, not configuration", where)
+        raise RpcError("invalid-value", f"{edit.name} is state, not configuration", node_path)
     match child.kind:
         case "leaf":
-            return _leaf(child, tree, edit, operation, where)
+            return _edit_leaf(child, tree, edit, operation, node_path)
         case "leaf-list":
-            return _value(child, tree, edit, operation, where)
+            return _edit_leaf_list(child, tree, edit, operation, node_path)
         case "list":
-            return _entry(child, tree, edit, operation, where)
+            return _edit_list(child, tree, edit, operation, node_path)
     current = tree.get(child.name)
-    if (change := _change(current is not None, operation, where)) is not Change.WRITE:
+    if (change := _effect(current is not None, operation, node_path)) is not Change.WRITE:
         return _keep_or_remove(change, tree, child.name)
-    made = _container(child, current or {}, edit, operation, path)
-    if operation == "none" and current is None and not made:
+    result = _edit_container(child, current or {}, edit, operation, path)
+    if operation == "none" and current is None and not result:
         return tree
-    return tree | {child.name: made}
+    return tree | {child.name: result}
 
 
 class Change(Enum):
-    """What an operation does to a node."""
+    """The effect of an operation on a node."""
 
     KEEP = auto()
     REMOVE = auto()
     WRITE = auto()
 
 
-def _change(exists: bool, operation: str, where: str) -> Change:
-    """What an operation does to a node. Raises RpcError where the node must or must not exist."""
+def _effect(exists: bool, operation: str, node_path: str) -> Change:
+    """Return the effect of an operation. Raise RpcError if `create` finds the node or `delete` does not."""
     if operation == "create" and exists:
-        raise RpcError("data-exists", "it exists already", where)
+        raise RpcError("data-exists", "the node already exists", node_path)
     if operation == "delete" and not exists:
-        raise RpcError("data-missing", "it does not exist", where)
+        raise RpcError("data-missing", "the node does not exist", node_path)
     if operation in ("delete", "remove"):
         return Change.REMOVE if exists else Change.KEEP
     return Change.WRITE
 
 
 def _keep_or_remove(change: Change, tree: Tree, name: str) -> Tree:
-    return tree if change is Change.KEEP else {key: value for key, value in tree.items() if key != name}
+    return tree if change is Change.KEEP else {child: value for child, value in tree.items() if child != name}
 
 
-def _leaf(node: Node, tree: Tree, edit: Edit, operation: str, where: str) -> Tree:
-    if (change := _change(node.name in tree, operation, where)) is not Change.WRITE:
+def _edit_leaf(node: Node, tree: Tree, edit: Edit, operation: str, node_path: str) -> Tree:
+    if (change := _effect(node.name in tree, operation, node_path)) is not Change.WRITE:
         return _keep_or_remove(change, tree, node.name)
     if operation == "none":
         return tree
-    return tree | {node.name: parse_value(node, edit.text, where)}
+    return tree | {node.name: parse_value(node, edit.text, node_path)}
 
 
-def _value(node: Node, tree: Tree, edit: Edit, operation: str, where: str) -> Tree:
+def _edit_leaf_list(node: Node, tree: Tree, edit: Edit, operation: str, node_path: str) -> Tree:
     current: list[Any] = tree.get(node.name, [])
-    value = parse_value(node, edit.text, where)
-    if (change := _change(value in current, operation, where)) is not Change.WRITE:
-        return tree if change is Change.KEEP else _put(tree, node.name, [each for each in current if each != value])
+    value = parse_value(node, edit.text, node_path)
+    if (change := _effect(value in current, operation, node_path)) is not Change.WRITE:
+        return (
+            tree
+            if change is Change.KEEP
+            else _with_values(tree, node.name, [each for each in current if each != value])
+        )
     if operation == "none" or value in current:
         return tree
     return tree | {node.name: sorted([*current, value])}
 
 
-def _entry(node: Node, tree: Tree, edit: Edit, operation: str, where: str) -> Tree:
+def _edit_list(node: Node, tree: Tree, edit: Edit, operation: str, node_path: str) -> Tree:
     current: list[Tree] = tree.get(node.name, [])
     key = []
     for name in node.keys:
         matching = [child for child in edit.children if child.name == name]
         if len(matching) != 1:
-            raise RpcError("missing-element", f"an entry of {node.name} needs one {name}", where, bad_element=name)
-        key.append(parse_value(node.children[name], matching[0].text, f"{where}/{name}"))
-    named = f"{where}[{' and '.join(f'{n}={v!r}' for n, v in zip(node.keys, key, strict=True))}]"
-    own = next((each for each in current if [each[name] for name in node.keys] == key), None)
-    rest = [each for each in current if each is not own]
-    if (change := _change(own is not None, operation, named)) is not Change.WRITE:
-        return tree if change is Change.KEEP else _put(tree, node.name, rest)
-    if operation == "none" and own is None:
-        raise RpcError("data-missing", "it does not exist", named)
-    members = [child for child in edit.children if child.name not in node.keys]
-    base = dict(zip(node.keys, key, strict=True)) | (own or {})
+            raise RpcError("missing-element", f"an entry of {node.name} needs one {name}", node_path, bad_element=name)
+        key.append(parse_value(node.children[name], matching[0].text, f"{node_path}/{name}"))
+    entry_path = f"{node_path}[{' and '.join(f'{name}={value!r}' for name, value in zip(node.keys, key, strict=True))}]"
+    existing = next((each for each in current if [each[name] for name in node.keys] == key), None)
+    others = [entry for entry in current if entry is not existing]
+    if (change := _effect(existing is not None, operation, entry_path)) is not Change.WRITE:
+        return tree if change is Change.KEEP else _with_values(tree, node.name, others)
+    if operation == "none" and existing is None:
+        raise RpcError("data-missing", "the node does not exist", entry_path)
+    content = [child for child in edit.children if child.name not in node.keys]
+    entry = dict(zip(node.keys, key, strict=True)) | (existing or {})
     if operation in ("replace", "create"):
-        base = dict(zip(node.keys, key, strict=True))
+        entry = dict(zip(node.keys, key, strict=True))
     inherited = "merge" if operation in ("replace", "create") else operation
-    for child in members:
-        base = _member(node, base, child, child.operation or inherited, named.removesuffix(f"/{child.name}"))
-    return tree | {node.name: sorted([*rest, base], key=lambda each: [each[name] for name in node.keys])}
+    for child in content:
+        entry = _edit_child(node, entry, child, child.operation or inherited, entry_path.removesuffix(f"/{child.name}"))
+    return tree | {node.name: sorted([*others, entry], key=lambda each: [each[name] for name in node.keys])}
 
 
-def _put(tree: Tree, name: str, value: list[Any]) -> Tree:
-    return tree | {name: value} if value else {k: v for k, v in tree.items() if k != name}
+def _with_values(tree: Tree, name: str, value: list[Any]) -> Tree:
+    return tree | {name: value} if value else {child: content for child, content in tree.items() if child != name}
 
 
-def parse_value(node: Node, text: str, where: str) -> Any:  # noqa: ANN401  a leaf of the configuration tree
-    """The value of a leaf's text. Raises RpcError."""
+def parse_value(node: Node, text: str, node_path: str) -> Any:  # noqa: ANN401  a leaf of the configuration tree
+    """Return the value of a leaf's text. Raise RpcError if the text is invalid."""
     value = node.parse(text)
     if value is None:
-        raise RpcError("invalid-value", f"{text!r} is no value of {node.name}", where)
+        raise RpcError("invalid-value", f"{text!r} is not a valid value of {node.name}", node_path)
     return value
 
 
 def tree_changes(before: Tree, after: Tree, path: str = "") -> Iterator[tuple[str, str]]:
-    """What differs, as operation (create, update, delete) and data node path without keys' values."""
+    """Yield each difference as an operation (create, update, delete) and a data node path without key values."""
     for name in sorted(before.keys() | after.keys()):
-        old, new, where = before.get(name), after.get(name), f"{path}/{name}"
+        old, new, node_path = before.get(name), after.get(name), f"{path}/{name}"
         if old == new:
             continue
         if isinstance(old or new, dict):
-            yield from tree_changes(old or {}, new or {}, where)
+            yield from tree_changes(old or {}, new or {}, node_path)
         elif isinstance(old or new, list) and isinstance((old or new or [0])[0], dict):
-            one, two = ({str(next(iter(each.values()))): each for each in of or []} for of in (old, new))
-            for key in sorted(one.keys() | two.keys()):
-                if one.get(key) != two.get(key):
-                    yield from tree_changes(one.get(key, {}), two.get(key, {}), where)
+            old_entries, new_entries = (
+                {str(next(iter(entry.values()))): entry for entry in entries or []} for entries in (old, new)
+            )
+            for key in sorted(old_entries.keys() | new_entries.keys()):
+                if old_entries.get(key) != new_entries.get(key):
+                    yield from tree_changes(old_entries.get(key, {}), new_entries.get(key, {}), node_path)
         else:
-            yield ("create" if old is None else "delete" if new is None else "update"), where
+            yield ("create" if old is None else "delete" if new is None else "update"), node_path
 
 
 def with_defaults(node: Node, tree: Tree, mode: str) -> Tree:
-    """The tree as `report-all`, `trim` or `explicit` shows it (RFC 6243)."""
+    """Return the tree in the with-defaults mode `report-all`, `trim` or `explicit` (RFC 6243)."""
     if mode == "explicit":
         return tree
     shown: Tree = {}
     for name, child in node.children.items():
         current = tree.get(name)
         if child.kind == "container" and child.config:
-            inside = with_defaults(child, current or {}, mode)
-            if inside or current is not None:
-                shown[name] = inside
+            nested = with_defaults(child, current or {}, mode)
+            if nested or current is not None:
+                shown[name] = nested
         elif child.kind == "list" and current:
             shown[name] = [with_defaults(child, each, mode) for each in current]
         elif current is not None and not (mode == "trim" and current == child.default and name not in node.keys):
