--- a/onyxhead/controller/configuration_service.py
+++ b/onyxhead/controller/configuration_service.py
@@ -1,4 +1,4 @@
-"""Opens the configuration service of a running controller: its stored commits, and the callbacks to the server."""
+"""Opens the configuration service of a running controller with its stored commits and the server's callbacks."""
 
 from __future__ import annotations
 
@@ -34,9 +34,11 @@
     apply: Callable[[Tree, CommitPlan], None],
     state: Callable[[], Tree],
 ) -> ConfigurationService:
-    """The service with the commits of earlier incarnations; what was in effect when the last one ended is again.
+    """Return the service with the stored commits. The configuration of the last commit is in effect again.
 
-    The settings file counts as a commit whenever it differs from that at the last start. Raises OSError."""
+    If the settings file has changed since the last start, it is added as a commit. Raise OSError if the commit can't be
+    stored.
+    """
 
     def check(tree: Tree) -> None:
         schema.validate_tree(tree)
@@ -49,7 +51,7 @@
         log.info(log_events.CONFIGURATION_AUDIT, user=user, session=session, action=action, result=result)
         store.append_audit_entry(user, session, action, result)
 
-    datastores = Datastores(schema.config_schema(), _commits(settings, store), check, store.get(STARTUP_DATASTORE))
+    datastores = Datastores(schema.config_schema(), _load_commits(settings, store), check, store.get(STARTUP_DATASTORE))
     netconf = settings.netconf
     access = Access(netconf.users if netconf else {}, netconf.rules if netconf else ())
     callbacks = ConfigurationCallbacks(
@@ -64,8 +66,8 @@
     return ConfigurationService(datastores, access, callbacks)
 
 
-def _commits(settings: ControllerSettings, store: Store) -> list[Commit]:
-    """The stored commits, with one more if the settings file has changed."""
+def _load_commits(settings: ControllerSettings, store: Store) -> list[Commit]:
+    """Return the stored commits, after adding one if the settings file has changed since the last start."""
     commits = [Commit(*record) for record in store.load_commits()]
     tree = settings_tree(settings)
     if not commits or store.get(SETTINGS_TREE) != tree:
@@ -78,14 +80,14 @@
 
 
 def state_tree(core: ControllerCore, now: int) -> Tree:
-    """The state of a controller as the data tree that NETCONF shows."""
+    """Return the state of a controller as the data tree that NETCONF clients read."""
     status = controller_status(core, now)
     proxies = [
         {"name": name, "zone": proxy["zone"], "bound": proxy["bound"], "turn": proxy["turn"]}
         for name, proxy in sorted(status["proxies"].items())
     ]
     shown = ("address", "zone", "ready", "withdrawn")
-    backends = [{"id": name} | {each: backend[each] for each in shown} for name, backend in status["backends"].items()]
+    backends = [{"id": name} | {key: backend[key] for key in shown} for name, backend in status["backends"].items()]
     channel = {"waiting": round(status["channel"]["waiting"]), "peak": round(status["channel"]["peak"])}
     tree: Tree = {"epoch": status["epoch"], "channel": channel}
     return tree | ({"proxy": proxies} if proxies else {}) | ({"backend": backends} if backends else {})
--- a/onyxhead/controller/controller_status.py
+++ b/onyxhead/controller/controller_status.py
@@ -1,4 +1,4 @@
-"""The state of a controller core as plain values, for `/v1/state` and the operators' tools."""
+"""The state of a controller core as plain JSON values, for `/v1/state` and the operators' tools."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def controller_status(core: ControllerCore, now: int) -> dict[str, Any]:
-    """All that is known now, by the field names of `/v1/state`."""
+    """Return the state of the core under the field names of `/v1/state`."""
     queue, versions = core.delivery_queue, core.versions
     return {
         "epoch": core.epoch,
@@ -31,25 +31,25 @@
 
 
 def _proxies(core: ControllerCore, now: int) -> dict[str, Any]:
-    found = {}
+    proxies = {}
     for number, proxy in sorted(core.joined.items()):
         acknowledged = core.acknowledged.get(number, NEVER_ACKNOWLEDGED)
-        found[proxy.name] = {
+        proxies[proxy.name] = {
             "zone": core.zones[proxy.zone],
             "joined_for_s": round((now - proxy.joined_at) / TICKS_PER_SECOND, 1),
             "bound": bool(core.proxy_tables.tables_of(number)),
             "turn": acknowledged.round_number,
             "tag": acknowledged.etag,
         }
-    return found
+    return proxies
 
 
 def _backends(core: ControllerCore) -> dict[str, Any]:
     tables = core.proxy_tables
-    found = {}
+    backends = {}
     for name, address in sorted(tables.addresses.items()):
         endpoint = core.endpoints.get(name)
-        found[name] = {
+        backends[name] = {
             "address": address.address,
             "zone": address.zone,
             "ready": endpoint is not None and endpoint.ready,
@@ -57,4 +57,4 @@
             "withdrawn": name in tables.withdrawn,
             "lines": {str(table): lines[name] for table, lines in tables.tables.items() if name in lines},
         }
-    return found
+    return backends
--- a/onyxhead/controller/fleet_commands.py
+++ b/onyxhead/controller/fleet_commands.py
@@ -1,4 +1,4 @@
-"""Operators' requests on the fleet: hand-over, moves, members, and who serves a proxy."""
+"""Operators' requests on the fleet: leave it, move a proxy, change its members, find the owner of a proxy."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FleetCommands:
-    """`handlers` take the arguments of a request, by its verb."""
+    """Runs operators' requests. `handlers` maps the verb of a request to the method that takes its arguments."""
 
     def __init__(self, fleet: FleetState) -> None:
         self.fleet = fleet
@@ -28,16 +28,16 @@
         }
 
     def _hand_over(self, _: dict[str, Any]) -> Response:
-        """Leave the fleet and hand over all proxies."""
+        """Leave the fleet, which hands over all proxies to other controllers."""
         self.fleet.coordinator.membership.leave()
         log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change="leaving: all proxies are handed over")
         return json_response(HTTPStatus.OK, {"proxies": len(self.fleet.own_proxies())})
 
     def _move(self, arguments: dict[str, Any]) -> Response:
-        """Have one proxy served by a certain controller."""
+        """Move one proxy to the controller that the request names."""
         proxy, to = str(arguments.get("proxy")), str(arguments.get("to"))
         if to not in self.fleet.coordinator.serving():
-            return problem_response(HTTPStatus.CONFLICT, f"{to} is not known to serve now")
+            return problem_response(HTTPStatus.CONFLICT, f"controller {to!r} is not known to be serving")
         self.fleet.coordinator.sticky[proxy] = to
         return json_response(HTTPStatus.OK, {"proxy": proxy, "to": to, "here": proxy in self.fleet.own_proxies()})
 
@@ -45,23 +45,25 @@
         """Add, change or remove a member."""
         name, member = str(arguments.get("name")), arguments.get("member")
         if name == self.fleet.coordinator.own_name and member is None:
-            return problem_response(HTTPStatus.CONFLICT, "a controller leaves by handover, not by removing itself")
+            return problem_response(
+                HTTPStatus.CONFLICT, "a controller cannot remove itself from the fleet; use handover"
+            )
         try:
             self.fleet.change_member(name, member)
         except (ValueError, KeyError, TypeError) as error:
-            return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, f"not a member: {error}")
-        change = f"{name} {'removed' if member is None else 'put in'} by command"
+            return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, f"malformed member: {error}")
+        change = f"{name} {'removed' if member is None else 'added or changed'} by command"
         log.info(log_events.FLEET_MEMBERSHIP_CHANGED, change=change)
         return json_response(HTTPStatus.OK, {"members": sorted(self.fleet.settings.members)})
 
     def _find_owner(self, arguments: dict[str, Any]) -> Response:
-        """Tell which controller serves a proxy, as far as is known."""
+        """Return the controller that serves a proxy, or None if no controller is known to."""
         proxy, coordinator = str(arguments.get("proxy")), self.fleet.coordinator
         owner: str | None = None
         if proxy in self.fleet.own_proxies():
             owner = coordinator.own_name
         else:
-            # A member that is gone serves nobody, whatever it last reported; of the others the newest report counts.
+            # Reports of members that are no longer alive are ignored. Of the others, the newest report decides.
             reports = sorted(coordinator.peer_reports.items(), key=lambda item: -item[1].received_at)
             serving = (name for name, report in reports if name in coordinator.alive and proxy in report.proxies)
             owner = next(serving, None)
--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -1,4 +1,4 @@
-"""A controller's part in a shared fleet: gossip packets over HTTP with reports beside them, and paced hand-overs."""
+"""Communication with the other controllers of a fleet: gossip packets and reports over HTTP, and paced hand-overs."""
 
 from __future__ import annotations
 
@@ -31,24 +31,28 @@
 FLEET_PATH = "/v1/fleet"
 BUDGET_INTERVAL = TICKS_PER_SECOND // 4
 WITHDRAWAL_GRACES = 10
-"""Withdrawals that members reported within so many drain graces are taken over."""
+"""Age limit, in drain graces, of members' reports from which withdrawals are taken over."""
 MAX_LOGGED_ERRORS = 100
+"""Number of different packet errors that are logged, each once."""
 
 log = structlog.get_logger()
 
 
 class StreamControl(Protocol):
-    """What the fleet needs of the streams to the proxies."""
+    """The interface to the proxies' streams that hand-overs need."""
 
     def end_stream(self, name: str, reason: str) -> None:
-        """Close one proxy's stream, so that it joins again."""
+        """Close one proxy's stream, so that the proxy joins again."""
 
     def join_time_s(self) -> float:
-        """Seconds for which one proxy's full tables occupy the channel."""
+        """Return the seconds for which one proxy's full tables occupy the channel."""
 
 
 class FleetTransport:
-    """`list_version` tells the version of the endpoint list that is followed, 0 for none."""
+    """Exchanges packets and reports with the other members, and hands proxies over to them.
+
+    `list_version` returns the version of the endpoint list that this controller follows, 0 for none.
+    """
 
     def __init__(
         self,
@@ -67,7 +71,7 @@
         self.logged_errors: set[str] = set()
 
     async def run(self) -> None:
-        """Take part in the fleet for ever."""
+        """Take part in the fleet until cancelled."""
         while True:
             now = self.host.now()
             for packet in self.coordinator.membership.tick(now):
@@ -85,7 +89,7 @@
             self.budget.on_member_left(name)
 
     def _hand_over_next(self, now: int) -> None:
-        """Hand over the next proxy that another controller should serve, if it is time."""
+        """Hand over the next proxy that another controller should serve, if the last hand-over is long enough ago."""
         gap = round(2 * self.streams.join_time_s() * TICKS_PER_SECOND)
         if (move := self.coordinator.next_handover(self.fleet.own_proxies(), now, gap)) is not None:
             proxy, to = move
@@ -111,7 +115,7 @@
             )
 
     def _take_over_withdrawals(self, now: int) -> None:
-        """Keep withdrawn what members had withdrawn and no endpoint list names any more."""
+        """Withdraw backends that members recently reported as withdrawn and that the endpoint list doesn't name."""
         grace = self.host.core.deployment.safety.drain_grace
         withdrawn = self.coordinator.withdrawn_by_peers(now, WITHDRAWAL_GRACES * grace)
         self.host.core.restore_withdrawals(now, sorted(withdrawn))
@@ -130,11 +134,11 @@
             body = response.json()
             self._receive(body["packets"], body.get("news"), packet.to)
         except (OSError, HttpError, TimeoutError, ValueError, KeyError, TypeError):
-            # To the membership protocol, a packet without a proper answer is a packet that was lost.
+            # The membership protocol expects packet loss, so a packet without a valid answer is treated as lost.
             return
 
     def _receive(self, packets: list[Any], report: Any, sender: str) -> list[Packet]:  # noqa: ANN401  decoded JSON
-        """Take packets and a member's report. Returns the packets that answer them."""
+        """Process packets and a member's report. Return the packets to send in reply."""
         now = self.host.now()
         replies = []
         for packet in packets:
@@ -144,13 +148,13 @@
             withdrawn = tuple(map(str, report.get("withdrawn", ())))
             version = int(report.get("list") or 0)
             self.coordinator.on_peer_report(sender, PeerReport(proxies, withdrawn, version, now))
-            # A member of an older version reports no budget; nothing is granted to it.
+            # A member that runs an older version reports no budget, and nothing is granted to it.
             if sender in self.coordinator.alive and sender != self.coordinator.own_name and "budget" in report:
                 self.budget.on_report(sender, decode_budget_report(report["budget"]))
         return replies
 
     def handle_packet(self, request: Request) -> Response:
-        """Another member's packet. The response carries what goes back to it; the other packets are sent."""
+        """Process another member's packet. Replies to it go into the response; packets to other members are sent."""
         try:
             body = request.json()
             sender = str(body["packet"]["sender"])
@@ -161,17 +165,17 @@
                 log.warning(log_events.GOSSIP_PACKET_REJECTED, error=str(error))
             return problem_response(HTTPStatus.UNPROCESSABLE_ENTITY, str(error))
         except (ValueError, KeyError, TypeError) as error:
-            return problem_response(HTTPStatus.BAD_REQUEST, f"not a packet: {error}")
-        back = [packet for packet in replies if packet.to == sender]
+            return problem_response(HTTPStatus.BAD_REQUEST, f"malformed packet: {error}")
+        replies_to_sender = [packet for packet in replies if packet.to == sender]
         for packet in replies:
             if packet.to != sender:
                 self.supervisor.start_background(self._send(packet))
         return json_response(
-            HTTPStatus.OK, {"packets": [encode_packet(packet) for packet in back], "news": self._report()}
+            HTTPStatus.OK, {"packets": [encode_packet(packet) for packet in replies_to_sender], "news": self._report()}
         )
 
     def _report(self) -> dict[str, Any]:
-        """What this controller tells the others beside its packets."""
+        """Return the report that this controller sends with each packet."""
         return {
             "proxies": self.fleet.own_proxies(),
             "withdrawn": sorted(self.host.core.proxy_tables.withdrawn),
--- a/onyxhead/controller/proxy_streams.py
+++ b/onyxhead/controller/proxy_streams.py
@@ -1,4 +1,4 @@
-"""The streams to the proxies' agents: each is one task that carries one proxy's messages until it fails or ends."""
+"""The streams to the proxies' agents. Each is a task that sends one proxy's messages until it fails or is closed."""
 
 from __future__ import annotations
 
@@ -19,17 +19,19 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 AGENT_ROLE = "agent"
-VIEW_CHANGED = "its view has changed by itself"
+VIEW_CHANGED = "the agent's view has changed without a message on this stream"
 KEY_ROTATION_QUEUE_SHARE = 0.25
-"""Share of the queue limit below which the next stream with old keys is closed."""
+"""Share of the queue limit to which the queue must have shrunk before the next stream with old keys is closed."""
 QUEUE_POLL_S = 0.01
 
 log = structlog.get_logger()
 
 
 class StreamParameters(NamedTuple):
-    """How to reach a proxy's agent: `token` names the stream, `fencing_token` fences off earlier controllers, and a
-    stream with nothing to send is checked every `heartbeat_s` seconds.
+    """Parameters of the stream to a proxy's agent.
+
+    `token` identifies the stream. With `fencing_token` the agent rejects updates of earlier controllers. When nothing
+    was sent for `heartbeat_s` seconds, the agent's view is checked.
     """
 
     address: tuple[str, int]
@@ -39,14 +41,14 @@
 
 
 class QueuedUpdate(NamedTuple):
-    """A message that waits at its stream, and when it was queued, in ticks."""
+    """A message that waits to be sent on its stream, and when it was queued, in ticks."""
 
     update: ProxyUpdate
     queued_at: int
 
 
 class ProxyStream(NamedTuple):
-    """One proxy's open stream: the task that carries it, its messages, and the generation of the keys in use."""
+    """One proxy's open stream: its token, its task, its waiting messages and the generation of its keys."""
 
     token: str
     task: asyncio.Task[None]
@@ -55,7 +57,7 @@
 
 
 class ProxyStreams:
-    """`by_proxy` are the open streams by the proxy's number. `stall_timeout` in ticks."""
+    """All open streams: `by_proxy` maps the number of a proxy to its stream. `stall_timeout` is in ticks."""
 
     def __init__(
         self,
@@ -72,59 +74,62 @@
         self.by_proxy: dict[int, ProxyStream] = {}
 
     def open(self, request: JoinRequest, parameters: StreamParameters) -> None:
-        """Start the stream of a proxy whose join was accepted."""
+        """Open the stream of a proxy whose join was accepted."""
         self.supervisor.start_background(self._run(request, parameters))
 
     def deliver(self, message: QueuedMessage[ProxyUpdate]) -> None:
-        """Hand a message to its proxy's stream, if it is still open."""
+        """Queue a message on its proxy's stream, if the stream is still open."""
         if (stream := self.by_proxy.get(message.proxy)) is not None:
             stream.messages.put_nowait(QueuedUpdate(message.message, message.queued_at))
 
     def cancel(self, proxy: int) -> None:
-        """End a stream of which the core knows already."""
+        """Close a proxy's stream without reporting it to the core, which already treats the proxy as gone."""
         if (stream := self.by_proxy.pop(proxy, None)) is not None:
             stream.task.cancel()
 
     def cancel_all(self) -> None:
-        """End all streams, of which the core knows already."""
+        """Close all streams without reporting them to the core, which is about to be replaced."""
         for stream in self.by_proxy.values():
             stream.task.cancel()
         self.by_proxy.clear()
 
     def end_stream(self, name: str, reason: str) -> None:
-        """Close one proxy's stream. The proxy keeps its tables and joins again, here or elsewhere."""
+        """Close one proxy's stream. The proxy keeps its tables and joins again, here or at another controller."""
         number = self.host.core.numbers.get(name, -1)
         if (stream := self.by_proxy.get(number)) is not None:
-            self._end(number, stream, reason)
+            self._close_stream(number, stream, reason)
 
     def join_time_s(self) -> float:
-        """Seconds for which one proxy's full tables occupy the channel."""
+        """Return the seconds for which one proxy's full tables occupy the channel."""
         limits, tables = self.host.core.delivery_queue.limits, self.host.core.proxy_tables.tables.values()
         lines = limits.message_overhead + 2 + sum(len(table) + 1 for table in tables)
         return lines / limits.lines_per_second
 
     async def renew_keys(self, generation: int) -> None:
-        """Close the streams opened under older keys one by one, each when the channel has carried the last join."""
+        """Close the streams opened with keys of an older generation, so that their proxies join again with new ones.
+
+        The streams are closed one by one, each after the full tables for the previous join have been sent.
+        """
         for number, stream in list(self.by_proxy.items()):
             if self.by_proxy.get(number) is not stream or stream.key_generation >= generation:
                 continue
-            self._end(number, stream, "its keys were replaced")
+            self._close_stream(number, stream, "the TLS keys were replaced")
             await asyncio.sleep(self.join_time_s())
-            while self._queue_is_busy():
+            while self._has_long_queue():
                 await asyncio.sleep(QUEUE_POLL_S)
 
-    def _queue_is_busy(self) -> bool:
+    def _has_long_queue(self) -> bool:
         queue = self.host.core.delivery_queue
         return queue.queued_lines > KEY_ROTATION_QUEUE_SHARE * queue.limits.max_queued_lines
 
-    def _end(self, number: int, stream: ProxyStream, reason: str) -> None:
+    def _close_stream(self, number: int, stream: ProxyStream, reason: str) -> None:
         stream.task.cancel()
         self._on_closed(number, stream.token, reason)
 
     # One stream
 
     async def _run(self, request: JoinRequest, parameters: StreamParameters) -> None:
-        """One stream from its opening to its end."""
+        """Run one stream: join the proxy, then send messages until the stream fails or is closed."""
         token, number = parameters.token, -1
         stream = AgentStream(
             parameters.address,
@@ -145,7 +150,7 @@
         except AgentFaultError as error:
             self._on_rejected(number, token, request.name, str(error))
         except Exception as error:
-            # Whatever one agent does may only end its own stream, and nobody else's.
+            # An unexpected error must end only this agent's stream, and no other.
             log.error(log_events.STREAM_FAILED, proxy=request.name, error=repr(error), exc_info=error)
             self.host.core.join_backoff.on_stream_fault(self.host.now(), request.name)
             self._on_closed(number, token, repr(error))
@@ -153,25 +158,28 @@
             stream.close()
 
     async def _handshake(self, stream: AgentStream, request: JoinRequest) -> str:
-        """Connect, and check who answers with which view. Returns its etag. Raises OSError, AgentFaultError."""
+        """Connect, and check the agent's identity and view. Return the view's etag.
+
+        Raise OSError if the connection fails, AgentFaultError if the agent or its view isn't the expected one.
+        """
         etag = await stream.open(self.keys.client_context if self.keys is not None else None)
         if self.keys is not None and stream.peer != PeerIdentity(AGENT_ROLE, request.name):
-            raise AgentFaultError(f"its certificate is of {stream.peer}")
+            raise AgentFaultError(f"the agent presented the certificate of {stream.peer}")
         if etag != request.view.etag:
-            raise AgentFaultError("it holds another view than it said")
+            raise AgentFaultError("the agent's view differs from the one in its join request")
         return etag
 
     def _join(self, request: JoinRequest, token: str) -> int:
-        """Let the proxy join, in place of an earlier stream. Returns its number."""
+        """Join the proxy at the core, after cancelling any earlier stream of the same proxy. Return its number."""
         core = self.host.core
-        if (old := self.by_proxy.get(core.proxy_number(request.name))) is not None and old.token != token:
-            old.task.cancel()
+        if (earlier := self.by_proxy.get(core.proxy_number(request.name))) is not None and earlier.token != token:
+            earlier.task.cancel()
         return core.on_proxy_joined(self.host.now(), request)
 
     def _register(
         self, number: int, request: JoinRequest, token: str, generation: int, etag: str
     ) -> asyncio.Queue[QueuedUpdate]:
-        """Make this task the stream of a proxy that has joined. Returns where its messages come in."""
+        """Register the current task as the stream of a proxy that has joined. Return the queue of its messages."""
         task = asyncio.current_task()
         assert task is not None
         messages: asyncio.Queue[QueuedUpdate] = asyncio.Queue()
@@ -190,9 +198,9 @@
     async def _deliver_next(
         self, stream: AgentStream, number: int, messages: asyncio.Queue[QueuedUpdate], heartbeat_s: float
     ) -> None:
-        """Send what has come in as one message, or check the stream if nothing came.
+        """Send all waiting messages as one update, or check the agent's view if none arrives in time.
 
-        Raises OSError, AgentFaultError.
+        Raise OSError if the connection fails, AgentFaultError if the agent's view has changed or it rejects the update.
         """
         try:
             async with asyncio.timeout(heartbeat_s):
@@ -205,8 +213,9 @@
         batch = [first]
         while not messages.empty():
             batch.append(messages.get_nowait())
-        update = coalesce([each.update for each in batch])
-        # A process that stood still for too long may have lost the proxy to another controller; it checks first.
+        update = coalesce([queued.update for queued in batch])
+        # If this process was suspended for longer than the stall timeout, the proxy may have joined another controller.
+        # The agent's view is therefore checked before the update is sent.
         if self.host.now() - first.queued_at > self.stall_timeout and await stream.probe() != update.base_etag:
             raise AgentFaultError(VIEW_CHANGED)
         await stream.send(update, batch[-1].queued_at)
@@ -223,13 +232,13 @@
             self.store.save_proxy(proxy.name, number, self.zones[proxy.zone], etag, update.round_number)
         self.host.wake()
 
-    def _owns(self, number: int, token: str) -> bool:
-        """Whether the stream with this token is still the proxy's own."""
+    def _is_current(self, number: int, token: str) -> bool:
+        """Return whether the stream with this token is the proxy's current one."""
         stream = self.by_proxy.get(number)
         return number >= 0 and stream is not None and stream.token == token
 
     def _on_closed(self, number: int, token: str, reason: str) -> None:
-        if self._owns(number, token):
+        if self._is_current(number, token):
             self.by_proxy.pop(number, None)
             self.host.core.on_proxy_left(self.host.now(), number, reason)
             log.info(log_events.STREAM_CLOSED, number=number, reason=reason)
@@ -238,7 +247,7 @@
     def _on_rejected(self, number: int, token: str, name: str, reason: str) -> None:
         log.warning(log_events.STREAM_REJECTED, proxy=name, reason=reason)
         core, now = self.host.core, self.host.now()
-        if self._owns(number, token):
+        if self._is_current(number, token):
             core.on_stream_fault(now, number, reason)
             self.by_proxy.pop(number, None)
         else:
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -1,6 +1,6 @@
-"""A running controller: puts its parts together, starts their tasks, and ends them in order.
+"""A running controller: creates its parts, starts their tasks, and stops them in order.
 
-The core decides everything; the parts carry its effects out and report to it what happens.
+All decisions are made in the core. The parts around it carry out its decisions and report events to it.
 """
 
 from __future__ import annotations
@@ -54,7 +54,10 @@
 
 
 class ControllerServer:
-    """Raises OSError for a state folder that can't be used, and what `Keys` raises for unusable keys."""
+    """The controller process with all its parts.
+
+    Creating it raises OSError if the state folder can't be used, and KeyFileError if the TLS keys can't.
+    """
 
     def __init__(self, settings: ControllerSettings) -> None:
         self.settings = settings
@@ -94,7 +97,7 @@
 
     @property
     def core(self) -> ControllerCore:
-        """The core that decides now."""
+        """Return the core in use, which a restart of the policy replaces."""
         return self.host.core
 
     # The parts
@@ -102,7 +105,7 @@
     def _open_configuration(self) -> ConfigurationService | None:
         if self.settings.netconf is None:
             return None
-        # Imported only where it is served: its libraries take longer to load than all the rest.
+        # Imported only if NETCONF is served, because its libraries take longer to load than everything else.
         from onyxhead.controller.configuration_service import open_configuration_service, state_tree
 
         def facts() -> FleetFacts:
@@ -157,12 +160,12 @@
     # Running
 
     async def run(self) -> None:
-        """Serve until told to stop. Raises OSError if an address can't be had."""
+        """Serve until a signal or a failed task stops the process. Raise OSError if an address can't be listened on."""
         tls = self.keys.server_context if self.keys is not None else None
         address = await self.http_server.start(*self.settings.listen, tls)
         loop = asyncio.get_running_loop()
-        for name in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(name, self.supervisor.stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.supervisor.stopping.set)
         host, port = address
         log.info(log_events.CONTROLLER_STARTED, name=self.settings.name, host=host, port=port, epoch=self.core.epoch)
         await self._start_tasks(address, tls)
@@ -213,7 +216,7 @@
     # New settings
 
     def _apply_configuration(self, tree: Tree, plan: CommitPlan) -> None:
-        """Put a configuration into effect: through the endpoint list where that is enough, else by a new core."""
+        """Put a configuration into effect: weights and drains through the endpoint list, the rest by a new core."""
         log.info(
             log_events.CONFIGURATION_APPLIED,
             drains=plan.drains,
@@ -227,14 +230,17 @@
         self.watch.refresh()
 
     def _restart_policy(self, start: Deployment) -> None:
-        """Start the policy anew under other settings. Proxies keep their tables and join again, as after a crash, so
-        that their full tables are paced like any others."""
+        """Restart the policy with other settings in a new core and a new epoch.
+
+        All streams are closed. The proxies keep their tables and join again, as after a crash, so their full tables are
+        paced like those of any other join.
+        """
         epoch = self.store.begin_epoch()
         self.streams.cancel_all()
-        old = self.core
+        previous = self.core
         self.decision_loop.save_versions()
-        self.host.core = self._new_core(start, epoch, old.numbers, old.versions.history)
+        self.host.core = self._new_core(start, epoch, previous.numbers, previous.versions.history)
         self.watch.restart()
-        self.core.restore_withdrawals(self.clock.now(), list(old.proxy_tables.withdrawn))
+        self.core.restore_withdrawals(self.clock.now(), list(previous.proxy_tables.withdrawn))
         log.info(log_events.POLICY_RESTARTED, epoch=epoch)
         self.host.wake()
