--- a/onyxhead/controller/ingest_worker.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -1,7 +1,7 @@
-"""Decodes load reports, in the controller or in a process of its own that sends the sums to it.
+"""Decodes load reports, either in the controller or in worker processes that send sums of them to the controller.
 
-Several worker processes listen on one address, so that the kernel distributes the connections. None judges anything:
-each adds up what it has decoded by backend and incarnation, and sums add up the same in any order.
+All worker processes listen on one address, so that the kernel distributes the connections among them. A worker makes no
+estimates: it only sums up the reports of each backend and incarnation, and sums can be merged in any order.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 FRAME_LENGTH = struct.Struct(">I")
-"""Before each frame, its length in bytes."""
+"""The header of each frame: the length of its body in bytes."""
 MAX_BODY_BYTES = 256 * 1024
 MAX_SLICE_S = 0.1
-"""A slice decodes at most what the budget allows in this time."""
+"""The budget of one slice is at most what accumulates in this time."""
 KEY_CHECK_FRAMES = 50
-"""The key files are checked once every so many frames."""
+"""Number of frames between two checks of the key files."""
 AGENT_ROLE = "agent"
 
 
 class WorkerFrame(msgspec.Struct, array_like=True):
-    """What was decoded since the last frame, and counters since then by name."""
+    """The sums of the reports decoded since the last frame, and the counters since then by name."""
 
     counts: dict[str, int]
     sums: list[LoadSums]
@@ -50,7 +50,7 @@
 
 
 class IngestWorker:
-    """Takes reports in and decodes them slice by slice. `budget` in bytes a second."""
+    """Receives reports and decodes them in slices. `budget` is the number of bytes that may be decoded per second."""
 
     def __init__(self, seed: int, budget: int, keys: TlsCredentials | None, clock: Clock) -> None:
         self.decoder, self.budget, self.keys, self.clock = ReportDecoder(seed), budget, keys, clock
@@ -58,7 +58,7 @@
         self.credited_at = clock.now()
 
     async def handle_request(self, request: Request, writer: asyncio.StreamWriter) -> Response:
-        """The response to a request that brings reports."""
+        """Return the response to a request that delivers load reports."""
         path = request.target.strip("/").split("/")
         if request.method != "POST" or path[:2] != ["v1", "load"] or len(path) != 3:
             return problem_response(HTTPStatus.NOT_FOUND, "nothing here")
@@ -66,21 +66,23 @@
         if self.keys is not None and peer_identity(writer.get_extra_info("peercert")) != PeerIdentity(
             AGENT_ROLE, sender
         ):
-            return problem_response(HTTPStatus.FORBIDDEN, "this certificate may not report that")
+            return problem_response(
+                HTTPStatus.FORBIDDEN, "the client certificate does not permit reports from this sender"
+            )
         return self.accept(sender, request.body)
 
     def accept(self, sender: str, body: bytes) -> Response:
-        """Queue a body of reports for decoding."""
+        """Queue a body of reports for decoding, and return the response to its sender."""
         if len(body) > MAX_BODY_BYTES:
-            return problem_response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"a body of over {MAX_BODY_BYTES} bytes")
+            return problem_response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, f"the body exceeds {MAX_BODY_BYTES} bytes")
         if not self.decoder.offer(sender, body, self.clock.now()):
-            return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, "too many senders")
+            return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, "too many senders of load reports")
         return json_response(HTTPStatus.ACCEPTED, {})
 
     def decode_slice(self) -> WorkerFrame:
-        """Decode as much as the budget allows now."""
+        """Decode as many queued reports as the budget allows now, and return them as one frame."""
         now = self.clock.now()
-        # A slice that decoded too much is paid back before the next one.
+        # A slice that exceeds the credit makes it negative. Nothing more is decoded until the budget has made up for it.
         earned = self.budget * (now - self.credited_at) / TICKS_PER_SECOND
         self.credit = min(MAX_SLICE_S * self.budget, self.credit + earned)
         self.credited_at = now
@@ -93,14 +95,17 @@
 
 
 async def serve(settings: dict[str, Any]) -> None:
-    """Run a worker process until its standard input ends. Raises OSError, KeyFileError."""
-    keys = _keys(settings.get("tls"))
+    """Run a worker process until its standard input ends.
+
+    Raise OSError if the address can't be listened on, KeyFileError if the key files can't be used.
+    """
+    keys = _load_keys(settings.get("tls"))
     worker = IngestWorker(settings["seed"], settings["budget"], keys, Clock(time.time, time.monotonic))
     server = Server(worker.handle_request, MAX_BODY_BYTES)
     host, port = settings["listen"]
     await server.start(host, port, keys.server_context if keys else None)
     reader, writer = await _standard_streams()
-    # The controller holds its end of standard input for as long as it lives; this process ends with it.
+    # The controller keeps this process's standard input open while it runs. Its end therefore ends this process too.
     controller_ended = asyncio.create_task(reader.read())
     frames = 0
     while not controller_ended.done():
@@ -110,13 +115,13 @@
         await writer.drain()
         frames += 1
         if keys is not None and frames % KEY_CHECK_FRAMES == 0:
-            # Files that can't be used are logged by the controller, which follows the same ones.
+            # The controller checks the same files and logs those that can't be used.
             with contextlib.suppress(KeyFileError):
                 if keys.refresh():
                     await server.start(host, port, keys.server_context)
 
 
-def _keys(files: list[str | None] | None) -> TlsCredentials | None:
+def _load_keys(files: list[str | None] | None) -> TlsCredentials | None:
     if not files:
         return None
     certificate, key, authorities, revoked = (Path(file) if file else None for file in files)
@@ -134,7 +139,7 @@
 
 
 def main() -> int:
-    """Run a worker process with the settings of the command line. Returns its exit code."""
+    """Run a worker process with the settings in its first argument. Return the exit code."""
     try:
         asyncio.run(serve(json.loads(sys.argv[1])))
     except (OSError, KeyFileError) as error:
--- a/onyxhead/controller/ingest_worker_process.py
+++ b/onyxhead/controller/ingest_worker_process.py
@@ -1,4 +1,4 @@
-"""Runs one ingest worker as a process of its own, and starts it again whenever it ends."""
+"""Runs ingest workers as separate processes, and restarts a worker whenever it ends."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class WorkerSettings(NamedTuple):
-    """`interval_s` between two frames, `budget` in bytes a second."""
+    """The settings of a worker process. `interval_s` is the time between frames, `budget` is in bytes per second."""
 
     listen: Address
     interval_s: float
@@ -25,7 +25,7 @@
     tls: TlsSettings | None
 
     def to_json(self) -> str:
-        """The argument of the worker's process."""
+        """Return the settings as JSON, for the command line of the worker process."""
         tls = self.tls
         files = (tls.certificate, tls.key, tls.authorities, tls.revoked) if tls is not None else None
         document = {
@@ -39,20 +39,20 @@
 
 
 class WorkerListener(Protocol):
-    """Who takes what a worker sends."""
+    """Receives the frames of the workers, and the starts and exits of their processes."""
 
     def on_worker_started(self, number: int, pid: int) -> None:
-        """The process was started."""
+        """Handle the start of a worker process."""
 
     def on_worker_frame(self, frame: WorkerFrame) -> None:
-        """The process sent a frame."""
+        """Handle a frame from a worker process."""
 
     def on_worker_exited(self, number: int, pid: int) -> None:
-        """The process ended."""
+        """Handle the end of a worker process."""
 
 
 async def supervise_worker(settings: WorkerSettings, number: int, listener: WorkerListener) -> None:
-    """Keep one worker running for ever."""
+    """Run one worker process and restart it whenever it ends, until cancelled."""
     while True:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/onyxhead/controller/key_rotation.py
+++ b/onyxhead/controller/key_rotation.py
@@ -1,4 +1,4 @@
-"""Follows the key files: new handshakes use new keys at once, open streams are renewed one by one."""
+"""Applies changed key files: new connections use the new keys at once, and open streams are renewed one by one."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
     restart_listeners: Callable[[ssl.SSLContext], Awaitable[None]],
     streams: ProxyStreams,
 ) -> None:
-    """Check the key files for ever. `restart_listeners` makes all listeners use a context for new connections."""
+    """Watch the key files and apply each change, until cancelled.
+
+    `restart_listeners` makes all listeners use a TLS context for new connections.
+    """
     async for _ in watch_key_files(keys, interval_s):
         await restart_listeners(keys.server_context)
         log.info(log_events.KEY_FILES_RELOADED, generation=keys.generation, streams=len(streams.by_proxy))
--- a/onyxhead/controller/load_report_ingest.py
+++ b/onyxhead/controller/load_report_ingest.py
@@ -1,7 +1,8 @@
-"""Takes load reports in: they are decoded here in small slices between rounds, or by worker processes.
+"""Receives load reports, and decodes them in small slices between decision rounds or in worker processes.
 
-Messages to proxies never wait behind reports: a slice is bounded in bytes, and what does not fit is shed fairly. With
-workers only sums arrive here, a few hundred bytes per backend and interval.
+A flood of reports must not delay messages to proxies: each slice is limited in bytes, and reports that exceed the limit
+are shed fairly among their senders. With worker processes, only sums of a few hundred bytes per backend and interval
+arrive in this process.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 ASSESSMENT_INTERVAL = TICKS_PER_SECOND
 SERIES_INTERVAL = 10 * TICKS_PER_SECOND
 MAX_ESTIMATE_AGE = 2 * SERIES_INTERVAL
-"""Older estimates are not written to the time series."""
+"""Age in ticks beyond which an estimate is no longer written to the time series."""
 MAX_SHED_SENDERS = 1_000
 SHOWN_SHED_SENDERS = 10
 
@@ -36,7 +37,7 @@
 
 
 class LoadReportIngest:
-    """`pending` are sums of workers that the estimator has not got yet."""
+    """Passes load reports to the estimator. `pending` holds sums from workers until they are passed on."""
 
     def __init__(
         self,
@@ -55,11 +56,11 @@
         self.workers_started = self.workers_exited = 0
 
     def accept(self, sender: str, body: bytes) -> Response:
-        """Queue a body of reports for decoding."""
+        """Queue a body of reports for decoding, and return the response to its sender."""
         return self.worker.accept(sender, body)
 
     async def run(self) -> None:
-        """Decode and assess reports for ever."""
+        """Decode and assess reports until cancelled."""
         for number in range(self.settings.processes):
             self.supervisor.start(supervise_worker(self._worker_settings(number), number, self))
         assessed_at = written_at = self.host.now()
@@ -67,7 +68,8 @@
             await asyncio.sleep(self.settings.interval)
             frame = self.worker.decode_slice()
             self._count(frame)
-            # What came in since the last time, whoever decoded it, is judged together: no backend on half of it.
+            # The sums from this process and all workers are merged first, so that the estimate of a backend is based on
+            # all of its reports.
             sums, self.pending = merge_load_sums([*frame.sums, *self.pending]), []
             now = self.host.now()
             self.host.core.load_estimator.on_reports(now, sums)
@@ -89,20 +91,20 @@
                 shift=change.shift.name.lower(),
             )
 
-    # What workers report
+    # Events of the worker processes
 
     def on_worker_started(self, number: int, pid: int) -> None:
-        """A worker process was started."""
+        """Count and log the start of a worker process."""
         self.workers_started += 1
         log.info(log_events.INGEST_WORKER_STARTED, number=number, pid=pid)
 
     def on_worker_frame(self, frame: WorkerFrame) -> None:
-        """A worker sent what it has decoded since the last time."""
+        """Add the counters and sums of a frame from a worker."""
         self._count(frame)
         self.pending += frame.sums
 
     def on_worker_exited(self, number: int, pid: int) -> None:
-        """A worker process ended; what it had not sent is lost, as reports may be."""
+        """Count and log the end of a worker process. Reports that it had not sent yet are lost, which is tolerated."""
         self.workers_exited += 1
         log.warning(log_events.INGEST_WORKER_EXITED, number=number, pid=pid)
 
@@ -119,13 +121,13 @@
             else:
                 self.counts[name] += count
         if len(self.shed_senders) > 2 * MAX_SHED_SENDERS:
-            # One who sends under ever new names must not fill the memory with them.
+            # Bound the memory used if a client keeps sending under new names.
             self.shed_senders = Counter(dict(self.shed_senders.most_common(MAX_SHED_SENDERS)))
 
-    # What is shown
+    # State for operators and time series
 
     def _samples(self, now: int) -> dict[str, float]:
-        """The samples of all time series, by their names on disk."""
+        """Return the current samples of all time series, by the names of the series on disk."""
         core, samples = self.host.core, {}
         for backend in core.load_estimator.backends:
             estimate = core.load_estimator.estimate(now, backend)
@@ -140,16 +142,18 @@
         return samples
 
     def utilization(self) -> dict[str, Any]:
-        """The utilization of each backend alone, for those who ask often."""
+        """Return only the utilization of each backend, a short document for clients that poll often."""
         estimator = self.host.core.load_estimator
         estimates = {name: estimator.assumed_utilization(name) for name in estimator.backends}
-        found = {
-            name: {"value": each.value, "error": each.error} for name, each in estimates.items() if each is not None
+        utilizations = {
+            name: {"value": estimate.value, "error": estimate.error}
+            for name, estimate in estimates.items()
+            if estimate is not None
         }
-        return {"counts": dict(self.counts), "busy": found}
+        return {"counts": dict(self.counts), "busy": utilizations}
 
     def state(self) -> dict[str, Any]:
-        """All that is known of the load, by the field names of `/v1/load`."""
+        """Return the state of the load estimates under the field names of `/v1/load`."""
         now, estimator = self.host.now(), self.host.core.load_estimator
         backends = {}
         for name in sorted(estimator.backends):
--- a/onyxhead/controller/log_events.py
+++ b/onyxhead/controller/log_events.py
@@ -1,4 +1,4 @@
-"""Names of the controller's log events, in one place for those who search the log."""
+"""Names of the controller's log events, collected so that operators can search the log for them."""
 
 from __future__ import annotations
 
--- a/onyxhead/controller/operator_commands.py
+++ b/onyxhead/controller/operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' drain and cordon commands, and how far the drains have come."""
+"""Operators' drain and cordon commands, and the progress of drains."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class OperatorCommands:
-    """Runs commands against the backends that discovery lists now."""
+    """Runs operators' commands on the backends that discovery currently lists."""
 
     def __init__(
         self,
@@ -40,26 +40,27 @@
         self.settings, self.host, self.store, self.watch, self.overlay = settings, host, store, watch, overlay
 
     def handle(self, request: Request) -> Response:
-        """The response to a command; a command that was done before is answered again and not repeated."""
+        """Run a command and return the response. A command with a known id is not run again, but answered as before."""
         try:
             command = Command.parse(request.json())
         except ValueError as error:
             return problem_response(HTTPStatus.BAD_REQUEST, str(error))
         if self.watch.endpoint_list is None:
-            return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, "no list has been heard yet")
+            return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, "no endpoint list has been received yet")
         overrides = self.overlay.overrides.copy()
-        backends = [Backend(each.id, each.zone, each.kind) for each in self.watch.endpoint_list.entries]
+        backends = [Backend(entry.id, entry.zone, entry.kind) for entry in self.watch.endpoint_list.entries]
         tree = self.overlay.tree or settings_tree(self.settings)
         try:
             answer = overrides.execute(command, tree, backends, self.fleet_facts())
             is_new = not command.dry_run and not answer.repeated
             if is_new:
-                # Stored before it acts and is answered: the next incarnation knows the command, or it never ran.
+                # The command is stored before it takes effect and before it is answered. After a crash, the next
+                # incarnation either knows the command, or the command never had an effect.
                 self.store.put(OPERATOR_STATE, overrides.to_record())
         except CommandError as error:
             return problem_response(HTTPStatus.CONFLICT, str(error))
         except StoreUnavailableError as error:
-            return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, f"not written: {error}")
+            return problem_response(HTTPStatus.SERVICE_UNAVAILABLE, f"the command could not be stored: {error}")
         if is_new:
             self.overlay.overrides = overrides
             self._record(command, answer)
@@ -80,10 +81,14 @@
         )
 
     def progress(self, selectors: list[str]) -> dict[str, Any]:
-        """Which of the backends proxies may still use, as far as their acknowledgements prove, and who lags behind."""
+        """Return which of the selected backends are still in use, and which proxies lag behind.
+
+        A backend is `out` if it is withdrawn or in no table. A proxy is `behind` until it has acknowledged its current
+        view; until then it may still use a backend that is out.
+        """
         core = self.host.core
         tables = core.proxy_tables
-        behind = sorted(
+        proxies_behind = sorted(
             proxy.name
             for number, proxy in core.joined.items()
             if (view := tables.views.get(number)) is not None
@@ -91,15 +96,15 @@
         )
         backends = {}
         for name in select_backends(
-            selectors, [Backend(name, each.zone, "") for name, each in tables.addresses.items()]
+            selectors, [Backend(name, address.zone, "") for name, address in tables.addresses.items()]
         ):
             endpoint = core.endpoints.get(name)
-            out = name in tables.withdrawn or not any(name in lines for lines in tables.tables.values())
-            backends[name] = {"ready": bool(endpoint and endpoint.ready), "out": out}
-        return {"backends": backends, "behind": behind}
+            is_out = name in tables.withdrawn or not any(name in lines for lines in tables.tables.values())
+            backends[name] = {"ready": bool(endpoint and endpoint.ready), "out": is_out}
+        return {"backends": backends, "behind": proxies_behind}
 
     def fleet_facts(self) -> FleetFacts:
-        """What is known of the fleet as discovery lists it; operators' own drains are for the caller to count."""
+        """Return the state of the fleet as discovery lists it, without the effect of operators' drains."""
         core, queue = self.host.core, self.host.core.delivery_queue
         entries = self.watch.endpoint_list.entries if self.watch.endpoint_list is not None else ()
         backends = tuple(
--- a/onyxhead/controller/task_supervisor.py
+++ b/onyxhead/controller/task_supervisor.py
@@ -1,4 +1,4 @@
-"""Runs the tasks of a process and ends the process if one fails that it can't do without."""
+"""Runs the tasks of a process, and ends the process if an essential task fails."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class TaskSupervisor:
-    """`stopping` is set when the process is to end."""
+    """Starts tasks and handles their failures. `stopping` is set when the process has to end."""
 
     def __init__(self) -> None:
         self.tasks: set[asyncio.Task[None]] = set()
         self.stopping = asyncio.Event()
 
     def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Start a task whose failure ends the process."""
+        """Start an essential task, whose failure ends the process."""
         task = self._create(coroutine)
         task.add_done_callback(self._on_done)
         return task
@@ -33,7 +33,7 @@
         return task
 
     async def cancel_all(self) -> None:
-        """Cancel all tasks and wait for them."""
+        """Cancel all tasks and wait until they have ended."""
         for task in list(self.tasks):
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -46,7 +46,8 @@
     def _on_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            # A round that failed leaves the state in doubt; the next incarnation starts from what is on disk.
+            # A task that fails, such as a decision round, may leave the state in memory inconsistent. The process
+            # therefore ends, and the next incarnation starts from the state on disk.
             log.error(log_events.TASK_FAILED, error=repr(error), exc_info=error)
             self.stopping.set()
 
