--- a/onyxhead/controller/ingest_worker.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -82,7 +82,7 @@
     def decode_slice(self) -> WorkerFrame:
         """Decode as many queued reports as the budget allows now, and return them as one frame."""
         now = self.clock.now()
-        # A slice that exceeds the credit makes it negative. Nothing more is decoded until the budget has made up for it.
+        # A slice may exceed the credit and leave it negative. Nothing is decoded until the budget has made up for that.
         earned = self.budget * (now - self.credited_at) / TICKS_PER_SECOND
         self.credit = min(MAX_SLICE_S * self.budget, self.credit + earned)
         self.credited_at = now
