--- a/tests/test_controller_server.py
+++ b/tests/test_controller_server.py
@@ -38,32 +38,32 @@
 BACKENDS = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north", "state": "ready"} for n in range(1, 4)]
 
 
-def list_of(folder: Path, version: int, backends: list[dict[str, Any]]) -> None:
+def write_endpoint_list(folder: Path, version: int, backends: list[dict[str, Any]]) -> None:
     beside = folder / "list.tmp"
     beside.write_text(json.dumps({"version": version, "backends": backends}))
     beside.rename(folder / "list.json")
 
 
-async def until(what: Callable[[], object], seconds: float = 8.0) -> None:
+async def wait_until(what: Callable[[], object], seconds: float = 8.0) -> None:
     async with asyncio.timeout(seconds):
         while not what():
             await asyncio.sleep(0.01)
 
 
-class Running:
+class LoopbackRig:
     """A controller, and agents as asked for, in one process; all of it ends with the test."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.tasks, self.more = folder, list[asyncio.Task[None]](), ""
-        list_of(folder, 1, BACKENDS)
+        self.folder, self.tasks, self.extra_settings = folder, list[asyncio.Task[None]](), ""
+        write_endpoint_list(folder, 1, BACKENDS)
 
     async def controller(self) -> ControllerServer:
-        (self.folder / "c.rec").write_text(CONTROLLER + self.more)
+        (self.folder / "c.rec").write_text(CONTROLLER + self.extra_settings)
         settings = read_settings(self.folder / "c.rec")
         assert isinstance(settings, ControllerSettings)
         daemon = ControllerServer(settings)
         self.tasks.append(asyncio.create_task(daemon.run()))
-        await until(lambda: daemon.http_server.listener and daemon.core.endpoints)
+        await wait_until(lambda: daemon.http_server.listener and daemon.core.endpoints)
         return daemon
 
     async def agent(self, name: str, port: int) -> AgentServer:
@@ -85,9 +85,9 @@
     return int(daemon.http_server.listener.sockets[0].getsockname()[1])
 
 
-def play(folder: Path, work: Callable[[Running], Awaitable[None]]) -> None:
+def run_scenario(folder: Path, work: Callable[[LoopbackRig], Awaitable[None]]) -> None:
     async def main() -> None:
-        running = Running(folder)
+        running = LoopbackRig(folder)
         try:
             await work(running)
         finally:
@@ -96,7 +96,7 @@
     asyncio.run(main())
 
 
-def shown(folder: Path, name: str) -> set[int]:
+def usable_ports(folder: Path, name: str) -> set[int]:
     """Ports of the endpoints that the proxy may pick, from its swapped file."""
     try:
         document = json.loads((folder / name / "eds.json").read_bytes())
@@ -108,53 +108,53 @@
 
 
 def test_endpoint_list_change_reaches_the_swapped_file(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         await running.agent("p1", port_of(await running.controller()))
-        await until(lambda: shown(tmp_path, "p1") == {9001, 9002, 9003})
-        list_of(tmp_path, 2, [BACKENDS[0], BACKENDS[1] | {"state": "draining"}, BACKENDS[2]])
-        await until(lambda: shown(tmp_path, "p1") == {9001, 9003})
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001, 9002, 9003})
+        write_endpoint_list(tmp_path, 2, [BACKENDS[0], BACKENDS[1] | {"state": "draining"}, BACKENDS[2]])
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001, 9003})
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_half_written_endpoint_list_is_read_again_when_complete(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         await running.agent("p1", port_of(await running.controller()))
-        await until(lambda: len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3)
         whole = json.dumps({"version": 2, "backends": BACKENDS[:2]})
         (tmp_path / "list.json").write_text(whole[:40])
         await asyncio.sleep(0.15)
-        assert len(shown(tmp_path, "p1")) == 3
+        assert len(usable_ports(tmp_path, "p1")) == 3
         (tmp_path / "list.json").write_text(whole)
-        await until(lambda: shown(tmp_path, "p1") == {9001, 9002})
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001, 9002})
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_agent_keeps_its_files_when_the_controller_dies_and_joins_the_next_incarnation(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         first = await running.controller()
         port = port_of(first)
         agent = await running.agent("p1", port)
-        await until(lambda: len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3)
         first.supervisor.stopping.set()
-        await until(lambda: agent.session.disconnected.is_set())
-        assert len(shown(tmp_path, "p1")) == 3
-        list_of(tmp_path, 2, BACKENDS[1:])
+        await wait_until(lambda: agent.session.disconnected.is_set())
+        assert len(usable_ports(tmp_path, "p1")) == 3
+        write_endpoint_list(tmp_path, 2, BACKENDS[1:])
         second = await running.controller()
         assert second.core.epoch == 2
         agent.session.settings = agent.session.settings._replace(controllers=(("127.0.0.1", port_of(second)),))
-        await until(lambda: shown(tmp_path, "p1") == {9002, 9003})
-        await until(lambda: second.core.proxy_tables.views[0].etag == agent.replica.view.etag)
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9002, 9003})
+        await wait_until(lambda: second.core.proxy_tables.views[0].etag == agent.replica.view.etag)
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_incomplete_push_changes_nothing_and_the_next_controller_starts_from_the_agents_view(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
-        await until(lambda: agent.updater.swaps and len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: agent.updater.swaps and len(usable_ports(tmp_path, "p1")) == 3)
         held, port = agent.replica.view, agent.session.listen_address[1]
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         stream = agent.replica.stream
@@ -163,32 +163,32 @@
         await writer.drain()
         writer.close()
         await asyncio.sleep(0.1)
-        assert agent.replica.view is held and len(shown(tmp_path, "p1")) == 3
+        assert agent.replica.view is held and len(usable_ports(tmp_path, "p1")) == 3
         assert (await reader.read()) == b""
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_older_stream_is_rejected_once_a_newer_one_has_joined(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
-        await until(lambda: agent.updater.swaps and len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: agent.updater.swaps and len(usable_ports(tmp_path, "p1")) == 3)
         old = agent.replica.stream
         agent.session.disconnected.set()
-        await until(lambda: agent.replica.stream not in ("", old) and not agent.session.disconnected.is_set())
+        await wait_until(lambda: agent.replica.stream not in ("", old) and not agent.session.disconnected.is_set())
         request = Request("HEAD", "/v1/view", {"onyxhead-stream": old})
         assert (await fetch_once(("127.0.0.1", agent.session.listen_address[1]), request, 1.0)).status == 409
-        await until(lambda: len(controller.core.joined) == 1 and len(controller.streams.by_proxy) == 1)
+        await wait_until(lambda: len(controller.core.joined) == 1 and len(controller.streams.by_proxy) == 1)
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_racing_updates_of_one_table_leave_one_of_them_complete(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
-        await until(lambda: agent.updater.swaps and len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: agent.updater.swaps and len(usable_ports(tmp_path, "p1")) == 3)
         number = controller.core.proxy_number("p1")
         from onyxhead.policy.decisions import TableChange
 
@@ -206,7 +206,7 @@
         won = (one, two)[[each.status for each in answers].index(204)]
         assert agent.replica.view == won.result
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 # Agents that misbehave, seen from the push stream
@@ -270,18 +270,18 @@
 
 
 def test_too_large_body_is_rejected_and_not_stored(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         agent = await running.agent("p1", 1)
-        await until(lambda: agent.http_server.listener)
+        await wait_until(lambda: agent.http_server.listener)
         agent.http_server.max_body = 1000
         response = await fetch_once(agent.session.listen_address, Request("PUT", "/v1/view", {}, b"x" * 5000), 2.0)
         assert response.status == 413
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_agent_that_misstates_its_view_does_not_join(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         controller = await running.controller()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -308,12 +308,12 @@
         assert controller.core.join_backoff.remaining(controller.clock.now(), "liar") > 0
         server.close()
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 @pytest.mark.parametrize("told", [[], "x", {"stream": 1}, {"stream": "s", "token": "x", "report_every": []}, None])
 def test_agent_survives_any_answer_to_its_join(tmp_path: Path, told: Any) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         asked: list[int] = []
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -325,15 +325,17 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         agent = await running.agent("p1", server.sockets[0].getsockname()[1])
-        await until(lambda: len(asked) > 3)
-        assert not running.tasks[0].done() and agent.session.controller is None and shown(tmp_path, "p1") == {9001}
+        await wait_until(lambda: len(asked) > 3)
+        assert (
+            not running.tasks[0].done() and agent.session.controller is None and usable_ports(tmp_path, "p1") == {9001}
+        )
         server.close()
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_discovery_on_demand_is_asked_again_after_a_failure(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         asked: list[int] = []
 
         async def answer_list(_request: Request, _writer: asyncio.StreamWriter) -> Response:
@@ -349,19 +351,19 @@
         assert isinstance(settings, ControllerSettings)
         daemon = ControllerServer(settings)
         running.tasks.append(asyncio.create_task(daemon.run()))
-        await until(lambda: daemon.core.endpoints)
+        await wait_until(lambda: daemon.core.endpoints)
         assert len(asked) == 3
         server.close()
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_unexpected_failure_of_one_stream_ends_no_other(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         controller = await running.controller()
         for name in ("p1", "p2"):
             await running.agent(name, port_of(controller))
-        await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in ("p1", "p2")))
+        await wait_until(lambda: all(len(usable_ports(tmp_path, name)) == 3 for name in ("p1", "p2")))
         real, failed = controller.core.on_acknowledgement, list[int]()
 
         def failing(now: int, proxy: int, *rest: Any) -> None:
@@ -371,22 +373,22 @@
             real(now, proxy, *rest)
 
         monkeypatch.setattr(controller.core, "on_acknowledgement", failing)
-        list_of(tmp_path, 2, BACKENDS[1:])
-        await until(lambda: all(shown(tmp_path, name) == {9002, 9003} for name in ("p1", "p2")))
-        await until(lambda: failed and len(controller.core.joined) == 2)
+        write_endpoint_list(tmp_path, 2, BACKENDS[1:])
+        await wait_until(lambda: all(usable_ports(tmp_path, name) == {9002, 9003} for name in ("p1", "p2")))
+        await wait_until(lambda: failed and len(controller.core.joined) == 2)
         assert not running.tasks[0].done()
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b'{"zone": "moon"}', b'{"zone": "north", "usual": "x", "standing": 1, "held": {}}']
 )
 def test_malformed_join_is_rejected(tmp_path: Path, body: bytes) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         controller = await running.controller()
         request = Request("PUT", "/v1/proxies/x", {}, body)
         response = await fetch_once(("127.0.0.1", port_of(controller)), request, 1.0)
         assert response.status in (400, 422) and "detail" in response.json()
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -17,7 +17,15 @@
 from onyxhead.incident.page import Incident, render_page
 from onyxhead.operate.fleet_client import send_command
 from onyxhead.store.records import AuditRecord, DecisionRecord, EndpointListRecord, IncarnationRecord, StoredPeriod
-from tests.test_controller_server import BACKENDS, Running, list_of, play, port_of, shown, until
+from tests.test_controller_server import (
+    BACKENDS,
+    LoopbackRig,
+    port_of,
+    run_scenario,
+    usable_ports,
+    wait_until,
+    write_endpoint_list,
+)
 
 NOW = 1_000_000.0
 
@@ -126,34 +134,34 @@
     script: list[tuple[float, str]] = []
     down: list[float] = []
 
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         began = time.time()
         controller = await running.controller()
         script.append((began, "began (life 1)"))
         address = f"127.0.0.1:{port_of(controller)}"
         await running.agent("p1", port_of(controller))
-        await until(lambda: len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3)
         script.append((time.time(), "p1 joined"))
-        list_of(tmp_path, 2, [BACKENDS[0] | {"state": "draining"}, *BACKENDS[1:]])
+        write_endpoint_list(tmp_path, 2, [BACKENDS[0] | {"state": "draining"}, *BACKENDS[1:]])
         script.append((time.time(), "b1 withdrawn"))
-        await until(lambda: len(shown(tmp_path, "p1")) == 2)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 2)
         members = {"c1": (address.split(":")[0], port_of(controller))}
         await send_command(members, {"id": "n", "verb": "drain", "names": ["b2"], "by": "ann"}, 3.0)
         script.extend([(time.time(), "ann: drain b2: applied"), (time.time(), "b2 withdrawn")])
-        await until(lambda: len(shown(tmp_path, "p1")) == 1)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 1)
         down.append(time.time())
         controller.supervisor.stopping.set()
-        await until(lambda: running.tasks[0].done())
+        await wait_until(lambda: running.tasks[0].done())
         await asyncio.sleep(2.2)
         script.append((time.time(), "began (life 2)"))
         second = await running.controller()
         down.append(time.time())
-        list_of(tmp_path, 3, BACKENDS[1:])
+        write_endpoint_list(tmp_path, 3, BACKENDS[1:])
         script.append((time.time(), "followed list 3"))
-        await until(lambda: second.watch.follower.last is not None and second.watch.follower.last.version == 3)
+        await wait_until(lambda: second.watch.follower.last is not None and second.watch.follower.last.version == 3)
         await asyncio.sleep(1.2)
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
     out = tmp_path / "page.html"
     done = CliRunner().invoke(
         main, ["incident", str(tmp_path / "state"), "--since", "-30", "--title", "Night", "--out", str(out)]
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -19,7 +19,15 @@
 from onyxhead.keys.credentials import PeerIdentity, TlsCredentials, peer_identity
 from onyxhead.keys.errors import IssuanceError, KeyFileError
 from onyxhead.settings.model import TlsSettings
-from tests.test_controller_server import AGENT, Running, list_of, play, port_of, shown, until
+from tests.test_controller_server import (
+    AGENT,
+    LoopbackRig,
+    port_of,
+    run_scenario,
+    usable_ports,
+    wait_until,
+    write_endpoint_list,
+)
 
 NOW = datetime.datetime.now(datetime.UTC)
 
@@ -161,8 +169,8 @@
 def test_key_rotation_loses_no_update_and_revoked_agents_are_kept_out(
     tmp_path: Path, authority: CertificateAuthority
 ) -> None:
-    async def work(running: Running) -> None:
-        running.more = TLS % ("c1", "c1")
+    async def work(running: LoopbackRig) -> None:
+        running.extra_settings = TLS % ("c1", "c1")
         authority.issue("p2", "agent")
         controller = await running.controller()
         import tests.test_controller_server as sockets
@@ -171,31 +179,31 @@
             sockets.AGENT = AGENT + (TLS % (name, name)).replace("%", "%%")
             await running.agent(name, port_of(controller))
         sockets.AGENT = AGENT
-        await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in ("p1", "p2")))
+        await wait_until(lambda: all(len(usable_ports(tmp_path, name)) == 3 for name in ("p1", "p2")))
         before = {line.token for line in controller.streams.by_proxy.values()}
         for name in ("c1", "p1", "p2"):
             authority.renew(name)
         backends = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north"} for n in (1, 2)]
-        list_of(tmp_path, 2, backends)
-        await until(lambda: all(shown(tmp_path, name) == {9001, 9002} for name in ("p1", "p2")))
+        write_endpoint_list(tmp_path, 2, backends)
+        await wait_until(lambda: all(usable_ports(tmp_path, name) == {9001, 9002} for name in ("p1", "p2")))
         assert controller.keys is not None
-        await until(
+        await wait_until(
             lambda: not before & {line.token for line in controller.streams.by_proxy.values()}
             and len(controller.streams.by_proxy) == 2
         )
         assert controller.core.counts["faults"] == 0
         authority.revoke("p2")
-        await until(lambda: len(controller.streams.by_proxy) == 1, 10.0)
+        await wait_until(lambda: len(controller.streams.by_proxy) == 1, 10.0)
         await asyncio.sleep(0.5)
         assert {known.name for known in controller.core.joined.values()} == {"p1"}
-        assert shown(tmp_path, "p2") == {9001, 9002}
+        assert usable_ports(tmp_path, "p2") == {9001, 9002}
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_key_rotation_while_many_proxies_join_loses_none(tmp_path: Path, authority: CertificateAuthority) -> None:
-    async def work(running: Running) -> None:
-        running.more = TLS % ("c1", "c1")
+    async def work(running: LoopbackRig) -> None:
+        running.extra_settings = TLS % ("c1", "c1")
         controller = await running.controller()
         import tests.test_controller_server as sockets
 
@@ -206,19 +214,19 @@
             await running.agent(name, port_of(controller))
             authority.renew("c1")
         sockets.AGENT = AGENT
-        await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in names), 15.0)
-        list_of(tmp_path, 2, [{"id": "b1", "address": "127.0.0.1:9001", "zone": "north"}])
-        await until(lambda: all(shown(tmp_path, name) == {9001} for name in names), 15.0)
+        await wait_until(lambda: all(len(usable_ports(tmp_path, name)) == 3 for name in names), 15.0)
+        write_endpoint_list(tmp_path, 2, [{"id": "b1", "address": "127.0.0.1:9001", "zone": "north"}])
+        await wait_until(lambda: all(usable_ports(tmp_path, name) == {9001} for name in names), 15.0)
         assert controller.core.counts["faults"] == 0
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_a_certificate_authorizes_its_own_name_only_and_plain_connections_are_rejected(
     tmp_path: Path, authority: CertificateAuthority
 ) -> None:
-    async def work(running: Running) -> None:
-        running.more = TLS % ("c1", "c1")
+    async def work(running: LoopbackRig) -> None:
+        running.extra_settings = TLS % ("c1", "c1")
         controller = await running.controller()
         own = TlsCredentials(files(authority.folder, "p1")).client_context
         address = ("127.0.0.1", port_of(controller))
@@ -232,11 +240,11 @@
         sockets.AGENT = AGENT + (TLS % ("p1", "p1")).replace("%", "%%")
         agent = await running.agent("p1", port_of(controller))
         sockets.AGENT = AGENT
-        await until(lambda: agent.replica.stream)
+        await wait_until(lambda: agent.replica.stream)
         order = Request("HEAD", "/v1/view", {"onyxhead-stream": agent.replica.stream, "onyxhead-token": "1"})
         assert (await fetch_once(agent.session.listen_address, order, 2.0, own)).status == 403
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_netconf_over_tls_identifies_the_user_by_certificate(tmp_path: Path, authority: CertificateAuthority) -> None:
@@ -256,17 +264,17 @@
             protocol=ssl.PROTOCOL_TLS_CLIENT,
         )
 
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         users = '{olga: {groups: ["ops"]}}'
-        running.more = TLS % ("c1", "c1") + f'netconf: {{tls: "127.0.0.1:0", users: {users}, {rule}}}\n'
+        running.extra_settings = TLS % ("c1", "c1") + f'netconf: {{tls: "127.0.0.1:0", users: {users}, {rule}}}\n'
         controller = await running.controller()
-        await until(lambda: controller.netconf and controller.netconf.tls)
+        await wait_until(lambda: controller.netconf and controller.netconf.tls)
         port = controller.netconf.tls.sockets[0].getsockname()[1]  # type: ignore[union-attr]
         m = await asyncio.to_thread(connect, port, "olga")
         told = await asyncio.to_thread(m.get_config, "running")
         assert "drain-grace" in told.xml
         authority.renew("c1")
-        await until(lambda: controller.keys and controller.keys.generation == 1)
+        await wait_until(lambda: controller.keys and controller.keys.generation == 1)
         assert "drain-grace" in (await asyncio.to_thread(m.get_config, "running")).xml
         again = await asyncio.to_thread(connect, port, "olga")
         for session in (m, again):
@@ -274,4 +282,4 @@
         with pytest.raises(Exception):  # noqa: B017  # the client's own kind of closed session
             await asyncio.to_thread(connect, port, "p1")
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
--- a/tests/test_load_report_ingest.py
+++ b/tests/test_load_report_ingest.py
@@ -17,7 +17,15 @@
 from onyxhead.http.messages import Request
 from onyxhead.series.time_series_store import TimeSeriesStore, UnknownSeriesError
 from onyxhead.testbed.ports import free_ports
-from tests.test_controller_server import BACKENDS, Running, list_of, play, port_of, shown, until
+from tests.test_controller_server import (
+    BACKENDS,
+    LoopbackRig,
+    port_of,
+    run_scenario,
+    usable_ports,
+    wait_until,
+    write_endpoint_list,
+)
 from tests.test_intake import body, report
 
 
@@ -40,13 +48,13 @@
 
 
 def test_load_reports_reach_the_estimator_and_a_flood_delays_no_withdrawal(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
-        running.more = "intake: {budget: 200000, series: false}\n"
+    async def work(running: LoopbackRig) -> None:
+        running.extra_settings = "intake: {budget: 200000, series: false}\n"
         controller = await running.controller()
         await running.agent("p1", port_of(controller))
-        await until(lambda: len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3)
         assert await post(port_of(controller), "b1", told(time.time(), 0.7)) == 202
-        await until(lambda: abs(busy(controller, "b2") - 0.7) < 0.01)
+        await wait_until(lambda: abs(busy(controller, "b2") - 0.7) < 0.01)
         assert await post(port_of(controller), "x", b"x" * 300_000) == 413
         over = False
 
@@ -55,24 +63,26 @@
                 await post(port_of(controller), sender, told(time.time(), 0.4, 400))
 
         floods = [asyncio.create_task(flood(f"s{n}")) for n in range(4)]
-        await until(lambda: controller.load_reports is not None and controller.load_reports.counts["bodies shed"] > 20)
-        list_of(tmp_path, 2, [BACKENDS[0] | {"state": "draining"}, *BACKENDS[1:]])
+        await wait_until(
+            lambda: controller.load_reports is not None and controller.load_reports.counts["bodies shed"] > 20
+        )
+        write_endpoint_list(tmp_path, 2, [BACKENDS[0] | {"state": "draining"}, *BACKENDS[1:]])
         began = time.monotonic()
-        await until(lambda: shown(tmp_path, "p1") == {9002, 9003})
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9002, 9003})
         assert time.monotonic() - began < controller.core.deployment.safety.drain_grace / 10_000
         over = True
         await asyncio.gather(*floods)
         state: Any = (await fetch_once(("127.0.0.1", port_of(controller)), Request("GET", "/v1/load"), 5.0)).json()
         assert state["shed_most"] and state["backends"]["b2"]["busy"]["value"] == pytest.approx(0.4, abs=0.02)
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 @pytest.mark.parametrize("count", [1, 3])
 def test_ingest_workers_send_sums_to_one_estimator_and_a_dead_worker_is_restarted(tmp_path: Path, count: int) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         (listen,) = free_ports(1)
-        running.more = f'intake: {{processes: {count}, listen: "127.0.0.1:{listen}", series: false}}\n'
+        running.extra_settings = f'intake: {{processes: {count}, listen: "127.0.0.1:{listen}", series: false}}\n'
         controller = await running.controller()
 
         async def heard(value: float) -> None:
@@ -91,12 +101,12 @@
         pids = [int(each) for each in children()]
         assert len(pids) == count
         os.kill(pids[0], signal.SIGKILL)
-        await until(
+        await wait_until(
             lambda: controller.load_reports is not None and controller.load_reports.workers_started == count + 1
         )
         await heard(0.3)
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def children() -> list[str]:
@@ -149,8 +159,8 @@
 
 
 def test_burst_of_very_old_reports_is_ignored(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
-        running.more = "intake: {series: false}\n"
+    async def work(running: LoopbackRig) -> None:
+        running.extra_settings = "intake: {series: false}\n"
         controller = await running.controller()
         for _ in range(20):
             await post(port_of(controller), "b1", told(time.time(), 0.6, 2))
@@ -158,9 +168,9 @@
             report("b1", round(time.time() * 10_000), cpu_utilization=0.6), report("b1", 20_000, cpu_utilization=0.01)
         )
         await post(port_of(controller), "b1", mixed)
-        await until(
+        await wait_until(
             lambda: controller.load_reports is not None and controller.load_reports.counts["reports too old"] == 1
         )
         assert busy(controller, "b1") == pytest.approx(0.6, abs=0.01)
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -26,7 +26,14 @@
 from onyxhead.fronts.netconf.session_context import SessionState, Subscription
 from onyxhead.fronts.netconf.xml_elements import BASE_NAMESPACE, FLEET_NAMESPACE, NOTIFICATION_NAMESPACE, parse_message
 from tests.configuration_samples import PERMIT_ALL, TREE, backend_xml, edited_tree, fleet_facts, new_datastores
-from tests.test_controller_server import BACKENDS, Running, list_of, play, shown, until
+from tests.test_controller_server import (
+    BACKENDS,
+    LoopbackRig,
+    run_scenario,
+    usable_ports,
+    wait_until,
+    write_endpoint_list,
+)
 
 # Framing and XML
 
@@ -270,26 +277,26 @@
             timeout=10,
         )
 
-    async def work(running: Running) -> None:
-        running.more = NETCONF_SETTINGS % (public, public)
+    async def work(running: LoopbackRig) -> None:
+        running.extra_settings = NETCONF_SETTINGS % (public, public)
         controller = await running.controller()
         port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
         await running.agent("p1", port)
-        await until(lambda: shown(tmp_path, "p1") == {9001, 9002, 9003})
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001, 9002, 9003})
         assert controller.netconf is not None
-        await until(lambda: controller.netconf.ssh)
+        await wait_until(lambda: controller.netconf.ssh)
         ssh = controller.netconf.ssh.get_port()  # type: ignore[union-attr]
         client = await asyncio.to_thread(connect, ssh)
         assert "urn:ietf:params:netconf:base:1.1" in client.server_capabilities
         await asyncio.to_thread(client.edit_config, drain_xml("b2"), target="candidate")
         await asyncio.sleep(0.1)
-        assert len(shown(tmp_path, "p1")) == 3
+        assert len(usable_ports(tmp_path, "p1")) == 3
         await asyncio.to_thread(client.commit)
-        await until(lambda: shown(tmp_path, "p1") == {9001, 9003}, 2.0)
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001, 9003}, 2.0)
         await asyncio.to_thread(client.edit_config, drain_xml("b3"), target="candidate")
         await asyncio.to_thread(client.commit, confirmed=True, timeout="1")
-        await until(lambda: shown(tmp_path, "p1") == {9001}, 2.0)
-        await until(lambda: shown(tmp_path, "p1") == {9001, 9003}, 6.0)
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001}, 2.0)
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001, 9003}, 6.0)
         await asyncio.to_thread(client.edit_config, drain_xml("b1"), target="candidate")
         await asyncio.to_thread(client.edit_config, drain_xml("b3"), target="candidate")
         with pytest.raises(RPCError, match="no warm backend"):
@@ -308,7 +315,7 @@
         assert caught.value.tag == "access-denied"
         await asyncio.to_thread(client.close_session)
         controller.supervisor.stopping.set()
-        await until(lambda: running.tasks[0].done())
+        await wait_until(lambda: running.tasks[0].done())
         second = await running.controller()
         assert second.configuration is not None and second.configuration.datastores.running["backend"] == [
             {"id": "b2", "drained": True}
@@ -316,44 +323,44 @@
         audit = second.store._query("select user, what, result from audit order by number")
         assert ("op", "commit", "refused: group 'read' would have no warm backend (rule 1)") in audit
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_commits_amid_list_changes_and_reconnecting_proxies_converge(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         (tmp_path / "host").write_bytes(asyncssh.generate_private_key("ecdsa-sha2-nistp256").export_private_key())
-        running.more = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
+        running.extra_settings = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
         controller = await running.controller()
         port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
         agent = await running.agent("p1", port)
-        await until(lambda: len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3)
         service = controller.configuration
         assert service is not None
         service.access.rules = (PERMIT_ALL,)
         for turn in range(6):
             drained = "true" if turn % 2 == 0 else "false"
             fourth = {"id": "b4", "address": "127.0.0.1:9004", "zone": "north", "state": "ready"}
-            list_of(tmp_path, 2 + turn, [*BACKENDS, fourth] if turn % 3 else BACKENDS)
+            write_endpoint_list(tmp_path, 2 + turn, [*BACKENDS, fourth] if turn % 3 else BACKENDS)
             agent.session.disconnected.set()
             text = backend_xml("b2", "", f"<drained>{drained}</drained>")
             service.datastores.put(1, "candidate", edited_tree(text, tree=service.datastores.running))
             await asyncio.sleep(0.02 * turn)
             service.commit("u", 1)
-        await until(lambda: shown(tmp_path, "p1") == {9001, 9002, 9003, 9004}, 12.0)
+        await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001, 9002, 9003, 9004}, 12.0)
         number = controller.core.proxy_number("p1")
-        await until(lambda: controller.core.proxy_tables.views[number].etag == agent.replica.view.etag)
+        await wait_until(lambda: controller.core.proxy_tables.views[number].etag == agent.replica.view.etag)
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_a_change_of_safety_limits_restarts_the_policy_and_proxies_get_the_same_lines(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         (tmp_path / "host").write_bytes(asyncssh.generate_private_key("ecdsa-sha2-nistp256").export_private_key())
-        running.more = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
+        running.extra_settings = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
         controller = await running.controller()
         port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
         await running.agent("p1", port)
-        await until(lambda: len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3)
         epoch, service = controller.core.epoch, controller.configuration
         assert service is not None
         service.datastores.put(
@@ -364,7 +371,7 @@
         service.access.rules = (PERMIT_ALL,)
         service.commit("u", 1)
         assert controller.core.epoch > epoch and controller.core.deployment.safety.drain_grace == 9000
-        await until(lambda: controller.core.acknowledged)
-        assert json.dumps(sorted(shown(tmp_path, "p1"))) == "[9001, 9002, 9003]"
+        await wait_until(lambda: controller.core.acknowledged)
+        assert json.dumps(sorted(usable_ports(tmp_path, "p1"))) == "[9001, 9002, 9003]"
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -22,7 +22,15 @@
 from onyxhead.operate.fleet_client import send_command
 from onyxhead.operate.overrides import BackendOverrides, keeps_out
 from onyxhead.testbed.ports import free_ports
-from tests.test_controller_server import BACKENDS, Running, list_of, play, port_of, shown, until
+from tests.test_controller_server import (
+    BACKENDS,
+    LoopbackRig,
+    port_of,
+    run_scenario,
+    usable_ports,
+    wait_until,
+    write_endpoint_list,
+)
 
 TREE = {"group": [{"name": "read", "latency-budget": 5000, "expiry": 10000, "repeats": "retriable"}]}
 ALL = [Backend(f"b{n}", "north" if n < 4 else "south", "std" if n % 2 else "big") for n in range(8)]
@@ -146,7 +154,7 @@
 
 
 def test_each_of_twelve_members_ends_as_applied_refused_or_unknown(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         controller = await running.controller()
         (dead,) = free_ports(1)
         came: list[str] = []
@@ -197,18 +205,18 @@
         )
         assert controller.overlay.overrides.drained == {"b1"}
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_a_command_during_a_restart_is_answered_after_it(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         (port,) = free_ports(1)
         first = await running.controller()
         address = ("127.0.0.1", port_of(first))
         given = {"id": "x", "verb": "drain", "names": ["b1"], "by": "ann"}
         assert (await send_command({"c": address}, given, 2.0))[0].status == "applied"
         first.supervisor.stopping.set()
-        await until(lambda: running.tasks[0].done())
+        await wait_until(lambda: running.tasks[0].done())
         # While it is down the command is sent again, and the next incarnation answers it under the same id.
         import tests.test_controller_server as sockets
 
@@ -226,14 +234,14 @@
         assert (await sending)[0].status == "applied" and (await again)[0].answer["again"]
         assert second.overlay.overrides.drained == {"b1", "b2"} and not second.core.endpoints["b1"].ready
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 def test_drain_wait_compare_and_restore_on_the_command_line(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         controller = await running.controller()
         agent = await running.agent("p1", port_of(controller))
-        await until(lambda: len(shown(tmp_path, "p1")) == 3 and agent.http_server.listener)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3 and agent.http_server.listener)
         assert agent.http_server.listener is not None
         address, own = f"127.0.0.1:{port_of(controller)}", agent.http_server.listener.sockets[0].getsockname()[1]
         (tmp_path / "fleet.rec").write_text(f'controllers: {{c1: "{address}"}}, agents: {{p1: "127.0.0.1:{own}"}}')
@@ -247,11 +255,13 @@
         assert (await command("drain", "*", "--at", address))[0] == 1
         assert (await command("drain", "b1", "--fleet", str(tmp_path / "fleet.rec"), "--id", "n1"))[0] == 0
         assert (await command("wait", "b1", "--at", address))[0] == 0
-        assert shown(tmp_path, "p1") == {9002, 9003}
+        assert usable_ports(tmp_path, "p1") == {9002, 9003}
         # A list that still calls it ready changes nothing.
-        list_of(tmp_path, 2, [*BACKENDS, {"id": "b4", "address": "127.0.0.1:9004", "zone": "north", "state": "ready"}])
-        await until(lambda: 9004 in shown(tmp_path, "p1"))
-        assert 9001 not in shown(tmp_path, "p1")
+        write_endpoint_list(
+            tmp_path, 2, [*BACKENDS, {"id": "b4", "address": "127.0.0.1:9004", "zone": "north", "state": "ready"}]
+        )
+        await wait_until(lambda: 9004 in usable_ports(tmp_path, "p1"))
+        assert 9001 not in usable_ports(tmp_path, "p1")
         code, told = await command("wait", "b2", "--at", address, "--within", "0.3")
         assert code == 1 and "still in: b2" in told
         code, told = await command("compare", "--fleet", str(tmp_path / "fleet.rec"), "--settle", "0.3")
@@ -262,12 +272,12 @@
         code, told = await command("compare", "--fleet", str(tmp_path / "fleet.rec"), "--settle", "0.1", "--json")
         assert code == 1 and json.loads(told)[0]["what"] == "files"
         assert (await command("restore", "b1", "--at", address))[0] == 0
-        await until(lambda: 9001 in shown(tmp_path, "p1"))
+        await wait_until(lambda: 9001 in usable_ports(tmp_path, "p1"))
         assert (await command("drain", "b1"))[0] == 2 and (
             await command("drain", "b1", "--at", "127.0.0.1:1", "--within", "0.4")
         )[0] == 3
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
 
 
 # Drift
@@ -308,7 +318,7 @@
 
 
 def test_an_invalid_command_over_http_is_answered_with_400(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         controller = await running.controller()
         for body in (b"", b"[]", b'{"id": "x"}', b"{"):
             response = await fetch_once(
@@ -317,4 +327,4 @@
             assert response.status == 400
         assert not controller.overlay.overrides.completed
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
--- a/tests/test_table_versions.py
+++ b/tests/test_table_versions.py
@@ -17,7 +17,14 @@
 from onyxhead.tables.view import MODULUS, entry_hash
 from tests.controller_rig import SECOND
 from tests.table_rig import FULL, lines, rig_with_wrong_table
-from tests.test_controller_server import Running, list_of, play, port_of, shown, until
+from tests.test_controller_server import (
+    LoopbackRig,
+    port_of,
+    run_scenario,
+    usable_ports,
+    wait_until,
+    write_endpoint_list,
+)
 
 
 def test_generated_histories_match_a_plain_model() -> None:
@@ -92,16 +99,16 @@
 
 
 def test_a_wrong_table_is_rolled_back_by_command_and_versions_outlive_the_controller(tmp_path: Path) -> None:
-    async def work(running: Running) -> None:
+    async def work(running: LoopbackRig) -> None:
         import asyncio
 
         controller = await running.controller()
         await running.agent("p1", port_of(controller))
-        await until(lambda: len(shown(tmp_path, "p1")) == 3)
+        await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3)
         good = controller.core.versions.history.latest.number
         entries = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north", "weight": 1} for n in (1, 2, 3)]
-        list_of(tmp_path, 2, [entries[0] | {"weight": 0.01}, entries[1] | {"weight": 0.01}, entries[2]])
-        await until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
+        write_endpoint_list(tmp_path, 2, [entries[0] | {"weight": 0.01}, entries[1] | {"weight": 0.01}, entries[2]])
+        await wait_until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
         address = f"127.0.0.1:{port_of(controller)}"
 
         async def command(*words: str) -> tuple[int, str]:
@@ -111,17 +118,17 @@
         code, told = await command("tables", "rollback", "--dry-run", str(good))
         assert code == 0 and "lines" in told
         assert (await command("tables", "rollback", str(good)))[0] == 0
-        await until(lambda: '"load_balancing_weight":10000}' not in (tmp_path / "p1" / "eds.json").read_text())
+        await wait_until(lambda: '"load_balancing_weight":10000}' not in (tmp_path / "p1" / "eds.json").read_text())
         assert (await command("tables", "rollback", str(good)))[0] == 1
         assert (await command("tables", "rollback", "999"))[0] == 1
         assert (await command("tables", "label", str(good), "good"))[0] == 0
         code, told = await command("tables", "release")
         assert code == 0 and told.endswith("released\n")
-        await until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
+        await wait_until(lambda: '"load_balancing_weight":10000}' in (tmp_path / "p1" / "eds.json").read_text())
         controller.supervisor.stopping.set()
-        await until(lambda: running.tasks[0].done())
+        await wait_until(lambda: running.tasks[0].done())
         second = await running.controller()
         assert second.core.versions.history.find("good").number == good
         assert second.core.versions.history.latest.number > good and SECOND == 10_000
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -28,7 +28,7 @@
 from onyxhead.policy.decisions import AcknowledgementRequest, AdmissionLevel, LogMessage, TableAssignment
 from onyxhead.wirehost.codec import encode_decision
 from tests.programs import ADAPTER, COMMAND, NODE, PATIENCE, Line, Peer, Program, Reply, Request, ask, until
-from tests.test_controller_server import Running, play, port_of, shown
+from tests.test_controller_server import LoopbackRig, port_of, run_scenario, usable_ports
 
 # The names of the code that are used here; all else is programs and bytes.
 
@@ -1184,11 +1184,11 @@
 def test_time_series_are_named_by_figure_and_backend_or_proxy_and_group(tmp_path: Path) -> None:
     names: set[str] = set()
 
-    async def work(running: Running) -> None:
-        running.more = "intake: {every: 5ms, series: false}\nreport_every: 50ms\n"
+    async def work(running: LoopbackRig) -> None:
+        running.extra_settings = "intake: {every: 5ms, series: false}\nreport_every: 50ms\n"
         daemon = await running.controller()
         await running.agent("p1", port_of(daemon))
-        await asyncio.to_thread(until, lambda: shown(tmp_path, "p1") == {9001, 9002, 9003})
+        await asyncio.to_thread(until, lambda: usable_ports(tmp_path, "p1") == {9001, 9002, 9003})
         endpoint = {
             "address": {"socket_address": {"address": "127.0.0.1", "port_value": 9002}},
             "total_successful_requests": "80",
@@ -1211,7 +1211,7 @@
 
         await asyncio.to_thread(until, all_there)
 
-    play(tmp_path, work)
+    run_scenario(tmp_path, work)
     assert names == {
         "busy.b2",
         "channel.waiting",
