--- a/tests/configuration_samples.py
+++ b/tests/configuration_samples.py
@@ -1,4 +1,4 @@
-"""Configuration trees, edits and fleet facts that tests of the configuration service and of NETCONF share."""
+"""Configuration trees, edits and fleet facts for the tests of the configuration service and of NETCONF."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def parse_edit(text: str) -> Edit:
-    """The edit of a fleet with this content."""
+    """Return the edit whose fleet element has this content."""
     config = parse_message(
         f'<config xmlns:nc="{BASE_NAMESPACE}"><fleet xmlns="{FLEET_NAMESPACE}">{text}</fleet></config>'.encode()
     )
@@ -26,27 +26,27 @@
 
 
 def edited_tree(text: str, default: str = "merge", tree: Tree = TREE) -> Tree:
-    """The tree after an edit with this content."""
+    """Return the tree after an edit with this content."""
     return apply_edit(schema.config_schema(), tree, parse_edit(text), default)
 
 
 def backend_xml(name: str, operation: str = "", content: str = "") -> str:
-    """A backend's list entry in an edit."""
+    """Return the list entry of a backend for an edit."""
     attribute = f' nc:operation="{operation}"' if operation else ""
     return f"<backend{attribute}><id>{name}</id>{content}</backend>"
 
 
 def new_datastores() -> Datastores:
-    """Datastores with one commit, the settings file's."""
+    """Return datastores with one commit, as a settings file makes it."""
     return Datastores(schema.config_schema(), [Commit(1, TREE, "(settings)", "settings")], schema.validate_tree)
 
 
 def fleet_facts(count: int = 4, proxies: int = 10, **other: Any) -> FleetFacts:
-    """A fleet of this many ready and warm backends, with other facts changed."""
+    """Return the facts of a fleet with `count` ready and warm backends, with `other` facts replaced."""
     backends = tuple(BackendFacts(f"b{n}", "north", True, True) for n in range(count))
     return FleetFacts(backends, proxies, 0.0, 6.0)._replace(**other)
 
 
 def drained_tree(*names: str) -> Tree:
-    """`TREE` with these backends drained."""
+    """Return `TREE` with these backends drained."""
     return TREE | {"backend": [{"id": name, "drained": True} for name in names]}
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration service: edits and datastores against reference models, planning, access, interrupted commits."""
+"""The configuration service: edits, datastores against a reference model, commit plans, access, interrupted commits."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 
 def test_edit_operations_of_the_rfc() -> None:
-    one = edited_tree(backend_xml("b1", "", "<weight>2</weight>"))
-    assert one["backend"] == [{"id": "b1", "weight": "2.0"}] and "backend" not in TREE
-    merged = edited_tree(backend_xml("b1", "", "<drained>true</drained>"), tree=one)
+    weighted = edited_tree(backend_xml("b1", "", "<weight>2</weight>"))
+    assert weighted["backend"] == [{"id": "b1", "weight": "2.0"}] and "backend" not in TREE
+    merged = edited_tree(backend_xml("b1", "", "<drained>true</drained>"), tree=weighted)
     assert merged["backend"] == [{"id": "b1", "weight": "2.0", "drained": True}]
-    assert edited_tree(backend_xml("b1", "replace", "<drained>true</drained>"), tree=one)["backend"] == [
+    assert edited_tree(backend_xml("b1", "replace", "<drained>true</drained>"), tree=weighted)["backend"] == [
         {"id": "b1", "drained": True}
     ]
-    assert "backend" not in edited_tree(backend_xml("b1", "delete"), tree=one) == TREE
-    assert edited_tree(backend_xml("b9", "remove"), tree=one) == one
+    assert "backend" not in edited_tree(backend_xml("b1", "delete"), tree=weighted) == TREE
+    assert edited_tree(backend_xml("b9", "remove"), tree=weighted) == weighted
     assert edited_tree("", "replace") == {}
     assert edited_tree(backend_xml("b2"), "none", edited_tree(backend_xml("b2"))) == edited_tree(backend_xml("b2"))
 
@@ -76,8 +76,8 @@
 
 
 def test_changes_lists_created_and_updated_nodes() -> None:
-    two = edited_tree(backend_xml("b1", "", "<weight>2</weight>") + "<channel><pace>7</pace></channel>")
-    assert list(tree_changes(TREE, two, "/fleet")) == [
+    changed = edited_tree(backend_xml("b1", "", "<weight>2</weight>") + "<channel><pace>7</pace></channel>")
+    assert list(tree_changes(TREE, changed, "/fleet")) == [
         ("create", "/fleet/backend/id"),
         ("create", "/fleet/backend/weight"),
         ("update", "/fleet/channel/pace"),
@@ -88,9 +88,11 @@
 
 
 class ReferenceModel:
-    """Locks, the candidate and confirmed commits as RFC 6241 describes them, in the shortest form.
+    """A minimal model of locks, the candidate and confirmed commits (RFC 6241).
 
-    Trees are stood for by numbers. `pending` is an unconfirmed commit: what is rolled back to, its session and deadline."""
+    Numbers take the place of trees. `pending` describes an unconfirmed commit: the state to roll back to, the session
+    and the deadline.
+    """
 
     def __init__(self) -> None:
         self.running = self.candidate = 0
@@ -121,8 +123,8 @@
             case "commit" | "confirmed" if self.may_change(session, "candidate", "running") and (
                 not self.pending or self.pending[1] == session
             ):
-                first = self.pending[0] if self.pending else self.running
-                self.pending = (first, session, now + 5) if operation == "confirmed" else None
+                rollback_to = self.pending[0] if self.pending else self.running
+                self.pending = (rollback_to, session, now + 5) if operation == "confirmed" else None
                 self.running = self.candidate
                 return True
             case "cancel" if self.pending and self.pending[1] == session:
@@ -159,14 +161,14 @@
 
 @pytest.mark.parametrize("seed", range(150))
 def test_two_sessions_in_random_order_agree_with_the_reference_model(seed: int) -> None:
-    rng, datastores, model, now = random.Random(seed), new_datastores(), ReferenceModel(), 100.0
+    random_source, datastores, model, now = random.Random(seed), new_datastores(), ReferenceModel(), 100.0
     for step in range(30):
-        now += rng.choice((0.1, 0.1, 3.0))
+        now += random_source.choice((0.1, 0.1, 3.0))
         if (rollback := datastores.expire_commit(now)) is not None:
             datastores.on_commit_stored(0, rollback)
         if model.pending and now >= model.pending[2]:
             model.roll_back()
-        operation, session, value = rng.choice(OPERATIONS), rng.choice((1, 2)), step + 1
+        operation, session, value = random_source.choice(OPERATIONS), random_source.choice((1, 2)), step + 1
         try:
             run_operation(datastores, operation, session, value, now)
             succeeded = True
@@ -242,7 +244,7 @@
         plan_commit(TREE, tree, facts)
 
 
-def test_a_plan_names_drains_restores_and_whether_the_policy_restarts() -> None:
+def test_a_plan_lists_drains_and_restores_and_whether_the_policy_restarts() -> None:
     plan = plan_commit(drained_tree("b0"), drained_tree("b1"), fleet_facts())
     assert (plan.drains, plan.restores, plan.restarts_policy) == (("b1",), ("b0",), False) and plan.channel_time_s > 0
     assert plan_commit(TREE, TREE | {"guards": {"drain-grace": 9000}}, fleet_facts()).restarts_policy
@@ -252,18 +254,18 @@
 def test_settings_and_trees_convert_into_each_other(tmp_path: Path) -> None:
     path = tmp_path / "c.rec"
     path.write_text(CONTROLLER + "backends: {b1: {weight: 2.5}, b2: {drained: true}}\n")
-    first = read_settings(path)
-    assert isinstance(first, ControllerSettings)
-    tree = settings_tree(first)
+    original = read_settings(path)
+    assert isinstance(original, ControllerSettings)
+    tree = settings_tree(original)
     schema.validate_tree(tree)
-    assert deployment_from_tree(tree, first) == first.deployment
+    assert deployment_from_tree(tree, original) == original.deployment
     changed = edited_tree(
         backend_xml("b3", "", "<weight>0.5</weight>") + "<channel><pace>777</pace></channel>", tree=tree
     )
-    unchanged = "\n".join(line for line in CONTROLLER.splitlines() if not line.startswith(("groups", "channel")))
-    path.write_text(unchanged + "\n" + settings_text(changed, first.prefixes))
-    second = read_settings(path)
-    assert isinstance(second, ControllerSettings) and settings_tree(second) == changed
+    other_settings = "\n".join(line for line in CONTROLLER.splitlines() if not line.startswith(("groups", "channel")))
+    path.write_text(other_settings + "\n" + settings_text(changed, original.prefixes))
+    reread = read_settings(path)
+    assert isinstance(reread, ControllerSettings) and settings_tree(reread) == changed
 
 
 # Access
@@ -296,7 +298,7 @@
 
 
 class KillError(BaseException):
-    """Stands for a kill of the process."""
+    """Simulates a kill of the process."""
 
 
 @pytest.mark.parametrize("interrupted_at", range(4))
