--- a/onyxhead/controller/configuration/commit_plan.py
+++ b/onyxhead/controller/configuration/commit_plan.py
@@ -125,7 +125,7 @@
             if backend.ready and backend.warm and (not zones or backend.zone in zones)
         ]
         remaining = [backend for backend in usable if backend.id not in drained_backends(after)]
-        group_before = next((each for each in before.get("group", ()) if each["name"] == group["name"]), None)
+        group_before = next((entry for entry in before.get("group", ()) if entry["name"] == group["name"]), None)
         had_usable = group_before is not None and any(
             backend.ready
             and backend.warm
--- a/onyxhead/controller/configuration/datastores.py
+++ b/onyxhead/controller/configuration/datastores.py
@@ -49,8 +49,8 @@
     ) -> None:
         self.node, self.check = node, check
         self.commits = {commit.number: commit for commit in commits}
-        self.last = commits[-1]
-        self.running, self.candidate = self.last.tree, self.last.tree
+        self.last_commit = commits[-1]
+        self.running, self.candidate = self.last_commit.tree, self.last_commit.tree
         self.startup = startup if startup is not None else commits[0].tree
         self.locks: dict[str, int] = {}
         self.candidate_session = 0
@@ -77,7 +77,7 @@
         if name == CANDIDATE and self.candidate != self.running:
             holder = str(self.candidate_session)
             raise RpcError("lock-denied", "candidate has uncommitted changes", kind="protocol", session_id=holder)
-        if name == RUNNING and self.last.confirm_by:
+        if name == RUNNING and self.last_commit.confirm_by:
             raise RpcError("lock-denied", "a commit waits to be confirmed", kind="protocol", session_id="0")
         self.locks[name] = session
 
@@ -98,14 +98,14 @@
 
     # Changes
 
-    def preview_edit(self, session: int, name: str, edit: Edit, default: str, test: bool = True) -> Tree:
-        """Return the tree that an edit would result in, and store nothing. Raise RpcError if the edit is rejected."""
+    def preview_edit(self, session: int, name: str, edit: Edit, default: str, validate: bool = True) -> Tree:
+        """Return the tree that an edit would result in, without storing it. Raise RpcError if the edit is rejected."""
         if name == RUNNING:
             raise RpcError("operation-not-supported", "running is changed by commit", kind="protocol")
         before = self.get(name)
         self.check_unlocked(session, name)
         after = apply_edit(self.node, before, edit, default)
-        if test:
+        if validate:
             self.check(after)
         return after
 
@@ -144,7 +144,7 @@
         """
         for name in (RUNNING, CANDIDATE):
             self.check_unlocked(session, name)
-        pending = self.last
+        pending = self.last_commit
         if pending.confirm_by:
             if pending.persist_id != persist_id or (not pending.persist_id and session != self.commit_session):
                 raise RpcError("invalid-value", "another commit waits to be confirmed, under another persist-id")
@@ -160,14 +160,14 @@
 
     def on_commit_stored(self, session: int, commit: Commit) -> None:
         """Put a commit that is now on disk into the running datastore."""
-        self.commits[commit.number] = self.last = commit
+        self.commits[commit.number] = self.last_commit = commit
         self.running, self.commit_session = commit.tree, session
         if commit.kind == ROLLBACK and self.candidate != commit.tree and not self.locks.get(CANDIDATE):
             self.candidate = commit.tree
 
     def prepare_cancel(self, session: int, user: str, persist_id: str = "") -> Commit:
         """Return a commit that rolls back the unconfirmed one. Raise RpcError if the session may not cancel it."""
-        pending = self.last
+        pending = self.last_commit
         if not pending.confirm_by:
             raise RpcError("operation-failed", "no commit waits to be confirmed")
         if pending.persist_id != persist_id or (not pending.persist_id and session != self.commit_session):
@@ -176,11 +176,13 @@
 
     def expire_commit(self, now: float) -> Commit | None:
         """Return a commit that rolls back the unconfirmed one if its deadline has passed, else None."""
-        return self._rollback("(time-out)") if self.last.confirm_by and now >= self.last.confirm_by else None
+        return (
+            self._rollback("(time-out)") if self.last_commit.confirm_by and now >= self.last_commit.confirm_by else None
+        )
 
     def _rollback(self, user: str) -> Commit:
-        before = self.commits[self.last.rollback_to]
-        return Commit(self.last.number + 1, before.tree, user, ROLLBACK)
+        before = self.commits[self.last_commit.rollback_to]
+        return Commit(self.last_commit.number + 1, before.tree, user, ROLLBACK)
 
     # Sessions
 
@@ -197,6 +199,6 @@
         if self.locks.get(CANDIDATE) == session:
             self.candidate = self.running
         self.locks = {name: holder for name, holder in self.locks.items() if holder != session}
-        if self.last.confirm_by and not self.last.persist_id and self.commit_session == session:
+        if self.last_commit.confirm_by and not self.last_commit.persist_id and self.commit_session == session:
             return self._rollback("(session ended)")
         return None
--- a/onyxhead/controller/configuration/service.py
+++ b/onyxhead/controller/configuration/service.py
@@ -73,13 +73,13 @@
         if (rollback := self.datastores.close_session(session)) is not None:
             self._apply(session, rollback)
 
-    def kill_session(self, user: str, session: int, own: int) -> None:
-        """End another session than the user's own. Raise RpcError if there is no such session."""
-        if session == own:
+    def kill_session(self, user: str, session: int, own_session: int) -> None:
+        """End another session. Raise RpcError if the session is the caller's own or does not exist."""
+        if session == own_session:
             raise RpcError("invalid-value", "a session cannot kill itself; use close-session", kind="protocol")
         if session not in self.terminators:
             raise RpcError("invalid-value", f"there is no session {session}", kind="protocol")
-        self.callbacks.audit(user, own, f"kill-session {session}", "done")
+        self.callbacks.audit(user, own_session, f"kill-session {session}", "done")
         self.terminators[session]()
         self.close_session(session)
 
--- a/onyxhead/controller/configuration/tree.py
+++ b/onyxhead/controller/configuration/tree.py
@@ -84,15 +84,15 @@
         case "list":
             return _edit_list(child, tree, edit, operation, node_path)
     current = tree.get(child.name)
-    if (change := _effect(current is not None, operation, node_path)) is not Change.WRITE:
-        return _keep_or_remove(change, tree, child.name)
+    if (effect := _effect(current is not None, operation, node_path)) is not Effect.WRITE:
+        return _keep_or_remove(effect, tree, child.name)
     result = _edit_container(child, current or {}, edit, operation, path)
     if operation == "none" and current is None and not result:
         return tree
     return tree | {child.name: result}
 
 
-class Change(Enum):
+class Effect(Enum):
     """The effect of an operation on a node."""
 
     KEEP = auto()
@@ -100,24 +100,24 @@
     WRITE = auto()
 
 
-def _effect(exists: bool, operation: str, node_path: str) -> Change:
+def _effect(exists: bool, operation: str, node_path: str) -> Effect:
     """Return the effect of an operation. Raise RpcError if `create` finds the node or `delete` does not."""
     if operation == "create" and exists:
         raise RpcError("data-exists", "the node already exists", node_path)
     if operation == "delete" and not exists:
         raise RpcError("data-missing", "the node does not exist", node_path)
     if operation in ("delete", "remove"):
-        return Change.REMOVE if exists else Change.KEEP
-    return Change.WRITE
+        return Effect.REMOVE if exists else Effect.KEEP
+    return Effect.WRITE
 
 
-def _keep_or_remove(change: Change, tree: Tree, name: str) -> Tree:
-    return tree if change is Change.KEEP else {child: value for child, value in tree.items() if child != name}
+def _keep_or_remove(effect: Effect, tree: Tree, name: str) -> Tree:
+    return tree if effect is Effect.KEEP else {child: value for child, value in tree.items() if child != name}
 
 
 def _edit_leaf(node: Node, tree: Tree, edit: Edit, operation: str, node_path: str) -> Tree:
-    if (change := _effect(node.name in tree, operation, node_path)) is not Change.WRITE:
-        return _keep_or_remove(change, tree, node.name)
+    if (effect := _effect(node.name in tree, operation, node_path)) is not Effect.WRITE:
+        return _keep_or_remove(effect, tree, node.name)
     if operation == "none":
         return tree
     return tree | {node.name: parse_value(node, edit.text, node_path)}
@@ -126,11 +126,11 @@
 def _edit_leaf_list(node: Node, tree: Tree, edit: Edit, operation: str, node_path: str) -> Tree:
     current: list[Any] = tree.get(node.name, [])
     value = parse_value(node, edit.text, node_path)
-    if (change := _effect(value in current, operation, node_path)) is not Change.WRITE:
+    if (effect := _effect(value in current, operation, node_path)) is not Effect.WRITE:
         return (
             tree
-            if change is Change.KEEP
-            else _with_values(tree, node.name, [each for each in current if each != value])
+            if effect is Effect.KEEP
+            else _with_values(tree, node.name, [other for other in current if other != value])
         )
     if operation == "none" or value in current:
         return tree
@@ -146,10 +146,10 @@
             raise RpcError("missing-element", f"an entry of {node.name} needs one {name}", node_path, bad_element=name)
         key.append(parse_value(node.children[name], matching[0].text, f"{node_path}/{name}"))
     entry_path = f"{node_path}[{' and '.join(f'{name}={value!r}' for name, value in zip(node.keys, key, strict=True))}]"
-    existing = next((each for each in current if [each[name] for name in node.keys] == key), None)
+    existing = next((entry for entry in current if [entry[name] for name in node.keys] == key), None)
     others = [entry for entry in current if entry is not existing]
-    if (change := _effect(existing is not None, operation, entry_path)) is not Change.WRITE:
-        return tree if change is Change.KEEP else _with_values(tree, node.name, others)
+    if (effect := _effect(existing is not None, operation, entry_path)) is not Effect.WRITE:
+        return tree if effect is Effect.KEEP else _with_values(tree, node.name, others)
     if operation == "none" and existing is None:
         raise RpcError("data-missing", "the node does not exist", entry_path)
     content = [child for child in edit.children if child.name not in node.keys]
@@ -159,7 +159,7 @@
     inherited = "merge" if operation in ("replace", "create") else operation
     for child in content:
         entry = _edit_child(node, entry, child, child.operation or inherited, entry_path.removesuffix(f"/{child.name}"))
-    return tree | {node.name: sorted([*others, entry], key=lambda each: [each[name] for name in node.keys])}
+    return tree | {node.name: sorted([*others, entry], key=lambda other: [other[name] for name in node.keys])}
 
 
 def _with_values(tree: Tree, name: str, value: list[Any]) -> Tree:
@@ -197,17 +197,17 @@
     """Return the tree in the with-defaults mode `report-all`, `trim` or `explicit` (RFC 6243)."""
     if mode == "explicit":
         return tree
-    shown: Tree = {}
+    result: Tree = {}
     for name, child in node.children.items():
         current = tree.get(name)
         if child.kind == "container" and child.config:
             nested = with_defaults(child, current or {}, mode)
             if nested or current is not None:
-                shown[name] = nested
+                result[name] = nested
         elif child.kind == "list" and current:
-            shown[name] = [with_defaults(child, each, mode) for each in current]
+            result[name] = [with_defaults(child, entry, mode) for entry in current]
         elif current is not None and not (mode == "trim" and current == child.default and name not in node.keys):
-            shown[name] = current
+            result[name] = current
         elif current is None and mode == "report-all" and child.default is not None:
-            shown[name] = child.default
-    return shown
+            result[name] = child.default
+    return result
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -101,7 +101,7 @@
 
 def with_configured_backends(endpoint_list: EndpointList, tree: Tree) -> EndpointList:
     """Return discovery's list with the weights and drains of a configuration applied."""
-    configured = {each["id"]: each for each in tree.get("backend", ())}
+    configured = {entry["id"]: entry for entry in tree.get("backend", ())}
     return endpoint_list._replace(
         entries=tuple(_with_configuration(entry, configured.get(entry.id, {})) for entry in endpoint_list.entries)
     )
@@ -128,9 +128,9 @@
             "prefix": prefixes.get(group["name"], "/"),
         } | ({"zones": group["zone"]} if "zone" in group else {})
     backends = {
-        each["id"]: ({"weight": Quantity(each["weight"])} if "weight" in each else {})
-        | ({"drained": True} if each.get("drained") else {})
-        for each in tree.get("backend", ())
+        entry["id"]: ({"weight": Quantity(entry["weight"])} if "weight" in entry else {})
+        | ({"drained": True} if entry.get("drained") else {})
+        for entry in tree.get("backend", ())
     }
     parts = {
         "groups": groups,
--- a/onyxhead/controller/configuration_service.py
+++ b/onyxhead/controller/configuration_service.py
@@ -86,8 +86,10 @@
         {"name": name, "zone": proxy["zone"], "bound": proxy["bound"], "turn": proxy["turn"]}
         for name, proxy in sorted(status["proxies"].items())
     ]
-    shown = ("address", "zone", "ready", "withdrawn")
-    backends = [{"id": name} | {key: backend[key] for key in shown} for name, backend in status["backends"].items()]
+    shown_fields = ("address", "zone", "ready", "withdrawn")
+    backends = [
+        {"id": name} | {key: backend[key] for key in shown_fields} for name, backend in status["backends"].items()
+    ]
     channel = {"waiting": round(status["channel"]["waiting"]), "peak": round(status["channel"]["peak"])}
     tree: Tree = {"epoch": status["epoch"], "channel": channel}
     return tree | ({"proxy": proxies} if proxies else {}) | ({"backend": backends} if backends else {})
--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -67,10 +67,12 @@
         self.netconf: NetconfServer | None = None
         self.configuration = self._open_configuration()
         tree = self.configuration.datastores.running if self.configuration is not None else {}
-        start = deployment_from_tree(tree, settings) if self.configuration is not None else settings.deployment
+        initial_deployment = (
+            deployment_from_tree(tree, settings) if self.configuration is not None else settings.deployment
+        )
         self.overlay = EndpointOverlay(tree, BackendOverrides(self.store.get(OPERATOR_STATE)))
         recovered = self.store.recovered
-        core = self._new_core(start, recovered.epoch, recovered.proxy_numbers, recover_history(self.store))
+        core = self._new_core(initial_deployment, recovered.epoch, recovered.proxy_numbers, recover_history(self.store))
         self.host = CoreHost(self.clock, core)
         self.supervisor = TaskSupervisor()
         self.streams = ProxyStreams(
@@ -90,9 +92,9 @@
         self.fleet = (
             FleetState(settings.name, settings.fleet, self.host, self.store) if settings.fleet is not None else None
         )
-        self.fleet_transport = self._fleet_transport(self.fleet) if self.fleet is not None else None
+        self.fleet_transport = self._new_fleet_transport(self.fleet) if self.fleet is not None else None
         self.load_reports = self._open_ingest()
-        self.http_server = Server(self._routes().handle_request)
+        self.http_server = Server(self._new_routes().handle_request)
         restore_endpoints(settings, self.store, self.host, self.watch)
 
     @property
@@ -100,7 +102,7 @@
         """Return the core in use, which a restart of the policy replaces."""
         return self.host.core
 
-    # The parts
+    # Creation of the parts
 
     def _open_configuration(self) -> ConfigurationService | None:
         if self.settings.netconf is None:
@@ -116,21 +118,23 @@
 
         return open_configuration_service(self.settings, self.store, facts, self._apply_configuration, state)
 
-    def _new_core(self, start: Deployment, epoch: int, numbers: dict[str, int], history: History) -> ControllerCore:
+    def _new_core(
+        self, deployment: Deployment, epoch: int, proxy_numbers: dict[str, int], history: History
+    ) -> ControllerCore:
         settings = self.settings
         return ControllerCore(
-            start,
-            tuple(group.name for group in start.groups),
+            deployment,
+            tuple(group.name for group in deployment.groups),
             settings.zones,
             settings.seed + epoch,
             epoch,
             settings.acknowledgement_timeout,
             self.clock.now(),
-            numbers,
+            proxy_numbers,
             history,
         )
 
-    def _fleet_transport(self, fleet: FleetState) -> FleetTransport:
+    def _new_fleet_transport(self, fleet: FleetState) -> FleetTransport:
         return FleetTransport(
             fleet, self.host, self.supervisor, self.keys, self.streams, lambda: self.watch.version or 0
         )
@@ -141,7 +145,7 @@
             return None
         return LoadReportIngest(settings.load_reports, settings.seed, settings.tls, self.host, self.supervisor)
 
-    def _routes(self) -> HttpRoutes:
+    def _new_routes(self) -> HttpRoutes:
         parts = ControllerParts(
             settings=self.settings,
             host=self.host,
@@ -180,13 +184,13 @@
             log.info(log_events.CONTROLLER_STOPPED, name=self.settings.name)
 
     async def _start_tasks(self, address: Address, tls: ssl.SSLContext | None) -> None:
-        start = self.supervisor.start
+        start_task = self.supervisor.start
         if self.configuration is not None and self.settings.netconf is not None:
             from onyxhead.fronts.netconf.server import NetconfServer
 
             self.netconf = NetconfServer(self.settings.netconf, self.configuration)
             await self.netconf.start(tls)
-            start(self._expire_commits(self.configuration))
+            start_task(self._expire_commits(self.configuration))
         if self.keys is not None and self.settings.tls is not None:
 
             async def restart_listeners(context: ssl.SSLContext) -> None:
@@ -194,14 +198,14 @@
                 if self.netconf is not None:
                     await self.netconf.replace_tls_context(context)
 
-            start(rotate_keys(self.keys, self.settings.tls.interval, restart_listeners, self.streams))
+            start_task(rotate_keys(self.keys, self.settings.tls.interval, restart_listeners, self.streams))
         if self.fleet_transport is not None:
-            start(self.fleet_transport.run())
+            start_task(self.fleet_transport.run())
         if self.load_reports is not None:
-            start(self.load_reports.run())
-        start(self._record_heartbeats())
-        start(self.watch.run())
-        start(self.decision_loop.run())
+            start_task(self.load_reports.run())
+        start_task(self._record_heartbeats())
+        start_task(self.watch.run())
+        start_task(self.decision_loop.run())
 
     async def _record_heartbeats(self) -> None:
         while True:
@@ -213,7 +217,7 @@
             configuration.expire_commit()
             await asyncio.sleep(COMMIT_CHECK_INTERVAL_S)
 
-    # New settings
+    # Changes of the configuration
 
     def _apply_configuration(self, tree: Tree, plan: CommitPlan) -> None:
         """Put a configuration into effect: weights and drains through the endpoint list, the rest by a new core."""
@@ -229,7 +233,7 @@
             self._restart_policy(deployment_from_tree(tree, self.settings))
         self.watch.refresh()
 
-    def _restart_policy(self, start: Deployment) -> None:
+    def _restart_policy(self, deployment: Deployment) -> None:
         """Restart the policy with other settings in a new core and a new epoch.
 
         All streams are closed. The proxies keep their tables and join again, as after a crash, so their full tables are
@@ -239,7 +243,7 @@
         self.streams.cancel_all()
         previous = self.core
         self.decision_loop.save_versions()
-        self.host.core = self._new_core(start, epoch, previous.numbers, previous.versions.history)
+        self.host.core = self._new_core(deployment, epoch, previous.numbers, previous.versions.history)
         self.watch.restart()
         self.core.restore_withdrawals(self.clock.now(), list(previous.proxy_tables.withdrawn))
         log.info(log_events.POLICY_RESTARTED, epoch=epoch)
