--- a/onyxhead/controller/server.py
+++ b/onyxhead/controller/server.py
@@ -1,6 +1,6 @@
-"""A running controller: puts its parts together, starts their tasks, and ends them in order.
+"""A running controller: creates its parts, starts their tasks, and stops them in order.
 
-The core decides everything; the parts carry its effects out and report to it what happens.
+All decisions are made in the core. The parts around it carry out its decisions and report events to it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from onyxhead.controller import log_events
 from onyxhead.controller.configuration.commit_plan import CommitPlan, FleetFacts
 from onyxhead.controller.configuration.tree import Tree
-from onyxhead.controller.configuration.views import deployment
+from onyxhead.controller.configuration.views import deployment_from_tree
 from onyxhead.controller.core import ControllerCore
 from onyxhead.controller.core_host import CoreHost
 from onyxhead.controller.decision_loop import DecisionLoop
@@ -26,7 +26,7 @@
 from onyxhead.controller.fleet_commands import FleetCommands
 from onyxhead.controller.fleet_state import FleetState
 from onyxhead.controller.fleet_transport import FleetTransport
-from onyxhead.controller.http_routes import HttpRoutes, Parts
+from onyxhead.controller.http_routes import ControllerParts, HttpRoutes
 from onyxhead.controller.join_handler import JoinHandler
 from onyxhead.controller.key_rotation import rotate_keys
 from onyxhead.controller.load_report_ingest import LoadReportIngest
@@ -54,7 +54,10 @@
 
 
 class ControllerServer:
-    """Raises OSError for a state folder that can't be used, and what `Keys` raises for unusable keys."""
+    """The controller process with all its parts.
+
+    Creating it raises OSError if the state folder can't be used, and KeyFileError if the TLS keys can't.
+    """
 
     def __init__(self, settings: ControllerSettings) -> None:
         self.settings = settings
@@ -64,10 +67,12 @@
         self.netconf: NetconfServer | None = None
         self.configuration = self._open_configuration()
         tree = self.configuration.datastores.running if self.configuration is not None else {}
-        start = deployment(tree, settings) if self.configuration is not None else settings.deployment
+        initial_deployment = (
+            deployment_from_tree(tree, settings) if self.configuration is not None else settings.deployment
+        )
         self.overlay = EndpointOverlay(tree, BackendOverrides(self.store.get(OPERATOR_STATE)))
         recovered = self.store.recovered
-        core = self._new_core(start, recovered.epoch, recovered.proxy_numbers, recover_history(self.store))
+        core = self._new_core(initial_deployment, recovered.epoch, recovered.proxy_numbers, recover_history(self.store))
         self.host = CoreHost(self.clock, core)
         self.supervisor = TaskSupervisor()
         self.streams = ProxyStreams(
@@ -87,22 +92,22 @@
         self.fleet = (
             FleetState(settings.name, settings.fleet, self.host, self.store) if settings.fleet is not None else None
         )
-        self.fleet_transport = self._fleet_transport(self.fleet) if self.fleet is not None else None
+        self.fleet_transport = self._new_fleet_transport(self.fleet) if self.fleet is not None else None
         self.load_reports = self._open_ingest()
-        self.http_server = Server(self._routes().handle_request)
+        self.http_server = Server(self._new_routes().handle_request)
         restore_endpoints(settings, self.store, self.host, self.watch)
 
     @property
     def core(self) -> ControllerCore:
-        """The core that decides now."""
+        """Return the core in use, which a restart of the policy replaces."""
         return self.host.core
 
-    # The parts
+    # Creation of the parts
 
     def _open_configuration(self) -> ConfigurationService | None:
         if self.settings.netconf is None:
             return None
-        # Imported only where it is served: its libraries take longer to load than all the rest.
+        # Imported only if NETCONF is served, because its libraries take longer to load than everything else.
         from onyxhead.controller.configuration_service import open_configuration_service, state_tree
 
         def facts() -> FleetFacts:
@@ -113,21 +118,23 @@
 
         return open_configuration_service(self.settings, self.store, facts, self._apply_configuration, state)
 
-    def _new_core(self, start: Deployment, epoch: int, numbers: dict[str, int], history: History) -> ControllerCore:
+    def _new_core(
+        self, deployment: Deployment, epoch: int, proxy_numbers: dict[str, int], history: History
+    ) -> ControllerCore:
         settings = self.settings
         return ControllerCore(
-            start,
-            tuple(group.name for group in start.groups),
+            deployment,
+            tuple(group.name for group in deployment.groups),
             settings.zones,
             settings.seed + epoch,
             epoch,
             settings.acknowledgement_timeout,
             self.clock.now(),
-            numbers,
+            proxy_numbers,
             history,
         )
 
-    def _fleet_transport(self, fleet: FleetState) -> FleetTransport:
+    def _new_fleet_transport(self, fleet: FleetState) -> FleetTransport:
         return FleetTransport(
             fleet, self.host, self.supervisor, self.keys, self.streams, lambda: self.watch.version or 0
         )
@@ -138,8 +145,8 @@
             return None
         return LoadReportIngest(settings.load_reports, settings.seed, settings.tls, self.host, self.supervisor)
 
-    def _routes(self) -> HttpRoutes:
-        parts = Parts(
+    def _new_routes(self) -> HttpRoutes:
+        parts = ControllerParts(
             settings=self.settings,
             host=self.host,
             store=self.store,
@@ -157,12 +164,12 @@
     # Running
 
     async def run(self) -> None:
-        """Serve until told to stop. Raises OSError if an address can't be had."""
+        """Serve until a signal or a failed task stops the process. Raise OSError if an address can't be listened on."""
         tls = self.keys.server_context if self.keys is not None else None
         address = await self.http_server.start(*self.settings.listen, tls)
         loop = asyncio.get_running_loop()
-        for name in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(name, self.supervisor.stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.supervisor.stopping.set)
         host, port = address
         log.info(log_events.CONTROLLER_STARTED, name=self.settings.name, host=host, port=port, epoch=self.core.epoch)
         await self._start_tasks(address, tls)
@@ -177,13 +184,13 @@
             log.info(log_events.CONTROLLER_STOPPED, name=self.settings.name)
 
     async def _start_tasks(self, address: Address, tls: ssl.SSLContext | None) -> None:
-        start = self.supervisor.start
+        start_task = self.supervisor.start
         if self.configuration is not None and self.settings.netconf is not None:
             from onyxhead.fronts.netconf.server import NetconfServer
 
             self.netconf = NetconfServer(self.settings.netconf, self.configuration)
             await self.netconf.start(tls)
-            start(self._expire_commits(self.configuration))
+            start_task(self._expire_commits(self.configuration))
         if self.keys is not None and self.settings.tls is not None:
 
             async def restart_listeners(context: ssl.SSLContext) -> None:
@@ -191,14 +198,14 @@
                 if self.netconf is not None:
                     await self.netconf.replace_tls_context(context)
 
-            start(rotate_keys(self.keys, self.settings.tls.interval, restart_listeners, self.streams))
+            start_task(rotate_keys(self.keys, self.settings.tls.interval, restart_listeners, self.streams))
         if self.fleet_transport is not None:
-            start(self.fleet_transport.run())
+            start_task(self.fleet_transport.run())
         if self.load_reports is not None:
-            start(self.load_reports.run())
-        start(self._record_heartbeats())
-        start(self.watch.run())
-        start(self.decision_loop.run())
+            start_task(self.load_reports.run())
+        start_task(self._record_heartbeats())
+        start_task(self.watch.run())
+        start_task(self.decision_loop.run())
 
     async def _record_heartbeats(self) -> None:
         while True:
@@ -210,31 +217,34 @@
             configuration.expire_commit()
             await asyncio.sleep(COMMIT_CHECK_INTERVAL_S)
 
-    # New settings
+    # Changes of the configuration
 
     def _apply_configuration(self, tree: Tree, plan: CommitPlan) -> None:
-        """Put a configuration into effect: through the endpoint list where that is enough, else by a new core."""
+        """Put a configuration into effect: weights and drains through the endpoint list, the rest by a new core."""
         log.info(
             log_events.CONFIGURATION_APPLIED,
             drains=plan.drains,
             restores=plan.restores,
-            rebuild=plan.rebuild,
-            channel_s=plan.seconds,
+            rebuild=plan.restarts_policy,
+            channel_s=plan.channel_time_s,
         )
         self.overlay.tree = tree
-        if plan.rebuild:
-            self._restart_policy(deployment(tree, self.settings))
+        if plan.restarts_policy:
+            self._restart_policy(deployment_from_tree(tree, self.settings))
         self.watch.refresh()
 
-    def _restart_policy(self, start: Deployment) -> None:
-        """Start the policy anew under other settings. Proxies keep their tables and join again, as after a crash, so
-        that their full tables are paced like any others."""
+    def _restart_policy(self, deployment: Deployment) -> None:
+        """Restart the policy with other settings in a new core and a new epoch.
+
+        All streams are closed. The proxies keep their tables and join again, as after a crash, so their full tables are
+        paced like those of any other join.
+        """
         epoch = self.store.begin_epoch()
         self.streams.cancel_all()
-        old = self.core
+        previous = self.core
         self.decision_loop.save_versions()
-        self.host.core = self._new_core(start, epoch, old.proxy_numbers, old.versions.history)
+        self.host.core = self._new_core(deployment, epoch, previous.proxy_numbers, previous.versions.history)
         self.watch.restart()
-        self.core.restore_withdrawals(self.clock.now(), list(old.proxy_tables.withdrawn))
+        self.core.restore_withdrawals(self.clock.now(), list(previous.proxy_tables.withdrawn))
         log.info(log_events.POLICY_RESTARTED, epoch=epoch)
         self.host.wake()
