--- a/onyxhead/fronts/__init__.py
+++ b/onyxhead/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""The interfaces of the controller: streams to proxies, files for proxies, NETCONF, nginx configurations."""
+"""Interfaces to proxies and operators: RESP2 streams, files that proxies read, NETCONF and nginx configurations."""
--- a/onyxhead/fronts/streams/__init__.py
+++ b/onyxhead/fronts/streams/__init__.py
@@ -1,1 +1,1 @@
-"""The proxies' stream protocol: RESP2 arrays of bulk strings to typed messages, and updates to bytes. No I/O."""
+"""The stream protocol between a node and its proxies, without I/O: decodes RESP2 messages and encodes updates."""
--- a/onyxhead/fronts/streams/messages.py
+++ b/onyxhead/fronts/streams/messages.py
@@ -1,6 +1,7 @@
-"""From the elements of a message to a typed value; what has no meaning is rejected by the name of its field.
+"""Parses the elements of a RESP2 message into a typed message; an error names the invalid field.
 
-Milliseconds become ticks (`onyxhead.time_units`) here and nowhere else on the way in.
+The protocol gives durations in milliseconds. This module converts them to ticks (`onyxhead.time_units`), so the rest
+of the node handles ticks only.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 MAX_COUNT = 10_000_000
 MAX_MILLISECONDS = 3_600_000.0
 MAX_WEIGHT = 1e6
-MAX_ROUND = 65_535
+MAX_ROUND_NUMBER = 65_535
 MAX_LOAD_VALUE = 1e12
-INTEGER = re.compile(rb"[0-9]{1,10}")
-DECIMAL = re.compile(rb"[0-9]{1,18}(\.[0-9]{0,18})?([eE][-+]?[0-9]{1,3})?")
-SHOWN_BYTES = 32
-"""How much of an unknown text an error repeats."""
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,10}")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,18}(\.[0-9]{0,18})?([eE][-+]?[0-9]{1,3})?")
+MAX_QUOTED_BYTES = 32
+"""The longest part of a received text that an error message repeats."""
 
-SETTINGS_NAMES = {
+SETTINGS_NAME_BY_STREAM_NAME = {
     "inflight": "busy_reqs",
     "queue": "pending",
     "util": "cpu_share",
@@ -33,28 +34,28 @@
     "qps": "served_ps",
     "eps": "failed_ps",
 }
-"""The values of load reports: the stream's name to the settings' name."""
+"""Names of load report values: the name in the stream protocol to the name in the settings."""
 
 
 class InvalidMessageError(StreamProtocolError):
-    """One message has no meaning; those before and after it have. The text names the field."""
+    """One message is invalid, but the stream stays readable. The error text names the field."""
 
 
 @dataclass(slots=True)
 class Heartbeat:
-    """Asks for a sign of life."""
+    """The peer checks that the connection works and expects a heartbeat reply."""
 
 
 @dataclass(slots=True)
 class CollectorJoined:
-    """A telemetry collector of a zone: it sends reports and gets no updates."""
+    """A telemetry collector of a zone joins; it sends attempt reports and receives no updates."""
 
     zone: int
 
 
 @dataclass(slots=True)
 class ProxyJoined:
-    """A proxy asks for updates; `baseline_rate` are its usual requests a second."""
+    """A proxy joins and asks for updates; `baseline_rate` is its usual number of requests per second."""
 
     proxy: int
     zone: int
@@ -64,7 +65,7 @@
 
 @dataclass(slots=True)
 class Acknowledgement:
-    """A proxy has applied all up to a round; `elapsed` ticks after it was sent."""
+    """A proxy has applied all updates up to and including a round, `elapsed` ticks after the round was sent."""
 
     proxy: int
     round_number: int
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True)
 class AttemptReport:
-    """Attempts at one backend from one zone in the last `window` ticks; `mean_latency` in ticks."""
+    """Attempts at one backend from one zone in the last `window` ticks; `mean_latency` is in ticks."""
 
     backend: str
     zone: int
@@ -86,7 +87,7 @@
 
 @dataclass(slots=True)
 class RequestReport:
-    """Requests of one traffic group that reached a proxy in the last `window` ticks."""
+    """Requests of one traffic group that a proxy received in the last `window` ticks."""
 
     proxy: int
     group: int
@@ -99,7 +100,7 @@
 
 
 class KnownNames(NamedTuple):
-    """The names that messages may use; `backends` grows as discovery lists them."""
+    """The names that messages may refer to; discovery adds to `backends` while the node runs."""
 
     groups: Mapping[str, int]
     zones: Mapping[str, int]
@@ -111,121 +112,135 @@
 
 
 def read_message(elements: RawMessage, known: KnownNames) -> StreamMessage:
-    """The meaning of one message. Raises InvalidMessageError."""
+    """Return the typed form of one message.
+
+    Raises InvalidMessageError if its kind is unknown or a field is missing or invalid.
+    """
     kind = elements[0]
-    if (reader := READERS.get(kind)) is None:
-        raise InvalidMessageError(f"kind {kind[:SHOWN_BYTES]!r} is not taken here")
+    if (parse_fields := FIELD_PARSERS.get(kind)) is None:
+        raise InvalidMessageError(f"message kind {kind[:MAX_QUOTED_BYTES]!r} is unknown")
     fields: Fields = {}
     for index in range(1, len(elements) - 1, 2):
         if elements[index] in fields:
-            raise InvalidMessageError(f"{_shown(kind)}: {_shown(elements[index])} is told twice")
+            raise InvalidMessageError(f"{_printable(kind)}: {_printable(elements[index])} appears twice")
         fields[elements[index]] = elements[index + 1]
     if len(elements) % 2 == 0:
-        raise InvalidMessageError(f"{_shown(kind)}: a name without its value")
+        raise InvalidMessageError(f"{_printable(kind)}: the last field has no value")
     try:
-        return reader(fields, known)
+        return parse_fields(fields, known)
     except InvalidMessageError as error:
-        raise InvalidMessageError(f"{_shown(kind)}: {error}") from error
+        raise InvalidMessageError(f"{_printable(kind)}: {error}") from error
 
 
-def _shown(text: bytes) -> str:
-    return text[:SHOWN_BYTES].decode("ascii", "backslashreplace")
+def _printable(text: bytes) -> str:
+    """Return the beginning of a received text, with non-ASCII bytes escaped, for an error message."""
+    return text[:MAX_QUOTED_BYTES].decode("ascii", "backslashreplace")
 
 
-def _field(fields: Fields, name: bytes) -> bytes:
+def _required_field(fields: Fields, name: bytes) -> bytes:
+    """Return the value of a field. Raises InvalidMessageError if the message has no such field."""
     if (value := fields.get(name)) is None:
-        raise InvalidMessageError(f"{_shown(name)} is missing")
+        raise InvalidMessageError(f"{_printable(name)} is missing")
     return value
 
 
-def _integer(fields: Fields, name: bytes, maximum: int) -> int:
-    value = _field(fields, name)
-    if not INTEGER.fullmatch(value) or int(value) > maximum:
-        raise InvalidMessageError(f"{_shown(name)} {_shown(value)!r} is no whole number from 0 to {maximum}")
+def _parse_integer(fields: Fields, name: bytes, maximum: int) -> int:
+    value = _required_field(fields, name)
+    if not INTEGER_PATTERN.fullmatch(value) or int(value) > maximum:
+        raise InvalidMessageError(f"{_printable(name)} {_printable(value)!r} is not a whole number from 0 to {maximum}")
     return int(value)
 
 
-def _decimal(name: bytes, value: bytes, maximum: float) -> float:
-    # float() alone would take nan, infinity and underscores.
-    if not DECIMAL.fullmatch(value) or not 0 <= (number := float(value)) <= maximum:
-        raise InvalidMessageError(f"{_shown(name)} {_shown(value)!r} is no figure from 0 to {maximum:g}")
+def _parse_decimal(name: bytes, value: bytes, maximum: float) -> float:
+    # float() alone would also accept "nan", "inf" and underscores between digits.
+    if not DECIMAL_PATTERN.fullmatch(value) or not 0 <= (number := float(value)) <= maximum:
+        raise InvalidMessageError(f"{_printable(name)} {_printable(value)!r} is not a number from 0 to {maximum:g}")
     return number
 
 
-def _ticks(fields: Fields, name: bytes) -> int:
-    return round(_decimal(name, _field(fields, name), MAX_MILLISECONDS) * TICKS_PER_MILLISECOND)
+def _parse_milliseconds(fields: Fields, name: bytes) -> int:
+    """Return a field in milliseconds as ticks."""
+    return round(_parse_decimal(name, _required_field(fields, name), MAX_MILLISECONDS) * TICKS_PER_MILLISECOND)
 
 
-def _named(fields: Fields, name: bytes, numbers: Mapping[str, int]) -> int:
-    value = _field(fields, name)
-    number = numbers.get(value.decode("utf-8", "replace"))
+def _look_up_name(fields: Fields, name: bytes, numbers_by_name: Mapping[str, int]) -> int:
+    """Return the number of the zone or traffic group that a field names."""
+    value = _required_field(fields, name)
+    number = numbers_by_name.get(value.decode("utf-8", "replace"))
     if number is None:
-        raise InvalidMessageError(f"{_shown(name)} {_shown(value)!r} does not exist")
+        raise InvalidMessageError(f"{_printable(name)} {_printable(value)!r} does not exist")
     return number
 
 
-def _proxy(fields: Fields, known: KnownNames) -> int:
-    return _integer(fields, b"proxy", known.proxy_count - 1)
+def _parse_proxy(fields: Fields, known: KnownNames) -> int:
+    return _parse_integer(fields, b"proxy", known.proxy_count - 1)
 
 
-def _heartbeat(fields: Fields, known: KnownNames) -> Heartbeat:
+def _parse_heartbeat(fields: Fields, known: KnownNames) -> Heartbeat:
     return Heartbeat()
 
 
-def _collector_joined(fields: Fields, known: KnownNames) -> CollectorJoined:
-    return CollectorJoined(_named(fields, b"zone", known.zones))
+def _parse_collector_joined(fields: Fields, known: KnownNames) -> CollectorJoined:
+    return CollectorJoined(_look_up_name(fields, b"zone", known.zones))
 
 
-def _proxy_joined(fields: Fields, known: KnownNames) -> ProxyJoined:
-    proxy = _proxy(fields, known)
-    zone = _named(fields, b"zone", known.zones)
-    baseline_rate = _decimal(b"weight", _field(fields, b"weight"), MAX_WEIGHT)
-    return ProxyJoined(proxy, zone, baseline_rate, bool(_integer(fields, b"fresh", 1)))
+def _parse_proxy_joined(fields: Fields, known: KnownNames) -> ProxyJoined:
+    proxy = _parse_proxy(fields, known)
+    zone = _look_up_name(fields, b"zone", known.zones)
+    baseline_rate = _parse_decimal(b"weight", _required_field(fields, b"weight"), MAX_WEIGHT)
+    return ProxyJoined(proxy, zone, baseline_rate, bool(_parse_integer(fields, b"fresh", 1)))
 
 
-def _acknowledgement(fields: Fields, known: KnownNames) -> Acknowledgement:
-    proxy = _proxy(fields, known)
-    return Acknowledgement(proxy, _integer(fields, b"mark", MAX_ROUND), _ticks(fields, b"took_ms"))
+def _parse_acknowledgement(fields: Fields, known: KnownNames) -> Acknowledgement:
+    proxy = _parse_proxy(fields, known)
+    return Acknowledgement(
+        proxy, _parse_integer(fields, b"mark", MAX_ROUND_NUMBER), _parse_milliseconds(fields, b"took_ms")
+    )
 
 
-def _attempt_report(fields: Fields, known: KnownNames) -> AttemptReport:
-    backend = _field(fields, b"server").decode("utf-8", "replace")
+def _parse_attempt_report(fields: Fields, known: KnownNames) -> AttemptReport:
+    backend = _required_field(fields, b"server").decode("utf-8", "replace")
     if backend not in known.backends:
-        raise InvalidMessageError(f"server {backend[:SHOWN_BYTES]!r} was never listed")
-    zone = _named(fields, b"zone", known.zones)
-    attempts = _integer(fields, b"tries", MAX_COUNT)
-    failed = _integer(fields, b"failed", attempts)
-    mean_latency = _ticks(fields, b"mean_ms")
+        raise InvalidMessageError(f"server {backend[:MAX_QUOTED_BYTES]!r} has never been listed by discovery")
+    zone = _look_up_name(fields, b"zone", known.zones)
+    attempts = _parse_integer(fields, b"tries", MAX_COUNT)
+    failed = _parse_integer(fields, b"failed", attempts)
+    mean_latency = _parse_milliseconds(fields, b"mean_ms")
     load = parse_load_report(fields[b"load"]) if b"load" in fields else LoadReport()
-    return AttemptReport(backend, zone, attempts, failed, mean_latency, _ticks(fields, b"span_ms"), load)
+    return AttemptReport(backend, zone, attempts, failed, mean_latency, _parse_milliseconds(fields, b"span_ms"), load)
 
 
-def _request_report(fields: Fields, known: KnownNames) -> RequestReport:
-    proxy = _proxy(fields, known)
-    group = _named(fields, b"class", known.groups)
-    requests = _integer(fields, b"tries", MAX_COUNT)
-    failed = _integer(fields, b"failed", MAX_COUNT)
-    return RequestReport(proxy, group, requests, failed, _ticks(fields, b"span_ms"))
+def _parse_request_report(fields: Fields, known: KnownNames) -> RequestReport:
+    proxy = _parse_proxy(fields, known)
+    group = _look_up_name(fields, b"class", known.groups)
+    requests = _parse_integer(fields, b"tries", MAX_COUNT)
+    failed = _parse_integer(fields, b"failed", MAX_COUNT)
+    return RequestReport(proxy, group, requests, failed, _parse_milliseconds(fields, b"span_ms"))
 
 
-READERS: dict[bytes, Callable[[Fields, KnownNames], StreamMessage]] = {
-    b"hb": _heartbeat,
-    b"telemetry": _collector_joined,
-    b"attach": _proxy_joined,
-    b"done": _acknowledgement,
-    b"upstream_stats": _attempt_report,
-    b"client_stats": _request_report,
+FIELD_PARSERS: dict[bytes, Callable[[Fields, KnownNames], StreamMessage]] = {
+    b"hb": _parse_heartbeat,
+    b"telemetry": _parse_collector_joined,
+    b"attach": _parse_proxy_joined,
+    b"done": _parse_acknowledgement,
+    b"upstream_stats": _parse_attempt_report,
+    b"client_stats": _parse_request_report,
 }
-"""The reader of each kind of message, by the protocol's name."""
+"""The function that parses the fields of a message, by the kind of the message."""
 
 
 def parse_load_report(text: bytes, separator: bytes = b":") -> LoadReport:
-    """A load report of `name:value` pairs (`name=value` in health checks). Raises InvalidMessageError."""
+    """Parse a load report of comma-separated `name:value` pairs (`name=value` in health checks).
+
+    Raises InvalidMessageError if a pair has no separator or its value is invalid.
+    """
     values: dict[str, float] = {}
     for pair in text.split(b",") if text else ():
-        name, found, value = pair.partition(separator)
-        if not found:
-            raise InvalidMessageError(f"load {_shown(pair)!r} is no pair")
-        decoded = name.strip().decode("utf-8", "replace")
-        values[SETTINGS_NAMES.get(decoded, decoded)] = _decimal(name, value.strip(), MAX_LOAD_VALUE)
+        name, has_separator, value = pair.partition(separator)
+        if not has_separator:
+            raise InvalidMessageError(f"load {_printable(pair)!r} is not a pair of name and value")
+        stream_name = name.strip().decode("utf-8", "replace")
+        values[SETTINGS_NAME_BY_STREAM_NAME.get(stream_name, stream_name)] = _parse_decimal(
+            name, value.strip(), MAX_LOAD_VALUE
+        )
     return load_report(values)
--- a/onyxhead/fronts/streams/resp.py
+++ b/onyxhead/fronts/streams/resp.py
@@ -1,7 +1,7 @@
-"""RESP2 framing without I/O: bytes split at any place in, complete messages or a `FramingError` out.
+"""RESP2 framing without I/O: turns received bytes, split at any position, into complete messages.
 
-Only arrays of bulk strings are messages. Every length is checked before what it announces is buffered, so a peer that
-never completes a message costs no more than `max_message_bytes`.
+Only arrays of bulk strings are valid messages. The parser checks each announced length before it buffers the data, so a
+peer that never completes a message occupies at most about `max_message_bytes` of memory.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 from collections.abc import Iterable
 
 MAX_MESSAGE_BYTES = 1 << 20
-"""The longest message that the protocol allows."""
+"""The largest message that the protocol allows, with the overhead of its elements."""
 MAX_ELEMENTS = 1024
 MAX_LENGTH_LINE_BYTES = 12
-"""A length with its type byte and line end; eight digits say more than any message may hold."""
+"""The type byte, the digits of a length and the line end. Nine digits exceed every length that is allowed."""
 
 ARRAY = b"*"
 BULK_STRING = b"$"
@@ -21,39 +21,42 @@
 ELEMENT_OVERHEAD_BYTES = LINE_END_BYTES + MAX_LENGTH_LINE_BYTES
 
 RawMessage = tuple[bytes, ...]
-"""The elements of one message: its kind, then field names and values in turn."""
+"""The elements of one message: its kind, then alternating field names and values."""
 
 
 class StreamProtocolError(Exception):
-    """What a peer sent breaks the protocol."""
+    """A peer sent data that violates the stream protocol."""
 
 
 class FramingError(StreamProtocolError):
-    """The bytes are not a message, and no later message can be found. The text says what was met."""
+    """The bytes are not a valid message, and the start of the next message cannot be determined."""
 
 
 class RespParser:
-    """Takes bytes by `receive_data`; `next_message` returns complete messages in order.
+    """An incremental RESP2 parser: `receive_data` adds bytes, `next_message` returns complete messages in order.
 
-    After a `FramingError` the parser accepts nothing more.
+    After a `FramingError` the parser discards all further data.
     """
 
     def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self.max_message_bytes = max_message_bytes
         self.buffer = bytearray()
-        self.position = 0  # bytes of the buffer before it have been read
-        self.missing_elements = 0  # of the message that is being read
-        self.message_bytes = 0  # of the message that is being read, so far
+        self.position = 0  # buffer offset of the next unread byte
+        self.missing_elements = 0  # elements still to come in the current message
+        self.message_bytes = 0  # size of the current message so far, with overhead
         self.elements: list[bytes] = []
         self.error: str | None = None
 
     def receive_data(self, data: bytes) -> None:
-        """Adds bytes that the peer sent."""
+        """Add bytes that the peer sent."""
         if self.error is None:
             self.buffer += data
 
     def next_message(self) -> RawMessage | None:
-        """The next message, or None until more bytes have come. Raises FramingError, and the same one ever after."""
+        """Return the next message, or None if it is not complete yet.
+
+        Raises FramingError for malformed data, and raises the same error again on every later call.
+        """
         if self.error is not None:
             raise FramingError(self.error)
         try:
@@ -70,7 +73,7 @@
                 self._drop_read_bytes()
                 return None
             if not 0 < count <= MAX_ELEMENTS:
-                raise FramingError(f"an array of {count} words")
+                raise FramingError(f"an array of {count} elements, allowed are 1 to {MAX_ELEMENTS}")
             self.missing_elements = count
         while self.missing_elements:
             if not self._read_element():
@@ -80,51 +83,52 @@
         return message
 
     def _read_element(self) -> bool:
-        """Reads one bulk string; False if it is not complete yet."""
+        """Read one bulk string into `elements`. Return whether it was complete."""
         start = self.position
         length = self._read_length(BULK_STRING, "a bulk string")
         if length is None:
             return False
         if self.message_bytes + length > self.max_message_bytes:
-            raise FramingError(f"a message of over {self.max_message_bytes} bytes")
+            raise FramingError(f"a message of more than {self.max_message_bytes} bytes")
         end = self.position + length
-        after = end + LINE_END_BYTES
-        if len(self.buffer) < after:
+        end_with_line_end = end + LINE_END_BYTES
+        if len(self.buffer) < end_with_line_end:
             self.position = start
             return False
-        if self.buffer[end:after] != LINE_END:
-            raise FramingError("a bulk string that goes on past its length")
+        if self.buffer[end:end_with_line_end] != LINE_END:
+            raise FramingError(f"a bulk string of {length} bytes without a line end after them")
         self.elements.append(bytes(self.buffer[self.position : end]))
-        self.position = after
+        self.position = end_with_line_end
         self.missing_elements -= 1
         self.message_bytes += length + ELEMENT_OVERHEAD_BYTES
         return True
 
     def _drop_read_bytes(self) -> None:
-        """Called when more data is needed, so that only an unread rest stays in the buffer."""
+        """Remove the bytes before `position` from the buffer; called when the parser needs more data."""
         if self.position:
             del self.buffer[: self.position]
             self.position = 0
 
-    def _read_length(self, type_byte: bytes, what: str) -> int | None:
+    def _read_length(self, type_byte: bytes, type_name: str) -> int | None:
+        """Read the length line of an array or bulk string. Return None if the line is not complete yet."""
         buffer, start = self.buffer, self.position
         if start >= len(buffer):
             return None
         if buffer[start] != type_byte[0]:
-            raise FramingError(f"{bytes(buffer[start : start + 1])!r} where {what} should begin")
+            raise FramingError(f"{bytes(buffer[start : start + 1])!r} where {type_name} should begin")
         end = buffer.find(LINE_END, start, start + MAX_LENGTH_LINE_BYTES)
         if end < 0:
             if len(buffer) - start >= MAX_LENGTH_LINE_BYTES:
-                raise FramingError(f"the length of {what} does not end")
+                raise FramingError(f"the length of {type_name} has no line end within {MAX_LENGTH_LINE_BYTES} bytes")
             return None
         digits = bytes(buffer[start + 1 : end])
         if not digits.isdigit():
-            raise FramingError(f"{digits!r} is no length of {what}")
+            raise FramingError(f"{digits!r} is not a valid length of {type_name}")
         self.position = end + LINE_END_BYTES
         return int(digits)
 
 
 def encode_message(elements: Iterable[bytes]) -> bytes:
-    """The bytes of one message."""
-    listed = list(elements)
-    return b"*%d\r\n" % len(listed) + b"".join(b"$%d\r\n%b\r\n" % (len(each), each) for each in listed)
+    """Return the bytes of one message."""
+    bulk_strings = list(elements)
+    return b"*%d\r\n" % len(bulk_strings) + b"".join(b"$%d\r\n%b\r\n" % (len(text), text) for text in bulk_strings)
--- a/onyxhead/fronts/streams/updates.py
+++ b/onyxhead/fronts/streams/updates.py
@@ -1,4 +1,4 @@
-"""What proxies are told: updates as values, their cost in lines, and their bytes on the stream."""
+"""Messages that a node sends to proxies: typed updates, their channel cost in lines, and their encoding."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from onyxhead.settings.instance import format_number
 
 MAX_PARTS = 64
-"""Messages that one update may be split into."""
+"""The highest number of messages that one update may be split into."""
 
-# Kinds and fields of the protocol.
+# Message kinds, field names and field values of the stream protocol.
 UPDATE = b"assign"
 WITHDRAWN = b"drop"
 RESTORED = b"undrop"
@@ -28,7 +28,7 @@
 
 
 class AdmissionUpdate(NamedTuple):
-    """How many requests of some traffic groups a proxy admits, and how it retries. No groups means all."""
+    """The admission level and the retry mode of some traffic groups at a proxy. An empty `groups` means all groups."""
 
     groups: tuple[int, ...]
     level: float
@@ -36,9 +36,10 @@
 
 
 class TableUpdate(NamedTuple):
-    """Lines of the table that some traffic groups use, as pairs of backend and weight. No groups means all.
+    """Lines of the table that some traffic groups use, as pairs of backend and weight.
 
-    With `replaces_table` they are the whole table, else the lines that changed; a weight of 0 removes a line.
+    An empty `groups` means all groups. With `replaces_table` the lines are the whole table; otherwise they are the
+    changed lines, and a weight of 0 removes a line.
     """
 
     groups: tuple[int, ...]
@@ -47,7 +48,10 @@
 
 
 class ProxyUpdate(NamedTuple):
-    """All that one decision round tells one proxy. `round_number` is 0 where no acknowledgement is asked for."""
+    """Everything that one decision round sends to one proxy.
+
+    A `round_number` of 0 means that the proxy does not acknowledge the update.
+    """
 
     withdrawn: tuple[str, ...]
     restored: tuple[str, ...]
@@ -57,27 +61,27 @@
 
     @property
     def line_count(self) -> int:
-        """The lines that the message adds to the channel beyond its fixed overhead."""
+        """The channel cost of this update in lines, without the fixed overhead of a message."""
         table_lines = sum(len(table.lines) + table.replaces_table for table in self.tables)
         withdrawals = len(self.withdrawn) + len(self.restored)
         return withdrawals + table_lines + len(self.admission) + (self.round_number > 0)
 
 
 class UpdateEncoder:
-    """Turns updates into bytes; `groups` are the names of the traffic groups by number."""
+    """Encodes updates as bytes; `groups` holds the name of each traffic group at the index of its number."""
 
     def __init__(self, groups: tuple[str, ...]) -> None:
         self.group_names = [name.encode() for name in groups]
 
     def encode(self, update: ProxyUpdate) -> bytes:
-        """One update, split into as many messages as its tables and levels need.
+        """Return the bytes of one update: a message for each table and each admission level, at least one.
 
-        Raises ValueError if that is more than the protocol allows.
+        Raises ValueError if these are more than MAX_PARTS messages.
         """
-        parts = list(self._parts(update)) or [[]]
+        parts = list(self._encode_parts(update)) or [[]]
         if len(parts) > MAX_PARTS:
-            raise ValueError(f"{len(parts)} parts in one message")
-        # Withdrawals come first: what a proxy must stop doing should not wait for the rest to be read.
+            raise ValueError(f"an update of {len(parts)} parts, allowed are {MAX_PARTS}")
+        # Withdrawals come first, so a proxy stops using a withdrawn backend before it reads the rest of the update.
         if update.restored:
             parts[0][:0] = [RESTORED, ",".join(update.restored).encode()]
         if update.withdrawn:
@@ -88,7 +92,8 @@
             part += [MORE_PARTS, TRUE]
         return b"".join(encode_message([UPDATE, *part]) for part in parts)
 
-    def _parts(self, update: ProxyUpdate) -> Iterator[list[bytes]]:
+    def _encode_parts(self, update: ProxyUpdate) -> Iterator[list[bytes]]:
+        """Yield the fields of each table update, then of each admission update."""
         for table in update.tables:
             part = self._groups_field(table.groups)
             if table.replaces_table:
@@ -98,13 +103,13 @@
                 part += [TABLE_LINES, lines.encode()]
             yield part
         for admission in update.admission:
-            level = [ADMISSION_LEVEL, format_number(admission.level).encode()]
-            yield [*self._groups_field(admission.groups), *level, RETRY_MODE, b"%d" % admission.retry_mode]
+            level_field = [ADMISSION_LEVEL, format_number(admission.level).encode()]
+            yield [*self._groups_field(admission.groups), *level_field, RETRY_MODE, b"%d" % admission.retry_mode]
 
     def _groups_field(self, groups: tuple[int, ...]) -> list[bytes]:
         return [GROUPS, b"+".join(self.group_names[group] for group in groups)] if groups else []
 
 
 def encode_rejection(reason: str) -> bytes:
-    """The last message to a client that is rejected."""
+    """Return the message that tells a client why it is rejected; no message follows it on the connection."""
     return encode_message([b"reject", b"why", reason.encode()])
