--- a/onyxhead/wirehost/__init__.py
+++ b/onyxhead/wirehost/__init__.py
@@ -1,1 +1,4 @@
-"""The simulator's wire: a codec and a loop on standard input and output, with no decision in it."""
+"""Connects the policy to the simulator: reads batches of messages on standard input, writes replies to standard output.
+
+All decisions are made by `onyxhead.policy`; this package only decodes, delivers and encodes.
+"""
--- a/onyxhead/wirehost/__main__.py
+++ b/onyxhead/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m onyxhead.wirehost`: the policy on the simulator's wire, on standard input and output."""
+"""`python -m onyxhead.wirehost` runs the policy for the simulator over standard input and output."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Answers batches until the input ends; returns the exit code."""
+    """Answer batches until the input ends, then return the exit code."""
     for stream in (sys.stdin, sys.stdout):
         assert isinstance(stream, io.TextIOWrapper)
         stream.reconfigure(encoding="utf-8")
--- a/onyxhead/wirehost/codec.py
+++ b/onyxhead/wirehost/codec.py
@@ -1,4 +1,4 @@
-"""The codec of the simulator's wire: lines to typed messages, and the policy's decisions to lines."""
+"""The codec of the simulator's wire: decodes text lines to typed messages and encodes the policy's decisions."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 BATCH_START = "FRAME"
 BATCH_END = "OVER_TO_YOU"
 REPLY_INSTANCE = "FROM"
-REPLY_FAULT = "BUG"
+REPLY_POLICY_ERROR = "BUG"
 REPLY_END = "END"
 
 WATCH_EVENTS = {
@@ -55,83 +55,83 @@
 T = TypeVar("T")
 
 WAKE_UP_TIMER = 1
-"""The timer that every wake-up sets; when it fires, any round will do."""
+"""The timer that every wake-up sets. Its expiry needs no handling: every batch triggers a decision round anyway."""
 
 
 class WireError(Exception):
-    """The input is not the wire's format; the text says why."""
+    """The input violates the wire format."""
 
 
 def parse_integer(text: str) -> int:
-    """A whole number from 0 on. Raises WireError, as all parsers here do."""
+    """Parse a whole number of 0 or more. Like all parsers in this module, raises WireError for invalid text."""
     if not (text.isdigit() and text.isascii()):
-        raise WireError(f"{text!r} is no whole number")
+        raise WireError(f"{text!r} is not a whole number")
     return int(text)
 
 
 def parse_optional_integer(text: str) -> int | None:
-    """A whole number, or None."""
+    """Parse a whole number, or return None if the value is absent."""
     return None if text == ABSENT else parse_integer(text)
 
 
 def parse_uint16(text: str) -> int:
-    """A whole number of 16 bits."""
+    """Parse an unsigned whole number of 16 bits."""
     value = parse_integer(text)
     if value > MAX_UINT16:
-        raise WireError(f"{value} is out of range")
+        raise WireError(f"{value} is greater than {MAX_UINT16}")
     return value
 
 
 def parse_float(text: str) -> float:
-    """A finite number."""
+    """Parse a finite number."""
     try:
         value = float(text)
     except ValueError:
-        raise WireError(f"{text!r} is no number") from None
+        raise WireError(f"{text!r} is not a finite number") from None
     if not math.isfinite(value):
-        raise WireError(f"{text!r} is no number")
+        raise WireError(f"{text!r} is not a finite number")
     return value
 
 
 def parse_floats(text: str) -> tuple[float, ...]:
-    """Finite numbers parted by commas."""
+    """Parse finite numbers separated by commas; an absent value yields an empty tuple."""
     return () if text == ABSENT else tuple(parse_float(part) for part in text.split(","))
 
 
 def parse_flag(text: str) -> bool:
-    """0 or 1."""
+    """Parse a flag that is written as 0 or 1."""
     if text not in ("0", "1"):
         raise WireError(f"{text!r} is neither 0 nor 1")
     return text == "1"
 
 
 def parse_name(text: str) -> str:
-    """A name that is there."""
+    """Parse a name, which must not be empty or absent."""
     if not text or text == ABSENT:
         raise WireError("a name is missing")
     return text
 
 
 def parse_duration(text: str) -> int:
-    """Nanoseconds, as ticks."""
+    """Parse nanoseconds and return whole ticks, rounded down."""
     return parse_integer(text) // NANOSECONDS_PER_TICK
 
 
 def parse_optional_duration(text: str) -> int:
-    """Nanoseconds, as ticks; 0 where there are none."""
+    """Parse nanoseconds and return whole ticks, or 0 if the value is absent."""
     return 0 if text == ABSENT else parse_duration(text)
 
 
-def parse_payload(text: str) -> bytes:
-    """Bytes in hex digits."""
+def parse_hex_bytes(text: str) -> bytes:
+    """Parse bytes written as hexadecimal digits; an absent value yields no bytes."""
     try:
         return b"" if text == ABSENT else bytes.fromhex(text)
     except ValueError:
-        raise WireError(f"{text!r} is no row of hex digits") from None
+        raise WireError(f"{text!r} is not an even number of hexadecimal digits") from None
 
 
 def parse_choice(choices: Mapping[str, T]) -> Callable[[str], T]:
-    """A parser of the words that `choices` names."""
+    """Return a parser that accepts the keys of `choices` and returns the value of the key."""
 
     def parse(text: str) -> T:
         if text not in choices:
@@ -141,91 +141,102 @@
     return parse
 
 
-class State(NamedTuple):
-    """The state of a listed endpoint."""
+class EndpointState(NamedTuple):
+    """Whether a listed endpoint is ready and whether it is draining."""
 
     ready: bool
     draining: bool
 
 
-STATES = {READY: State(True, False), DRAINING: State(False, True), GONE: State(False, False)}
+ENDPOINT_STATES = {
+    READY: EndpointState(True, False),
+    DRAINING: EndpointState(False, True),
+    GONE: EndpointState(False, False),
+}
 
 
-def _endpoint_row(
-    backend: str, zone: int, kind: int, _cell: int, state: State, weight: float, started_at: int
+def _make_endpoint_row(
+    backend: str, zone: int, kind: int, _cell: int, state: EndpointState, weight: float, started_at: int
 ) -> messages.EndpointRow:
     return messages.EndpointRow(Endpoint(backend, zone, kind, state.ready, state.draining, weight, started_at))
 
 
-def _ignored(*_: object) -> messages.IgnoredEvent:
+def _make_ignored_event(*_: object) -> messages.IgnoredEvent:
     return messages.IgnoredEvent()
 
 
-class Format(NamedTuple):
-    """How one kind of line is read: the parsers of its values, in order, and what is made of them."""
+class LineFormat(NamedTuple):
+    """The format of one kind of input line: the parsers of its values in order, and the callable that takes the values.
+
+    With `last_has_spaces` the last value extends to the end of the line and may contain spaces.
+    """
 
-    make: Callable[..., WireMessage]
+    make_message: Callable[..., WireMessage]
     parsers: tuple[Callable[[str], Any], ...]
     last_has_spaces: bool = False
 
 
-FORMATS = {
-    "SELECT": Format(messages.InstanceSelected, (parse_integer,)),
-    "BEGIN": Format(messages.InstanceStarted, (parse_integer, str), last_has_spaces=True),
-    "STOP": Format(messages.InstanceStopped, ()),
-    "DEFINE_LIST": Format(messages.EndpointListDefined, (parse_uint16, parse_integer)),
-    "ROW": Format(
-        _endpoint_row,
+LINE_FORMATS = {
+    "SELECT": LineFormat(messages.InstanceSelected, (parse_integer,)),
+    "BEGIN": LineFormat(messages.InstanceStarted, (parse_integer, str), last_has_spaces=True),
+    "STOP": LineFormat(messages.InstanceStopped, ()),
+    "DEFINE_LIST": LineFormat(messages.EndpointListDefined, (parse_uint16, parse_integer)),
+    "ROW": LineFormat(
+        _make_endpoint_row,
         (
             parse_name,
             parse_integer,
             parse_integer,
             parse_integer,
-            parse_choice(STATES),
+            parse_choice(ENDPOINT_STATES),
             parse_float,
             parse_optional_duration,
         ),
     ),
-    "PEERS_KNOWN": Format(
+    "PEERS_KNOWN": LineFormat(
         messages.EndpointListObserved, (parse_choice(WATCH_EVENTS), parse_optional_integer, parse_optional_integer)
     ),
-    "STATS": Format(
+    "STATS": LineFormat(
         messages.AttemptsReported,
         (parse_integer, parse_duration, parse_name, parse_integer, parse_duration, parse_integer, parse_floats),
     ),
-    "INTAKE": Format(
+    "INTAKE": LineFormat(
         messages.RequestsReported, (parse_uint16, parse_integer, parse_integer, parse_integer, parse_duration)
     ),
-    "ATTACHED": Format(messages.ProxyJoined, (parse_uint16, parse_integer, parse_float, parse_flag)),
-    "STREAM_DOWN": Format(messages.ProxyLeft, (parse_uint16,)),
-    "IN_FORCE": Format(messages.RoundAcknowledged, (parse_uint16, parse_uint16, parse_duration)),
-    "PROBED": Format(
+    "ATTACHED": LineFormat(messages.ProxyJoined, (parse_uint16, parse_integer, parse_float, parse_flag)),
+    "STREAM_DOWN": LineFormat(messages.ProxyLeft, (parse_uint16,)),
+    "IN_FORCE": LineFormat(messages.RoundAcknowledged, (parse_uint16, parse_uint16, parse_duration)),
+    "PROBED": LineFormat(
         messages.HealthChecked, (parse_name, parse_choice(HEALTH_CHECK_RESULTS), parse_duration, parse_floats)
     ),
-    "FIRED": Format(_ignored, (parse_integer,)),
-    "HEARD": Format(_ignored, (parse_integer, parse_payload)),
-    "HOTNESS": Format(_ignored, (parse_uint16, parse_integer, parse_integer, parse_integer, parse_duration)),
-    "GIVEN": Format(_ignored, (parse_flag, parse_uint16)),
-    "CURRENT_OWNER": Format(_ignored, (parse_uint16, parse_name, parse_float)),
+    "FIRED": LineFormat(_make_ignored_event, (parse_integer,)),
+    "HEARD": LineFormat(_make_ignored_event, (parse_integer, parse_hex_bytes)),
+    "HOTNESS": LineFormat(
+        _make_ignored_event, (parse_uint16, parse_integer, parse_integer, parse_integer, parse_duration)
+    ),
+    "GIVEN": LineFormat(_make_ignored_event, (parse_flag, parse_uint16)),
+    "CURRENT_OWNER": LineFormat(_make_ignored_event, (parse_uint16, parse_name, parse_float)),
 }
-"""Every line of a batch, by the wire's name."""
+"""The format of each kind of line in a batch, by the name that begins the line."""
 
 
 def parse_line(line: str) -> tuple[str, WireMessage]:
-    """The name of one line and what it says. Raises WireError."""
+    """Return the name that begins a line, and the message that the line encodes. Raises WireError."""
     name, _, rest = line.partition(" ")
-    line_format = FORMATS.get(name)
+    line_format = LINE_FORMATS.get(name)
     if line_format is None:
         raise WireError(f"unknown message {name!r}")
     count = len(line_format.parsers)
     parts = rest.split(" ", count - 1) if count else ([rest] if rest else [])
     if len(parts) != count or (not line_format.last_has_spaces and " " in "".join(parts[-1:])):
-        raise WireError(f"{name} takes {count} values")
-    return name, line_format.make(*[parse(part) for parse, part in zip(line_format.parsers, parts, strict=True)])
+        raise WireError(f"{name} takes {count} values, got {rest!r}")
+    return name, line_format.make_message(
+        *[parse(part) for parse, part in zip(line_format.parsers, parts, strict=True)]
+    )
 
 
 def parse_batch_start(line: str) -> int:
-    """The time of the batch that a line opens. Raises WireError."""
+    """Return the time, in ticks, from the line that begins a batch. Raises WireError."""
     name, _, clock = line.partition(" ")
     if name != BATCH_START:
         raise WireError(f"expected {BATCH_START}, found {name!r}")
@@ -233,7 +244,7 @@
 
 
 def parse_settings(text: str) -> dict[str, Any]:
-    """The settings document of an instance. Raises WireError."""
+    """Return the settings of an instance from their JSON text. Raises WireError."""
     try:
         settings = json.loads(text)
     except ValueError as error:
@@ -244,12 +255,12 @@
 
 
 def group_mask(groups: tuple[int, ...]) -> int:
-    """Traffic groups as a bit mask; 0 stands for all."""
+    """Return traffic groups as a bit mask; 0 means all groups."""
     return sum(1 << group for group in groups)
 
 
 def encode_decision(decision: Decision) -> Iterator[str]:
-    """The wire's lines for one decision."""
+    """Yield the output lines that encode one decision."""
     match decision:
         case Withdrawal(backend, withdrawn):
             yield f"SUSPEND {backend} {int(withdrawn)}"
--- a/onyxhead/wirehost/host.py
+++ b/onyxhead/wirehost/host.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the policy on one wire, each as if it were alone on its machine."""
+"""Runs many independent instances of the policy over one connection to the simulator."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from onyxhead.wirehost.codec import (
     BATCH_END,
     REPLY_END,
-    REPLY_FAULT,
     REPLY_INSTANCE,
+    REPLY_POLICY_ERROR,
     WireError,
     encode_decision,
     parse_batch_start,
@@ -42,45 +42,48 @@
 
 @dataclass(slots=True)
 class Instance:
-    """One running controller; its load reports have their values in the order of `load_fields`."""
+    """One instance of the policy; `load_fields` names the values of its load reports in order."""
 
     policy: BalancingPolicy
     load_fields: list[str]
 
     def load_report(self, values: tuple[float, ...]) -> LoadReport:
-        """The load report that these values make."""
+        """Return the load report with these values."""
         return load_report(dict(zip(self.load_fields, values, strict=False)))
 
 
 class Batch:
-    """One batch of messages: its time, the instances that it concerns in order, and their faults."""
+    """One batch of messages: its time, the instances that receive messages, and the errors of their policies.
+
+    `addressed` serves as an ordered set: its keys are instance numbers in the order of their first message.
+    """
 
     def __init__(self, now: int) -> None:
         self.now = now
         self.selected: int | None = None
-        self.concerned: dict[int, None] = {}
-        self.faults: dict[int, str] = {}
+        self.addressed: dict[int, None] = {}
+        self.policy_errors: dict[int, str] = {}
 
 
 class WireHost:
-    """Reads batches, keeps instances apart, and writes one reply to each batch."""
+    """Reads batches, delivers their messages to the instances, and writes one reply to each batch."""
 
-    def __init__(self, source: Iterable[str], sink: TextIO) -> None:
-        self.source = enumerate(source, 1)
-        self.sink = sink
+    def __init__(self, input_lines: Iterable[str], output: TextIO) -> None:
+        self.numbered_lines = enumerate(input_lines, 1)
+        self.output = output
         self.line_number = 0
-        self.instances: dict[int, Instance | None] = {}  # None for one that was stopped
+        self.instances: dict[int, Instance | None] = {}  # None for a stopped instance
         self.endpoint_lists: dict[int, list[Endpoint]] = {}
 
     def run(self) -> None:
-        """Answers every batch until the input ends. Raises WireError for malformed input."""
+        """Answer every batch until the input ends. Raises WireError for malformed input."""
         while (line := self._next_line()) is not None:
             batch = Batch(parse_batch_start(line))
             self._read_batch(batch)
             self._write_reply(batch)
 
     def _next_line(self) -> str | None:
-        for line_number, line in self.source:
+        for line_number, line in self.numbered_lines:
             self.line_number = line_number
             if line.strip():
                 return line.rstrip("\r\n")
@@ -89,7 +92,7 @@
     def _read_batch(self, batch: Batch) -> None:
         while (line := self._next_line()) != BATCH_END:
             if line is None:
-                raise WireError("input ends inside a batch")
+                raise WireError(f"the input ends inside a batch, before {BATCH_END}")
             name, message = parse_line(line)
             match message:
                 case InstanceSelected(instance):
@@ -97,11 +100,11 @@
                 case EndpointListDefined(list_number, row_count):
                     self.endpoint_lists[list_number] = self._read_rows(row_count)
                 case EndpointRow():
-                    raise WireError("a ROW outside a list")
+                    raise WireError("ROW outside an endpoint list")
                 case _ if batch.selected is None:
                     raise WireError(f"{name} before any SELECT")
                 case _:
-                    batch.concerned[batch.selected] = None
+                    batch.addressed[batch.selected] = None
                     self._handle(batch, batch.selected, name, message)
 
     def _read_rows(self, count: int) -> list[Endpoint]:
@@ -113,26 +116,30 @@
             endpoints.append(message.endpoint)
         return endpoints
 
-    def _handle(self, batch: Batch, number: int, name: str, message: InstanceMessage) -> None:
-        """A fault of the policy is the instance's alone and is reported in the reply; malformed input ends it all."""
+    def _handle(self, batch: Batch, instance_number: int, name: str, message: InstanceMessage) -> None:
+        """Apply one message to an instance.
+
+        An exception in the policy affects this instance only and is reported in the reply. Malformed input raises
+        WireError, which ends the program.
+        """
         if isinstance(message, InstanceStarted):
-            self._start(batch, number, message)
+            self._start(batch, instance_number, message)
             return
         if isinstance(message, InstanceStopped):
-            self.instances[number] = None
+            self.instances[instance_number] = None
             return
-        if number not in self.instances:
-            raise WireError(f"{name} for controller {number}, which has never begun")
-        if (instance := self.instances[number]) is None:
-            return  # what was still on its way to a stopped instance is lost
+        if instance_number not in self.instances:
+            raise WireError(f"{name} for instance {instance_number}, which has never begun")
+        if (instance := self.instances[instance_number]) is None:
+            return  # messages that were in transit when the instance stopped are discarded
         try:
             self._deliver(instance, message, batch.now)
         except WireError:
             raise
         except Exception as error:
-            batch.faults.setdefault(number, describe_error(error))
+            batch.policy_errors.setdefault(instance_number, describe_error(error))
 
-    def _start(self, batch: Batch, number: int, message: InstanceStarted) -> None:
+    def _start(self, batch: Batch, instance_number: int, message: InstanceStarted) -> None:
         settings = parse_settings(message.settings)
         try:
             deployment = read_deployment(settings)
@@ -140,9 +147,11 @@
             raise WireError(str(error)) from error
         load_fields = load_report_fields(settings)
         try:
-            self.instances[number] = Instance(BalancingPolicy(deployment, message.seed, batch.now), load_fields)
+            self.instances[instance_number] = Instance(
+                BalancingPolicy(deployment, message.seed, batch.now), load_fields
+            )
         except Exception as error:
-            batch.faults.setdefault(number, describe_error(error))
+            batch.policy_errors.setdefault(instance_number, describe_error(error))
 
     def _deliver(self, instance: Instance, event: InstanceEvent, now: int) -> None:
         policy = instance.policy
@@ -170,21 +179,21 @@
         if event is WatchEvent.REJECTED:
             return []
         if list_number is None or list_number not in self.endpoint_lists:
-            raise WireError(f"list {list_number} was never defined")
+            raise WireError(f"endpoint list {list_number} was never defined")
         return self.endpoint_lists[list_number]
 
     def _write_reply(self, batch: Batch) -> None:
         lines: list[str] = []
-        for number in batch.concerned:
-            lines.append(f"{REPLY_INSTANCE} {number}")
-            instance = self.instances.get(number)
+        for instance_number in batch.addressed:
+            lines.append(f"{REPLY_INSTANCE} {instance_number}")
+            instance = self.instances.get(instance_number)
             try:
-                if number not in batch.faults and instance is not None:
+                if instance_number not in batch.policy_errors and instance is not None:
                     for decision in instance.policy.decisions(batch.now):
                         lines.extend(encode_decision(decision))
             except Exception as error:
-                batch.faults[number] = describe_error(error)
-            if number in batch.faults:
-                lines.append(f"{REPLY_FAULT} {batch.faults[number]}")
-        self.sink.write("\n".join([*lines, f"{REPLY_END}\n"]))
-        self.sink.flush()
+                batch.policy_errors[instance_number] = describe_error(error)
+            if instance_number in batch.policy_errors:
+                lines.append(f"{REPLY_POLICY_ERROR} {batch.policy_errors[instance_number]}")
+        self.output.write("\n".join([*lines, f"{REPLY_END}\n"]))
+        self.output.flush()
--- a/onyxhead/wirehost/messages.py
+++ b/onyxhead/wirehost/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the simulator's wire as typed values. Durations are in ticks, numbers as the wire has them."""
+"""Typed messages of the simulator's wire. Durations are in ticks; other numbers are as received."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True)
 class InstanceSelected:
-    """The instance that the messages after this one are for."""
+    """Selects the instance that the following messages are for."""
 
     instance: int
 
 
 @dataclass(slots=True)
 class EndpointListDefined:
-    """Opens a numbered list of endpoints; so many `EndpointRow` follow."""
+    """Begins a numbered list of endpoints; `row_count` messages of type `EndpointRow` follow."""
 
     list_number: int
     row_count: int
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class EndpointRow:
-    """One endpoint of the list that was opened last."""
+    """One endpoint of the list that the last `EndpointListDefined` began."""
 
     endpoint: Endpoint
 
@@ -39,12 +39,12 @@
 
 @dataclass(slots=True)
 class InstanceStopped:
-    """Ends an instance."""
+    """Stops the selected instance."""
 
 
 @dataclass(slots=True)
 class EndpointListObserved:
-    """An answer of service discovery; `list_number` is None where discovery rejected the call."""
+    """An answer of service discovery; `list_number` is None if discovery rejected the request."""
 
     event: WatchEvent
     version: int | None
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class RequestsReported:
-    """Requests of one traffic group that reached a proxy in the last `window` ticks."""
+    """Requests of one traffic group that a proxy received in the last `window` ticks."""
 
     proxy: int
     group: int
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class ProxyJoined:
-    """A proxy asks for its tables."""
+    """A proxy joins and asks for its tables; `baseline_rate` is its usual number of requests per second."""
 
     proxy: int
     zone: int
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True)
 class RoundAcknowledged:
-    """A proxy has applied all up to a round, `elapsed` ticks after it was sent."""
+    """A proxy has applied all updates up to and including a round, `elapsed` ticks after the round was sent."""
 
     proxy: int
     round_number: int
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True)
 class HealthChecked:
-    """The result of a health check, with the values of the backend's load report; None for one that did not run."""
+    """The result of a health check, None if it did not run, with the values of the backend's load report."""
 
     backend: str
     result: HealthCheckResult | None
@@ -113,7 +113,10 @@
 
 @dataclass(slots=True)
 class IgnoredEvent:
-    """Timers need no more than the round that follows; peers and slices are not used here."""
+    """An event that the policy does not use, such as a message from a peer controller or data about slices.
+
+    An expired timer is such an event too: it only has to trigger the decision round at the end of its batch.
+    """
 
 
 InstanceEvent = (
@@ -126,10 +129,10 @@
     | HealthChecked
     | IgnoredEvent
 )
-"""What happens to a running instance."""
+"""Any event that is delivered to a running instance."""
 
 InstanceMessage = InstanceStarted | InstanceStopped | InstanceEvent
-"""What is meant for the selected instance."""
+"""Any message for the selected instance."""
 
 WireMessage = InstanceSelected | EndpointListDefined | EndpointRow | InstanceMessage
-"""Any line within a batch."""
+"""Any message within a batch."""
