--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -1,8 +1,10 @@
-"""Wire formats: literal bytes and JSON of what crosses a process's border, in both directions.
+"""Wire formats: the exact bytes and JSON that each process sends and receives.
 
-A controller, an agent, a node and the simulator's adapter run as processes; the tests play their peers and compare
-what passes with literals. What other tests pin already is not repeated: the meaning of RESP2 words (`test_streams.py`),
-discovery's lists (`test_node.py`), load reports out of bounds (`test_intake.py`), chunked NETCONF (`test_netconf.py`)."""
+A controller, an agent, a node and the simulator's adapter run as processes. The tests act as their peers and compare the
+exchanged data with literals. Formats that other tests cover are left out: the fields of RESP2 messages
+(`test_streams.py`), discovery's lists (`test_node.py`), load reports with values out of range (`test_intake.py`) and
+chunked NETCONF framing (`test_netconf.py`).
+"""
 
 from __future__ import annotations
 
@@ -30,27 +32,27 @@
 from tests.programs import ADAPTER, COMMAND, NODE, PATIENCE, Line, Peer, Program, Reply, Request, ask, until
 from tests.test_controller_server import Running, play, port_of, shown
 
-# The names of the code that are used here; all else is programs and bytes.
+# Functions that call the code under test directly; all other code here only starts programs and exchanges bytes.
 
 
-def adapter_lines(decision: Any) -> list[str]:
+def encoded_lines(decision: Any) -> list[str]:
     return list(encode_decision(decision))
 
 
-def probe(port: int, path: str) -> tuple[float | None, int | None]:
-    """Busy share and latency in tenths of a millisecond, as a health check of a backend reads them."""
+def health_check_load(port: int, path: str) -> tuple[float | None, int | None]:
+    """Return the utilization and the latency, in tenths of a millisecond, that a health check of a backend reads."""
     _, load = asyncio.run(check_health(f"127.0.0.1:{port}", path, PATIENCE))
     return tuple(load)[:2]
 
 
 def series_names(controller: Any) -> set[str]:
-    """Names of the time series that a running controller would write now."""
+    """Return the names of the time series that a running controller would write now."""
     return set(controller.load_reports._samples(controller.clock.now()))
 
 
-STREAM, EMPTY = "c1.abc", f'"{0:064x}"'
+STREAM_ID, EMPTY_TAG = "c1.abc", f'"{0:064x}"'
 BACKENDS = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north", "state": "ready"} for n in (1, 2, 3)]
-CONTROLLER = """
+CONTROLLER_SETTINGS = """
 name: "c1", zone: "north", zones: ["north", "south"], listen: "127.0.0.1:0", state: "state"
 groups: {read: {prefix: "/r", latency_budget: 500ms, expiry: 1s, repeats: "retriable"}}
 channel: {pace: 5000/s, patience: 2s, transit: 1ms, slowest_transit: 5ms}
@@ -62,7 +64,7 @@
 netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {op: {keys: ["%s"], groups: ["ops"]}}
           rules: [{name: "ops", groups: ["ops"], action: "permit"}]}
 """
-AGENT = """
+AGENT_SETTINGS = """
 kind: "agent", name: "p1", zone: "north", listen: "127.0.0.1:0", files: "files", state: "agent"
 controllers: ["127.0.0.1:%d"], redial: 10ms, stats: "127.0.0.1:%d"
 groups: {read: {prefix: "/r", latency_budget: 500ms}, write: {prefix: "/w", latency_budget: 1s, tries: 0}}
@@ -70,29 +72,29 @@
 """
 
 
-def without(value: Any, *names: str) -> Any:
-    """The value with "..." in the place of what these keys hold, since it differs from run to run."""
+def with_placeholders(value: Any, *names: str) -> Any:
+    """Return the value with "..." in place of the values of these keys, which differ from run to run."""
     if isinstance(value, dict):
-        return {key: "..." if key in names else without(each, *names) for key, each in value.items()}
-    return [without(each, *names) for each in value] if isinstance(value, list) else value
+        return {key: "..." if key in names else with_placeholders(item, *names) for key, item in value.items()}
+    return [with_placeholders(item, *names) for item in value] if isinstance(value, list) else value
 
 
 # A controller and its peers
 
 
 @dataclass
-class Talk:
-    """What passed between one program and its peers, by name."""
+class Exchange:
+    """The data that one program and its peers exchanged, by a name that the test gives each item."""
 
-    asked: dict[str, Request] = field(default_factory=dict)
-    told: dict[str, Reply] = field(default_factory=dict)
-    shown: dict[str, tuple[int, str]] = field(default_factory=dict)
-    notes: list[str] = field(default_factory=list)
+    requests: dict[str, Request] = field(default_factory=dict)
+    replies: dict[str, Reply] = field(default_factory=dict)
+    command_results: dict[str, tuple[int, str]] = field(default_factory=dict)
+    netconf_messages: list[str] = field(default_factory=list)
     files: dict[str, dict[str, str]] = field(default_factory=dict)
 
 
 class Discovery:
-    """A discovery server, which holds an answer until the list is another than the one known."""
+    """A discovery server that delays its answer until its list differs from the one that the client has."""
 
     def __init__(self) -> None:
         self.changed = threading.Condition()
@@ -113,27 +115,27 @@
 
 
 class Agent:
-    """An agent's side of a stream: it applies whatever it is sent."""
+    """The agent's side of a stream; it acknowledges every order as applied."""
 
     def __init__(self) -> None:
-        self.tag, self.peer = EMPTY, Peer(self.answer)
+        self.tag, self.peer = EMPTY_TAG, Peer(self.answer)
 
     def answer(self, request: Request) -> tuple[int, dict[str, str], bytes]:
         self.tag = request.headers.get("onyxhead-result", self.tag)
         return (200 if request.method == "HEAD" else 204), {"etag": self.tag, "onyxhead-applied": "1"}, b""
 
 
-LOAD = (
+LOAD_REPORT = (
     b'{"backend":"b2","boot":"x","at":%d,"load":{"cpu_utilization":0.5,"rps_fractional":20,"eps":1,'
     b'"named_metrics":{"queue":3,"latency_ms":20}}}'
 )
 
 
 def load_reports(count: int = 20) -> bytes:
-    return b"[" + b",".join([LOAD % int(time.time())] * count) + b"]"
+    return b"[" + b",".join([LOAD_REPORT % int(time.time())] * count) + b"]"
 
 
-PACKET = {
+PING_PACKET = {
     "to": "c1",
     "sender": "c2",
     "boot": "7",
@@ -143,31 +145,31 @@
     "updates": [["c2", 0, 3, "7"]],
     "version": 1,
 }
-NEWS = {"proxies": {"p7": "south"}, "withdrawn": ["b3"], "list": 9, "budget": {"lacks": [], "loans": []}}
+MEMBER_NEWS = {"proxies": {"p7": "south"}, "withdrawn": ["b3"], "list": 9, "budget": {"lacks": [], "loans": []}}
 
 
-def play_controller(talk: Talk, controller: Program, discovery: Discovery, member: Peer, key: Any) -> None:
+def drive_controller(exchange: Exchange, controller: Program, discovery: Discovery, member: Peer, key: Any) -> None:
     port, agent = int(controller.logged("controller started")["port"]), Agent()
     try:
-        talk.asked["first list"] = discovery.peer.asked("GET", "/")
-        talk.asked["next list"] = discovery.peer.asked("GET", "/", 2)
-        talk.asked["gossip"] = member.asked("POST", "/")
+        exchange.requests["first list"] = discovery.peer.asked("GET", "/")
+        exchange.requests["next list"] = discovery.peer.asked("GET", "/", 2)
+        exchange.requests["gossip"] = member.asked("POST", "/")
         until(lambda: ask(port, "GET", "/v1/tables/log").json())
         join = {"zone": "north", "usual": 10.0, "standing": True, "held": {}, "push": f"127.0.0.1:{agent.peer.port}"}
-        more = {"token": 4, "insist": False, "silence": 0.6}
-        talk.told["join"] = ask(port, "PUT", "/v1/proxies/p1", join | more)
-        talk.asked["heartbeat"] = agent.peer.asked("HEAD", "/")
-        talk.asked["whole view"] = agent.peer.asked("PUT", "/")
+        join_options = {"token": 4, "insist": False, "silence": 0.6}
+        exchange.replies["join"] = ask(port, "PUT", "/v1/proxies/p1", join | join_options)
+        exchange.requests["heartbeat"] = agent.peer.asked("HEAD", "/")
+        exchange.requests["whole view"] = agent.peer.asked("PUT", "/")
         until(lambda: ask(port, "GET", "/v1/state").json()["proxies"]["p1"]["turn"] == 1)
         discovery.publish(2, [BACKENDS[0], BACKENDS[1] | {"weight": 0.5}, BACKENDS[2]])
-        talk.asked["change"] = agent.peer.asked("PATCH", "/")
+        exchange.requests["change"] = agent.peer.asked("PATCH", "/")
         agent.peer.asked("HEAD", "/", 2)
         until(lambda: ask(port, "GET", "/v1/state").json()["proxies"]["p1"]["turn"] == 2)
-        talk.told["POST load"] = ask(port, "POST", "/v1/load/s1", load_reports())
+        exchange.replies["POST load"] = ask(port, "POST", "/v1/load/s1", load_reports())
         until(lambda: ask(port, "GET", "/v1/load").json()["backends"])
-        # Orders are told from disk, where they come a little after they were sent.
+        # The controller reads orders from disk, and writes them there shortly after it has sent them.
         until(lambda: len(ask(port, "GET", "/v1/orders").json()) == 2)
-        questions: list[tuple[str, str, Any]] = [
+        controller_requests: list[tuple[str, str, Any]] = [
             ("GET", "health", None),
             ("GET", "state", None),
             ("GET", "orders", None),
@@ -188,7 +190,7 @@
             ("POST", "tables/release", {}),
             ("POST", "tables/try", {"version": "1"}),
             ("POST", "operate", {"id": "n1", "verb": "drain", "names": ["b2"], "by": "ann", "dry_run": True}),
-            ("POST", "fleet", {"packet": PACKET, "news": NEWS}),
+            ("POST", "fleet", {"packet": PING_PACKET, "news": MEMBER_NEWS}),
             ("POST", "fleet/who", {"proxy": "p1"}),
             ("POST", "fleet/move", {"proxy": "p1", "to": "c1"}),
             ("GET", "fleet", None),
@@ -201,36 +203,36 @@
             ("PUT", "proxies/p9", join | {"zone": "west"}),
             ("POST", "proxies/p1/sums", {"node": {"metadata": {"boot": "x", "number": 1}}, "cluster_stats": []}),
         ]
-        for method, target, given in questions:
-            talk.told[f"{method} {target}"] = ask(port, method, f"/v1/{target}", given)
-        at = f"127.0.0.1:{port}"
-        for words in (
-            f"show {at}",
-            f"load {at}",
-            f"tables log {at}",
-            f"tables show good {at}",
-            f"tables diff 1 2 {at}",
-            f"tables blame b2 {at}",
-            f"tables rollback 1 {at} --dry-run",
-            f"fleet status {at}",
-            f"drain b2 --at {at} --id n2 --dry-run",
-            f"compare --at {at}",
-            f"tables rollback 1 {at} --seconds 5",
+        for method, target, body in controller_requests:
+            exchange.replies[f"{method} {target}"] = ask(port, method, f"/v1/{target}", body)
+        address = f"127.0.0.1:{port}"
+        for arguments in (
+            f"show {address}",
+            f"load {address}",
+            f"tables log {address}",
+            f"tables show good {address}",
+            f"tables diff 1 2 {address}",
+            f"tables blame b2 {address}",
+            f"tables rollback 1 {address} --dry-run",
+            f"fleet status {address}",
+            f"drain b2 --at {address} --id n2 --dry-run",
+            f"compare --at {address}",
+            f"tables rollback 1 {address} --seconds 5",
         ):
-            done = CliRunner().invoke(command, [*words.split(), "--json"])
-            talk.shown[words.replace(at, "ADDRESS")] = done.exit_code, done.output
-        talk.notes = asyncio.run(netconf(int(controller.logged("netconf over ssh")["port"]), key))
+            result = CliRunner().invoke(command, [*arguments.split(), "--json"])
+            exchange.command_results[arguments.replace(address, "ADDRESS")] = result.exit_code, result.output
+        exchange.netconf_messages = asyncio.run(netconf(int(controller.logged("netconf over ssh")["port"]), key))
         faults = 0
         while (reply := ask(port, "PUT", "/v1/proxies/p9", join)).status == 200:
             faults += 1
             controller.repeated("stream rejected by agent", faults)
-        talk.told["PUT too soon"] = reply
-        talk.told["handover"] = ask(port, "POST", "/v1/fleet/handover", {})
+        exchange.replies["PUT too soon"] = reply
+        exchange.replies["handover"] = ask(port, "POST", "/v1/fleet/handover", {})
     finally:
         agent.peer.close()
 
 
-NETCONF = (
+NETCONF_REQUESTS = (
     '<hello xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><capabilities>'
     "<capability>urn:ietf:params:netconf:base:1.0</capability></capabilities></hello>",
     '<rpc xmlns="urn:ietf:params:xml:ns:netconf:base:1.0" message-id="1">'
@@ -248,63 +250,69 @@
 
 
 async def netconf(port: int, key: Any) -> list[str]:
-    """All that the server sends in one session with the old framing, until the drain has been ordered."""
+    """Return all messages that the server sends in one session with end-of-message framing.
+
+    The session lasts until the reply to the last request and the notification of the drain's order have arrived.
+    """
     connection = await asyncssh.connect("127.0.0.1", port, username="op", client_keys=[key], known_hosts=None)
     async with connection, asyncio.timeout(PATIENCE):
         process = await connection.create_process(subsystem="netconf", encoding=None)
-        process.stdin.write(b"".join(each.encode() + b"]]>]]>" for each in NETCONF))
-        found: list[str] = []
-        while not (any("<cause>list: 1 changes" in each for each in found) and any('"6"' in each for each in found)):
-            found.append((await process.stdout.readuntil(b"]]>]]>")).decode().removesuffix("]]>]]>"))
+        process.stdin.write(b"".join(message.encode() + b"]]>]]>" for message in NETCONF_REQUESTS))
+        received: list[str] = []
+        while not (
+            any("<cause>list: 1 changes" in message for message in received)
+            and any('"6"' in message for message in received)
+        ):
+            received.append((await process.stdout.readuntil(b"]]>]]>")).decode().removesuffix("]]>]]>"))
         process.close()
-    return found
+    return received
 
 
 # An agent and its peers
 
-STATS = {
+PROXY_STATS = {
     "boot": "s",
     "loads": {"127.0.0.1:9001": 0.5},
     "groups": {"read": {"flows": 12, "dropped": 1, "backends": {"127.0.0.1:9001": {"good": 8, "bad": 2, "ms": 80.5}}}},
 }
-STANDING = '"6de90596708e86ee63fe6528b709e7c9b48112d54c2cdb9bcaaa7648c97cd4b8"'
-SHARE = '"4459b2e9660f1cd26aaafe4a2390e9abd912a6ed2418928332e08ab27ffbd5ce"'
-RATE = '"7bd0cc78202a98ddaa46ebd01c7af117d44cd7060d2b7eaa84e049f5ef3ebde9"'
-WHOLE = (
+STANDING_TAG = '"6de90596708e86ee63fe6528b709e7c9b48112d54c2cdb9bcaaa7648c97cd4b8"'
+SHARE_TAG = '"4459b2e9660f1cd26aaafe4a2390e9abd912a6ed2418928332e08ab27ffbd5ce"'
+RATE_TAG = '"7bd0cc78202a98ddaa46ebd01c7af117d44cd7060d2b7eaa84e049f5ef3ebde9"'
+WHOLE_VIEW = (
     b'{"bindings":{"read":"t0"},"tables":{"t0":{"levels":{"read":{"share":0.25,"tries":2}},"lines":{'
     b'"b1":{"address":"127.0.0.1:9001","weight":250000,"zone":"north"},'
     b'"b2":{"address":"127.0.0.1:9002","weight":1000000,"zone":"south"}}}},"withdrawn":{"b2":true},'
     b'"standing":{"b9":{"address":"127.0.0.1:9009","weight":1000000,"zone":"north"}}}'
 )
-CHANGE = b'{"tables":{"t0":{"levels":{"read":{"rate":120,"tries":3}},"lines":{"b2":null}}},"withdrawn":{"b2":null}}'
-STREAM_HEADERS = {"onyxhead_stream": STREAM, "onyxhead_token": "7"}
+VIEW_PATCH = b'{"tables":{"t0":{"levels":{"read":{"rate":120,"tries":3}},"lines":{"b2":null}}},"withdrawn":{"b2":null}}'
+STREAM_HEADERS = {"onyxhead_stream": STREAM_ID, "onyxhead_token": "7"}
 PUT_HEADERS = STREAM_HEADERS | {
     "onyxhead_order": "turn=3, lines=9, at=17962202310623",
     "content_type": "application/json",
-    "if_match": STANDING,
+    "if_match": STANDING_TAG,
     "content_digest": "sha-256=:/tX0n8jflDrTbFsdWvgQQTl7VhX63SYHihJEyp9BZOg=:",
-    "onyxhead_result": SHARE,
+    "onyxhead_result": SHARE_TAG,
 }
 PATCH_HEADERS = STREAM_HEADERS | {
     "onyxhead_order": "turn=4, lines=9, at=17962202310623",
     "content_type": "application/merge-patch+json",
     "content_digest": "sha-256=:IYSmsRxoMvW4PIEH4TaaihO1lPKCc2yxHOMohFiJH6U=:",
-    "if_match": SHARE,
-    "onyxhead_result": RATE,
+    "if_match": SHARE_TAG,
+    "onyxhead_result": RATE_TAG,
 }
-REFUSED = {
+REFUSED_HEADERS = {
     "an older token": {"onyxhead_token": "6"},
     "another stream": {"onyxhead_stream": "c0.x"},
     "a digest that does not fit": {"content_digest": "sha-256=:x:"},
-    "another base": {"if_match": EMPTY},
+    "another base": {"if_match": EMPTY_TAG},
     "no base": {"if_match": ""},
     "another media type": {"content_type": "text/plain"},
-    "another result": {"onyxhead_result": EMPTY},
+    "another result": {"onyxhead_result": EMPTY_TAG},
 }
 
 
 class AnsweringController:
-    """A controller's side of joins: it sends on, then has no room, then takes the agent."""
+    """A controller that redirects the first join, rejects the second for lack of room, and accepts all later ones."""
 
     def __init__(self) -> None:
         self.joins = 0
@@ -321,119 +329,124 @@
         return 200, {}, b'{"stream": "c1.abc", "token": 7, "controller": "c1", "report_every": 0.05}'
 
 
-def play_agent(talk: Talk, agent: Program, controller: AnsweringController, folder: Path) -> Line:
-    """All but the load report, which comes a second after the start. The stream must stay open until then."""
+def drive_agent(exchange: Exchange, agent: Program, controller: AnsweringController, folder: Path) -> Line:
+    """Exchange everything except the load report and return the open stream.
+
+    The agent sends the load report a second after its start, and the stream must stay open until then.
+    """
     port = int(agent.logged("agent started")["port"])
     for number in (1, 2, 3):
-        talk.asked[f"join {number}"] = controller.peer.asked("PUT", "/", number)
+        exchange.requests[f"join {number}"] = controller.peer.asked("PUT", "/", number)
     agent.logged("controller joined")
     stream = Line(port)
 
-    def files() -> dict[str, str]:
+    def read_files() -> dict[str, str]:
         return {path.name: path.read_text() for path in sorted((folder / "files").iterdir())}
 
-    talk.told["heartbeat"] = stream.ask("HEAD", "/v1/view", **STREAM_HEADERS)
-    talk.files["standing"] = files()
-    talk.told["whole"] = stream.ask("PUT", "/v1/view", WHOLE, **PUT_HEADERS)
-    talk.files["whole"] = files()
-    for why, headers in REFUSED.items():
-        talk.told[why] = stream.ask("PATCH", "/v1/view", CHANGE, **(PATCH_HEADERS | headers))
-    talk.told["change"] = stream.ask("PATCH", "/v1/view", CHANGE, **PATCH_HEADERS)
-    talk.files["change"] = files()
+    exchange.replies["heartbeat"] = stream.ask("HEAD", "/v1/view", **STREAM_HEADERS)
+    exchange.files["standing"] = read_files()
+    exchange.replies["whole"] = stream.ask("PUT", "/v1/view", WHOLE_VIEW, **PUT_HEADERS)
+    exchange.files["whole"] = read_files()
+    for case, headers in REFUSED_HEADERS.items():
+        exchange.replies[case] = stream.ask("PATCH", "/v1/view", VIEW_PATCH, **(PATCH_HEADERS | headers))
+    exchange.replies["change"] = stream.ask("PATCH", "/v1/view", VIEW_PATCH, **PATCH_HEADERS)
+    exchange.files["change"] = read_files()
     for target in ("health", "state", "view", "nothing"):
-        talk.told[f"GET {target}"] = ask(port, "GET", f"/v1/{target}")
-    shown = CliRunner().invoke(command, ["show", f"127.0.0.1:{port}", "--json"])
-    talk.shown["show"] = shown.exit_code, shown.output
+        exchange.replies[f"GET {target}"] = ask(port, "GET", f"/v1/{target}")
+    result = CliRunner().invoke(command, ["show", f"127.0.0.1:{port}", "--json"])
+    exchange.command_results["show"] = result.exit_code, result.output
     return stream
 
 
 @pytest.fixture(scope="module")
-def talks(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Talk, Talk]]:
-    """What a controller and an agent, each among peers that are played here, said and were told."""
-    folder, of_controller, of_agent = tmp_path_factory.mktemp("wire"), Talk(), Talk()
+def exchanges(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Exchange, Exchange]]:
+    """Run a controller and an agent with simulated peers, and return what each exchanged with its peers."""
+    folder, controller_exchange, agent_exchange = tmp_path_factory.mktemp("wire"), Exchange(), Exchange()
     discovery, member = Discovery(), Peer(lambda _: (200, {}, b'{"packets": []}'))
-    other, stats = AnsweringController(), Peer(lambda _: (200, {}, json.dumps(STATS).encode()))
+    answering_controller, stats = AnsweringController(), Peer(lambda _: (200, {}, json.dumps(PROXY_STATS).encode()))
     key = asyncssh.generate_private_key("ssh-ed25519")
     asyncssh.generate_private_key("ecdsa-sha2-nistp256").write_private_key(folder / "host")
     public = key.export_public_key("openssh").decode().strip()
-    (folder / "controller.rec").write_text(CONTROLLER % (discovery.peer.port, member.port, public))
-    (folder / "agent.rec").write_text(AGENT % (other.peer.port, stats.port))
-    programs = [Program(folder, *COMMAND, *words) for words in (("agent", "agent.rec"), ("serve", "controller.rec"))]
+    (folder / "controller.rec").write_text(CONTROLLER_SETTINGS % (discovery.peer.port, member.port, public))
+    (folder / "agent.rec").write_text(AGENT_SETTINGS % (answering_controller.peer.port, stats.port))
+    programs = [
+        Program(folder, *COMMAND, *arguments) for arguments in (("agent", "agent.rec"), ("serve", "controller.rec"))
+    ]
     agent, controller = programs
     try:
-        stream = play_agent(of_agent, agent, other, folder)
-        play_controller(of_controller, controller, discovery, member, key)
-        of_agent.asked["stats"] = stats.asked("GET", "/")
-        of_agent.asked["load report"] = other.peer.asked("POST", "/")
+        stream = drive_agent(agent_exchange, agent, answering_controller, folder)
+        drive_controller(controller_exchange, controller, discovery, member, key)
+        agent_exchange.requests["stats"] = stats.asked("GET", "/")
+        agent_exchange.requests["load report"] = answering_controller.peer.asked("POST", "/")
         stream.connection.close()
         assert [program.end() for program in programs] == [0, 0]
-        yield of_controller, of_agent
+        yield controller_exchange, agent_exchange
     finally:
         for program in programs:
             program.end()
-        for peer in (discovery.peer, member, other.peer, stats):
+        for peer in (discovery.peer, member, answering_controller.peer, stats):
             peer.close()
 
 
 @pytest.fixture(scope="module")
-def controller(talks: tuple[Talk, Talk]) -> Talk:
-    return talks[0]
+def controller(exchanges: tuple[Exchange, Exchange]) -> Exchange:
+    return exchanges[0]
 
 
 @pytest.fixture(scope="module")
-def agent(talks: tuple[Talk, Talk]) -> Talk:
-    return talks[1]
+def agent(exchanges: tuple[Exchange, Exchange]) -> Exchange:
+    return exchanges[1]
 
 
-# Orders, joins and discovery: what a controller sends and answers
+# Orders, joins and discovery: requests that a controller sends, and its answers
 
 VERSION_1 = "8915e64747bbb00d917e82f67a5f22030fdb43d77655d85652012c52fefd38cb"
 VERSION_2 = "0220d62c87e2b420f56ef0583a18da21bea62b09cb6addd800cbd4baee6ee868"
 
 
-def headers_of(request: Request) -> dict[str, str]:
-    """Without the address; stream and time replaced by what they look like."""
-    told = {name: value for name, value in request.headers.items() if name != "host"}
+def comparable_headers(request: Request) -> dict[str, str]:
+    """Return the headers without the host; a valid stream id and a time are replaced by fixed words."""
+    headers = {name: value for name, value in request.headers.items() if name != "host"}
     for name, pattern, word in (
         ("onyxhead-stream", r"c1\.[0-9a-f]{16}", "STREAM"),
         ("onyxhead-order", r"\d{14,}", "TIME"),
     ):
-        if name in told:
-            told[name] = re.sub(pattern, word, told[name])
-    return told
+        if name in headers:
+            headers[name] = re.sub(pattern, word, headers[name])
+    return headers
 
 
-def test_discovery_is_asked_for_the_list_and_then_for_a_newer_one(controller: Talk) -> None:
-    first, following = controller.asked["first list"], controller.asked["next list"]
-    assert (first.method, first.target, following.target) == ("GET", "/v1/list", "/v1/list")
-    assert headers_of(first) == {"prefer": "wait=5", "from": "c1", "content-length": "0"}
-    assert headers_of(following) == headers_of(first) | {"if-none-match": '"1"'}
+def test_discovery_is_asked_for_the_list_and_then_for_a_newer_one(controller: Exchange) -> None:
+    first_request, next_request = controller.requests["first list"], controller.requests["next list"]
+    assert (first_request.method, first_request.target, next_request.target) == ("GET", "/v1/list", "/v1/list")
+    assert comparable_headers(first_request) == {"prefer": "wait=5", "from": "c1", "content-length": "0"}
+    assert comparable_headers(next_request) == comparable_headers(first_request) | {"if-none-match": '"1"'}
 
 
-def test_a_join_is_answered_with_stream_token_and_report_interval(controller: Talk) -> None:
-    told = controller.told["join"]
-    assert (told.status, told.headers["content-type"]) == (200, "application/json")
-    assert re.sub(rb"c1\.[0-9a-f]{16}", b"STREAM", told.body) == (
+def test_a_join_is_answered_with_stream_token_and_report_interval(controller: Exchange) -> None:
+    reply = controller.replies["join"]
+    assert (reply.status, reply.headers["content-type"]) == (200, "application/json")
+    assert re.sub(rb"c1\.[0-9a-f]{16}", b"STREAM", reply.body) == (
         b'{"stream": "STREAM", "token": 5, "controller": "c1", "report_every": 1.0}\n'
     )
 
 
-def test_a_heartbeat_is_an_empty_head_request_with_stream_and_token(controller: Talk) -> None:
-    request = controller.asked["heartbeat"]
+def test_a_heartbeat_is_an_empty_head_request_with_stream_and_token(controller: Exchange) -> None:
+    request = controller.requests["heartbeat"]
     assert (request.method, request.target) == ("HEAD", "/v1/view")
-    assert headers_of(request) == {"onyxhead-stream": "STREAM", "onyxhead-token": "5", "content-length": "0"}
+    assert comparable_headers(request) == {"onyxhead-stream": "STREAM", "onyxhead-token": "5", "content-length": "0"}
 
 
-def test_a_whole_view_is_put(controller: Talk) -> None:
-    request = controller.asked["whole view"]
+def test_a_whole_view_is_sent_by_put(controller: Exchange) -> None:
+    request = controller.requests["whole view"]
     assert (request.method, request.target) == ("PUT", "/v1/view")
-    assert headers_of(request) == {
+    assert comparable_headers(request) == {
         "onyxhead-stream": "STREAM",
         "onyxhead-token": "5",
         "onyxhead-order": "turn=1, lines=11, at=TIME",
         "content-type": "application/json",
         "content-length": "252",
-        "if-match": EMPTY,
+        "if-match": EMPTY_TAG,
         "content-digest": "sha-256=:uGRDNF70BpDJxtllxfVLe27jHfD8N5rFOZPUE7DkCSQ=:",
         "onyxhead-result": f'"{VERSION_1}"',
     }
@@ -445,10 +458,10 @@
     )
 
 
-def test_changed_lines_are_a_merge_patch_on_the_view_before(controller: Talk) -> None:
-    request = controller.asked["change"]
+def test_changed_lines_are_sent_as_a_merge_patch_to_the_previous_view(controller: Exchange) -> None:
+    request = controller.requests["change"]
     assert (request.method, request.target) == ("PATCH", "/v1/view")
-    assert headers_of(request) == {
+    assert comparable_headers(request) == {
         "onyxhead-stream": "STREAM",
         "onyxhead-token": "5",
         "onyxhead-order": "turn=2, lines=8, at=TIME",
@@ -463,25 +476,25 @@
     )
 
 
-def test_a_proxy_of_another_members_zone_is_sent_on(controller: Talk) -> None:
-    told = controller.told["PUT proxies/p8"]
-    assert (told.status, told.json()) == (307, {"controller": "c1", "better": "c2"})
+def test_a_proxy_of_another_members_zone_is_redirected(controller: Exchange) -> None:
+    reply = controller.replies["PUT proxies/p8"]
+    assert (reply.status, reply.json()) == (307, {"controller": "c1", "better": "c2"})
 
 
-def test_a_refusal_is_a_problem_document(controller: Talk) -> None:
-    told = controller.told["PUT proxies/p9"]
-    assert (told.status, told.headers["content-type"]) == (422, "application/problem+json")
-    assert told.body == b'{"status": 422, "detail": "zone \'west\' is not served here"}'
+def test_a_rejected_join_is_answered_with_a_problem_document(controller: Exchange) -> None:
+    reply = controller.replies["PUT proxies/p9"]
+    assert (reply.status, reply.headers["content-type"]) == (422, "application/problem+json")
+    assert reply.body == b'{"status": 422, "detail": "zone \'west\' is not served here"}'
 
 
-def test_a_proxy_whose_streams_failed_is_told_when_to_join_again(controller: Talk) -> None:
-    told = controller.told["PUT too soon"]
-    assert (told.status, told.headers["retry-after"], told.body) == (503, "1", b"")
+def test_a_proxy_whose_streams_failed_gets_a_time_to_join_again(controller: Exchange) -> None:
+    reply = controller.replies["PUT too soon"]
+    assert (reply.status, reply.headers["retry-after"], reply.body) == (503, "1", b"")
 
 
 # The /v1 interface of a controller
 
-STATE = {
+CONTROLLER_STATE = {
     "name": "c1",
     "list": {"version": 2, "age_s": "..."},
     "store": {"failing": "", "dropped": 0},
@@ -510,8 +523,8 @@
         )
     },
 }
-VARYING_STATE = ("age_s", "now", "waiting", "peak", "joined_for_s")
-LOG = [
+VARYING_STATE_KEYS = ("age_s", "now", "waiting", "peak", "joined_for_s")
+TABLE_LOG = [
     {
         "version": 2,
         "epoch": 1,
@@ -531,7 +544,7 @@
         "label": "",
     },
 ]
-SHOWN = {
+TABLE_VERSION = {
     "version": 1,
     "epoch": 1,
     "age_s": "...",
@@ -539,8 +552,8 @@
     "tag": "8f280ef4aed8b856",
     "tables": {"0": {"b1": 1_000_000, "b2": 1_000_000, "b3": 1_000_000}},
 }
-DIFF = [{"table": 0, "backend": "b2", "before": 1_000_000, "after": 500_000}]
-BLAME = [
+TABLE_DIFF = [{"table": 0, "backend": "b2", "before": 1_000_000, "after": 500_000}]
+TABLE_BLAME = [
     {
         "version": 2,
         "epoch": 1,
@@ -562,23 +575,23 @@
         "after": 1_000_000,
     },
 ]
-PREVIEW = {"version": 1, "lines": 1, "not_brought_back": {}, "channel_s": 0.002}
-FIGURE = {"value": "...", "error": "..."}
-COUNTS = {"bodies": 1, "faulty reports": 0, "reports": 20, "reports too old": 0}
-LOADS = {
-    "counts": COUNTS,
+ROLLBACK_PREVIEW = {"version": 1, "lines": 1, "not_brought_back": {}, "channel_s": 0.002}
+VARYING_ESTIMATE = {"value": "...", "error": "..."}
+LOAD_REPORT_COUNTS = {"bodies": 1, "faulty reports": 0, "reports": 20, "reports too old": 0}
+BACKEND_LOADS = {
+    "counts": LOAD_REPORT_COUNTS,
     "shed_most": {},
     "receivers": 0,
     "series": None,
     "backends": {
         "b2": {
-            "rate": FIGURE,
-            "busy": FIGURE,
-            "said": FIGURE,
-            "queue": FIGURE,
+            "rate": VARYING_ESTIMATE,
+            "busy": VARYING_ESTIMATE,
+            "said": VARYING_ESTIMATE,
+            "queue": VARYING_ESTIMATE,
             "loss": None,
-            "p50": FIGURE,
-            "p99": FIGURE,
+            "p50": VARYING_ESTIMATE,
+            "p99": VARYING_ESTIMATE,
             "met": None,
             "speed": None,
             "trust": 1.0,
@@ -587,8 +600,8 @@
         },
     },
 }
-VARYING_LOADS = ("value", "error", "age_s")
-MEMBERS = {
+VARYING_LOAD_KEYS = ("value", "error", "age_s")
+FLEET_MEMBERS = {
     "c1": {
         "status": "alive",
         "incarnation": 0,
@@ -599,7 +612,7 @@
     },
     "c2": {"status": "alive", "incarnation": 3, "since_s": "...", "proxies": 1, "news_age_s": "...", "list": 9},
 }
-NEVER_HEARD = {
+MEMBER_NEVER_HEARD = {
     "status": "never heard",
     "incarnation": 0,
     "since_s": "...",
@@ -607,7 +620,7 @@
     "news_age_s": None,
     "list": None,
 }
-DRAIN = {
+DRAIN_PREVIEW = {
     "asked": ["drain", ["b2"]],
     "by": "...",
     "backends": ["b2"],
@@ -617,47 +630,53 @@
     "channel_s": 0.002,
     "dry_run": True,
 }
-IN_USE = {"ready": True, "out": False}
+BACKEND_IN_USE = {"ready": True, "out": False}
 
 
 @pytest.mark.parametrize(
-    ("question", "value", "varying"),
+    ("request_name", "expected", "varying_keys"),
     [
         ("GET health", {"name": "c1", "epoch": 1}, ()),
-        ("GET state", STATE, VARYING_STATE),
-        ("GET operate", {"backends": {"b1": IN_USE, "b2": IN_USE, "b3": IN_USE}, "behind": []}, ()),
-        ("GET operate/b1", {"backends": {"b1": IN_USE}, "behind": []}, ()),
-        ("GET load", LOADS, VARYING_LOADS),
-        ("GET load/busy", {"counts": COUNTS, "busy": {"b2": FIGURE}}, VARYING_LOADS),
-        ("GET tables/log", LOG, ("age_s",)),
-        ("POST tables/show", SHOWN, ("age_s",)),
-        ("POST tables/diff", DIFF, ()),
-        ("POST tables/blame", BLAME, ("age_s",)),
-        ("POST tables/preview", PREVIEW, ()),
+        ("GET state", CONTROLLER_STATE, VARYING_STATE_KEYS),
+        (
+            "GET operate",
+            {"backends": {"b1": BACKEND_IN_USE, "b2": BACKEND_IN_USE, "b3": BACKEND_IN_USE}, "behind": []},
+            (),
+        ),
+        ("GET operate/b1", {"backends": {"b1": BACKEND_IN_USE}, "behind": []}, ()),
+        ("GET load", BACKEND_LOADS, VARYING_LOAD_KEYS),
+        ("GET load/busy", {"counts": LOAD_REPORT_COUNTS, "busy": {"b2": VARYING_ESTIMATE}}, VARYING_LOAD_KEYS),
+        ("GET tables/log", TABLE_LOG, ("age_s",)),
+        ("POST tables/show", TABLE_VERSION, ("age_s",)),
+        ("POST tables/diff", TABLE_DIFF, ()),
+        ("POST tables/blame", TABLE_BLAME, ("age_s",)),
+        ("POST tables/preview", ROLLBACK_PREVIEW, ()),
         ("POST tables/label", {"label": "good", "version": 1}, ()),
         ("POST tables/pin", {"version": 2, "hold_s": 5.0}, ()),
         ("POST tables/release", {"released": True}, ()),
-        ("POST operate", {"id": "n1"} | DRAIN, ("by",)),
+        ("POST operate", {"id": "n1"} | DRAIN_PREVIEW, ("by",)),
         ("POST fleet/who", {"proxy": "p1", "served_by": "c1"}, ()),
         ("POST fleet/move", {"proxy": "p1", "to": "c1", "here": True}, ()),
         ("POST fleet/members", {"members": ["c1", "c2", "c9"]}, ()),
-        ("GET fleet", {"own": "c1", "twins": [], "members": MEMBERS, "budget": {}}, ()),
+        ("GET fleet", {"own": "c1", "twins": [], "members": FLEET_MEMBERS, "budget": {}}, ()),
         ("POST proxies/p1/sums", {"taken": True}, ()),
         ("handover", {"proxies": 1}, ()),
     ],
 )
-def test_a_controller_answers(controller: Talk, question: str, value: Any, varying: tuple[str, ...]) -> None:
-    told = controller.told[question]
-    assert (told.status, told.headers["content-type"]) == (200, "application/json")
-    if question == "GET fleet":
+def test_a_controller_answers_a_valid_request(
+    controller: Exchange, request_name: str, expected: Any, varying_keys: tuple[str, ...]
+) -> None:
+    reply = controller.replies[request_name]
+    assert (reply.status, reply.headers["content-type"]) == (200, "application/json")
+    if request_name == "GET fleet":
         for name in ("since_s", "news_age_s"):
-            assert json.loads(told.body)["members"]["c2"][name] >= 0
-        told = told._replace(body=re.sub(rb'("since_s"|"news_age_s"): [0-9.]+', rb'\1: "..."', told.body))
-    assert without(told.json(), *varying) == value
+            assert json.loads(reply.body)["members"]["c2"][name] >= 0
+        reply = reply._replace(body=re.sub(rb'("since_s"|"news_age_s"): [0-9.]+', rb'\1: "..."', reply.body))
+    assert with_placeholders(reply.json(), *varying_keys) == expected
 
 
-def test_orders_are_told_newest_first_with_causes_and_decisions(controller: Talk) -> None:
-    newest, oldest = without(controller.told["GET orders"].json(), "at")
+def test_orders_are_listed_newest_first_with_causes_and_decisions(controller: Exchange) -> None:
+    newest, oldest = with_placeholders(controller.replies["GET orders"].json(), "at")
     assert newest == {
         "number": 2,
         "at": "...",
@@ -678,83 +697,87 @@
     }
 
 
-def test_the_configuration_is_told_as_records(controller: Talk) -> None:
-    told = controller.told["GET config"].json()
-    assert list(told) == ["records"]
-    assert told["records"].startswith('groups: {\n    "read": {\n        "utility": 1.0\n')
+def test_the_configuration_is_returned_as_records(controller: Exchange) -> None:
+    configuration = controller.replies["GET config"].json()
+    assert list(configuration) == ["records"]
+    assert configuration["records"].startswith('groups: {\n    "read": {\n        "utility": 1.0\n')
 
 
 @pytest.mark.parametrize(
-    ("question", "status", "detail"),
+    ("request_name", "status", "detail"),
     [
         ("GET nothing", 404, "nothing here"),
         ("GET tables/pin", 405, "pin is asked for by POST"),
         ("POST tables/try", 409, "a trial needs two proxies at least"),
     ],
 )
-def test_a_controller_refuses(controller: Talk, question: str, status: int, detail: str) -> None:
-    told = controller.told[question]
-    assert (told.status, told.headers["content-type"]) == (status, "application/problem+json")
-    assert told.json() == {"status": status, "detail": detail}
+def test_a_controller_rejects_an_invalid_request(
+    controller: Exchange, request_name: str, status: int, detail: str
+) -> None:
+    reply = controller.replies[request_name]
+    assert (reply.status, reply.headers["content-type"]) == (status, "application/problem+json")
+    assert reply.json() == {"status": status, "detail": detail}
 
 
-def test_load_reports_are_taken_with_an_empty_object(controller: Talk) -> None:
-    told = controller.told["POST load"]
-    assert (told.status, told.body) == (202, b"{}\n")
+def test_accepted_load_reports_are_answered_with_an_empty_object(controller: Exchange) -> None:
+    reply = controller.replies["POST load"]
+    assert (reply.status, reply.body) == (202, b"{}\n")
 
 
 @pytest.mark.parametrize(
-    ("words", "value", "varying"),
+    ("arguments", "expected", "varying_keys"),
     [
-        ("show ADDRESS", STATE, VARYING_STATE),
-        ("load ADDRESS", LOADS, VARYING_LOADS),
-        ("tables log ADDRESS", [LOG[0], LOG[1] | {"label": "good"}], ("age_s",)),
-        ("tables show good ADDRESS", SHOWN, ("age_s",)),
-        ("tables diff 1 2 ADDRESS", DIFF, ()),
-        ("tables blame b2 ADDRESS", BLAME, ("age_s",)),
-        ("tables rollback 1 ADDRESS --dry-run", PREVIEW, ()),
-        ("tables rollback 1 ADDRESS --seconds 5", PREVIEW | {"hold_s": 5.0}, ()),
+        ("show ADDRESS", CONTROLLER_STATE, VARYING_STATE_KEYS),
+        ("load ADDRESS", BACKEND_LOADS, VARYING_LOAD_KEYS),
+        ("tables log ADDRESS", [TABLE_LOG[0], TABLE_LOG[1] | {"label": "good"}], ("age_s",)),
+        ("tables show good ADDRESS", TABLE_VERSION, ("age_s",)),
+        ("tables diff 1 2 ADDRESS", TABLE_DIFF, ()),
+        ("tables blame b2 ADDRESS", TABLE_BLAME, ("age_s",)),
+        ("tables rollback 1 ADDRESS --dry-run", ROLLBACK_PREVIEW, ()),
+        ("tables rollback 1 ADDRESS --seconds 5", ROLLBACK_PREVIEW | {"hold_s": 5.0}, ()),
         ("compare --at ADDRESS", [], ()),
         (
             "drain b2 --at ADDRESS --id n2 --dry-run",
             {
                 "id": "n2",
-                "outcomes": [{"member": "...", "status": "applied", "why": "", "told": {"id": "n2"} | DRAIN}],
+                "outcomes": [{"member": "...", "status": "applied", "why": "", "told": {"id": "n2"} | DRAIN_PREVIEW}],
             },
             ("member", "by"),
         ),
     ],
 )
-def test_a_command_prints_json(controller: Talk, words: str, value: Any, varying: tuple[str, ...]) -> None:
-    code, output = controller.shown[words]
-    told = json.loads(output)
+def test_a_command_prints_json(
+    controller: Exchange, arguments: str, expected: Any, varying_keys: tuple[str, ...]
+) -> None:
+    code, output = controller.command_results[arguments]
+    printed = json.loads(output)
     assert code == 0
-    assert output == json.dumps(told, indent=2) + "\n"
-    assert without(told, *varying) == value
+    assert output == json.dumps(printed, indent=2) + "\n"
+    assert with_placeholders(printed, *varying_keys) == expected
 
 
-def test_fleet_status_prints_json(controller: Talk) -> None:
-    code, output = controller.shown["fleet status ADDRESS"]
-    told = json.loads(re.sub(r'("since_s"|"news_age_s"): [0-9.]+', r'\1: "..."', output))
+def test_fleet_status_prints_json(controller: Exchange) -> None:
+    code, output = controller.command_results["fleet status ADDRESS"]
+    printed = json.loads(re.sub(r'("since_s"|"news_age_s"): [0-9.]+', r'\1: "..."', output))
     assert code == 0
-    assert told == {"own": "c1", "twins": [], "members": MEMBERS | {"c9": NEVER_HEARD}, "budget": {}}
+    assert printed == {"own": "c1", "twins": [], "members": FLEET_MEMBERS | {"c9": MEMBER_NEVER_HEARD}, "budget": {}}
 
 
-def test_compare_prints_a_silent_member_as_json() -> None:
-    done = CliRunner().invoke(command, ["compare", "--at", "127.0.0.1:1", "--json"])
-    assert done.exit_code == 3
-    assert json.loads(done.output) == [
+def test_compare_prints_an_unreachable_member_as_json() -> None:
+    result = CliRunner().invoke(command, ["compare", "--at", "127.0.0.1:1", "--json"])
+    assert result.exit_code == 3
+    assert json.loads(result.output) == [
         {"what": "silent", "where": "127.0.0.1:1", "told": "gave no state", "settles": False}
     ]
 
 
 def test_diff_of_settings_prints_json(tmp_path: Path) -> None:
     for name, pace in (("one", "5000/s"), ("two", "4000/s")):
-        text = CONTROLLER.replace("5000/s", pace) % (1, 2, "key")
+        text = CONTROLLER_SETTINGS.replace("5000/s", pace) % (1, 2, "key")
         (tmp_path / f"{name}.rec").write_text(text)
-    done = CliRunner().invoke(command, ["diff", str(tmp_path / "one.rec"), str(tmp_path / "two.rec"), "--json"])
-    assert done.exit_code == 1
-    assert json.loads(done.output) == [
+    result = CliRunner().invoke(command, ["diff", str(tmp_path / "one.rec"), str(tmp_path / "two.rec"), "--json"])
+    assert result.exit_code == 1
+    assert json.loads(result.output) == [
         {
             "where": ["channel", "pace"],
             "before": 5000.0,
@@ -768,8 +791,8 @@
 # Gossip between controllers
 
 
-def test_a_ping_is_posted_with_the_senders_news(controller: Talk) -> None:
-    request = controller.asked["gossip"]
+def test_a_ping_is_posted_with_the_senders_news(controller: Exchange) -> None:
+    request = controller.requests["gossip"]
     assert (request.method, request.target, request.headers["content-type"]) == (
         "POST",
         "/v1/fleet",
@@ -782,8 +805,8 @@
     )
 
 
-def test_a_ping_is_answered_with_an_ack_that_repeats_the_senders_incarnation(controller: Talk) -> None:
-    body = controller.told["POST fleet"].body
+def test_a_ping_is_answered_with_an_ack_that_repeats_the_senders_incarnation(controller: Exchange) -> None:
+    body = controller.replies["POST fleet"].body
     assert re.sub(rb'"[0-9]{15}\.[0-9a-f]{6}"', b'"BOOT"', body) == (
         b'{"packets": [{"to": "c2", "sender": "c1", "boot": "BOOT", "kind": "ack", "number": 5, "about": "c1", '
         b'"updates": [["c2", 0, 3, "7"], ["c1", 0, 0, "BOOT"]], "version": 1}], '
@@ -793,21 +816,24 @@
 
 # NETCONF
 
-XML = "<?xml version='1.0' encoding='UTF-8'?>\n"
-REPLY = XML + '<rpc-reply xmlns="urn:ietf:params:xml:ns:netconf:base:1.0" message-id="%d">%s</rpc-reply>'
+XML_DECLARATION = "<?xml version='1.0' encoding='UTF-8'?>\n"
+RPC_REPLY = (
+    XML_DECLARATION + '<rpc-reply xmlns="urn:ietf:params:xml:ns:netconf:base:1.0" message-id="%d">%s</rpc-reply>'
+)
 NOTIFICATION = (
-    XML + '<notification xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"><eventTime>TIME</eventTime>%s'
+    XML_DECLARATION
+    + '<notification xmlns="urn:ietf:params:xml:ns:netconf:notification:1.0"><eventTime>TIME</eventTime>%s'
     "</notification>"
 )
 
 
-def netconf_notes(controller: Talk) -> list[str]:
+def comparable_netconf_messages(controller: Exchange) -> list[str]:
     pattern = r"<eventTime>\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z</eventTime>"
-    notes = [re.sub(pattern, "<eventTime>TIME</eventTime>", each) for each in controller.notes]
-    return [re.sub(r"<(peak|turn)>\d+</", r"<\1>N</", each) for each in notes]
+    netconf_messages = [re.sub(pattern, "<eventTime>TIME</eventTime>", each) for each in controller.netconf_messages]
+    return [re.sub(r"<(peak|turn)>\d+</", r"<\1>N</", each) for each in netconf_messages]
 
 
-def test_netconf_greets_with_its_capabilities(controller: Talk) -> None:
+def test_netconf_hello_lists_the_capabilities(controller: Exchange) -> None:
     netconf_capability = "urn:ietf:params:netconf:capability:"
     capabilities = (
         "urn:ietf:params:netconf:base:1.0",
@@ -825,18 +851,18 @@
         "urn:onyxhead:fleet?module=onyxhead-fleet&amp;revision=2026-12-01",
     )
     listed = "".join(f"<capability>{each}</capability>" for each in capabilities)
-    assert controller.notes[0] == (
-        f'{XML}<hello xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><capabilities>{listed}</capabilities>'
+    assert controller.netconf_messages[0] == (
+        f'{XML_DECLARATION}<hello xmlns="urn:ietf:params:xml:ns:netconf:base:1.0"><capabilities>{listed}</capabilities>'
         "<session-id>1</session-id></hello>"
     )
 
 
 @pytest.mark.parametrize("number", [1, 4, 5])
-def test_netconf_answers_what_is_done_with_ok(controller: Talk, number: int) -> None:
-    assert REPLY % (number, "<ok/>") in controller.notes
+def test_netconf_answers_a_completed_operation_with_ok(controller: Exchange, number: int) -> None:
+    assert RPC_REPLY % (number, "<ok/>") in controller.netconf_messages
 
 
-def test_netconf_tells_the_state_of_the_fleet(controller: Talk) -> None:
+def test_netconf_returns_the_state_of_the_fleet(controller: Exchange) -> None:
     backends = "".join(
         f"<backend><id>b{n}</id><address>127.0.0.1:900{n}</address><zone>north</zone><ready>true</ready>"
         "<withdrawn>false</withdrawn></backend>"
@@ -847,10 +873,10 @@
         "</channel><proxy><name>p1</name><zone>north</zone><bound>true</bound><turn>N</turn></proxy>"
         f"{backends}</fleet-state></data>"
     )
-    assert REPLY % (2, state) in netconf_notes(controller)
+    assert RPC_REPLY % (2, state) in comparable_netconf_messages(controller)
 
 
-def test_netconf_tells_the_running_configuration(controller: Talk) -> None:
+def test_netconf_returns_the_running_configuration(controller: Exchange) -> None:
     config = (
         '<data><fleet xmlns="urn:onyxhead:fleet"><group><name>read</name><utility>1.0</utility>'
         "<latency-budget>5000</latency-budget><expiry>10000</expiry><repeats>retriable</repeats>"
@@ -859,38 +885,40 @@
         "<unserved-limit>30000</unserved-limit><cold-time>150000</cold-time><overload-factor>3.0</overload-factor>"
         "</guards></fleet></data>"
     )
-    assert REPLY % (3, config) in controller.notes
+    assert RPC_REPLY % (3, config) in controller.netconf_messages
 
 
-def test_netconf_refuses_with_an_rpc_error(controller: Talk) -> None:
+def test_netconf_rejects_an_invalid_request_with_an_rpc_error(controller: Exchange) -> None:
     error = (
         "<rpc-error><error-type>protocol</error-type><error-tag>invalid-value</error-tag>"
         "<error-severity>error</error-severity><error-message>there is no datastore 'odd'</error-message></rpc-error>"
     )
-    assert REPLY % (6, error) in controller.notes
+    assert RPC_REPLY % (6, error) in controller.netconf_messages
 
 
-def test_netconf_notifies_of_a_commit(controller: Talk) -> None:
+def test_netconf_notifies_of_a_commit(controller: Exchange) -> None:
     event = (
         '<configuration-changed xmlns="urn:onyxhead:fleet"><user>op</user><number>2</number><what>commit</what>'
         "</configuration-changed>"
     )
-    assert NOTIFICATION % event in netconf_notes(controller)
+    assert NOTIFICATION % event in comparable_netconf_messages(controller)
 
 
-def test_netconf_notifies_of_orders_with_their_causes(controller: Talk) -> None:
-    (note,) = (each for each in netconf_notes(controller) if "orders-sent" in each and "list: 1 changes" in each)
-    event = re.sub(r"(<cause>[^<]*</cause>)*(<cause>list: 1 changes</cause>)", r"\2", note)
+def test_netconf_notifies_of_orders_with_their_causes(controller: Exchange) -> None:
+    (notification,) = (
+        each for each in comparable_netconf_messages(controller) if "orders-sent" in each and "list: 1 changes" in each
+    )
+    event = re.sub(r"(<cause>[^<]*</cause>)*(<cause>list: 1 changes</cause>)", r"\2", notification)
     assert event == NOTIFICATION % (
         '<orders-sent xmlns="urn:onyxhead:fleet"><turn>N</turn><cause>list: 1 changes</cause></orders-sent>'
     )
 
 
-# What an agent sends and answers
+# Requests that an agent sends, and its answers
 
 
-def test_an_agent_asks_to_join_with_all_that_it_holds(agent: Talk) -> None:
-    request = agent.asked["join 1"]
+def test_an_agents_join_request_contains_the_view_that_it_holds(agent: Exchange) -> None:
+    request = agent.requests["join 1"]
     assert (request.method, request.target, request.headers["content-type"]) == (
         "PUT",
         "/v1/proxies/p1",
@@ -904,28 +932,33 @@
 
 
 @pytest.mark.parametrize("number", [2, 3])
-def test_an_agent_that_every_controller_sent_on_insists(agent: Talk, number: int) -> None:
-    assert agent.asked[f"join {number}"].json() == agent.asked["join 1"].json() | {"insist": True}
+def test_an_agent_that_every_controller_redirected_insists(agent: Exchange, number: int) -> None:
+    assert agent.requests[f"join {number}"].json() == agent.requests["join 1"].json() | {"insist": True}
 
 
-def test_a_heartbeat_is_answered_with_the_tag_and_the_turn(agent: Talk) -> None:
-    told = agent.told["heartbeat"]
-    assert (told.status, told.headers) == (200, {"etag": STANDING, "onyxhead-applied": "0", "content-length": "0"})
+def test_a_heartbeat_is_answered_with_the_tag_and_the_turn(agent: Exchange) -> None:
+    reply = agent.replies["heartbeat"]
+    assert (reply.status, reply.headers) == (
+        200,
+        {"etag": STANDING_TAG, "onyxhead-applied": "0", "content-length": "0"},
+    )
 
 
-@pytest.mark.parametrize(("order", "tag", "turn"), [("whole", SHARE, "3"), ("change", RATE, "4")])
-def test_an_order_is_answered_with_the_new_tag_and_its_turn(agent: Talk, order: str, tag: str, turn: str) -> None:
-    told = agent.told[order]
-    assert (told.status, told.headers) == (204, {"etag": tag, "onyxhead-applied": turn, "content-length": "0"})
+@pytest.mark.parametrize(("request_name", "tag", "turn"), [("whole", SHARE_TAG, "3"), ("change", RATE_TAG, "4")])
+def test_an_order_is_answered_with_the_new_tag_and_its_turn(
+    agent: Exchange, request_name: str, tag: str, turn: str
+) -> None:
+    reply = agent.replies[request_name]
+    assert (reply.status, reply.headers) == (204, {"etag": tag, "onyxhead-applied": turn, "content-length": "0"})
 
 
 @pytest.mark.parametrize(
-    ("why", "status", "detail", "header"),
+    ("case", "status", "detail", "header"),
     [
         ("an older token", 409, "token 6 does not hold", ("onyxhead-token", "7")),
         ("another stream", 409, "another stream is listened to", None),
         ("a digest that does not fit", 400, "the body does not fit its Content-Digest, or has none", None),
-        ("another base", 412, "another view is held", ("etag", SHARE)),
+        ("another base", 412, "another view is held", ("etag", SHARE_TAG)),
         ("no base", 428, "If-Match is wanted", None),
         (
             "another media type",
@@ -933,14 +966,16 @@
             "PATCH of text/plain is not taken",
             ("accept-patch", "application/merge-patch+json"),
         ),
-        ("another result", 422, f"the change leads to {RATE}, not to {EMPTY}", None),
+        ("another result", 422, f"the change leads to {RATE_TAG}, not to {EMPTY_TAG}", None),
     ],
 )
-def test_an_order_is_refused(agent: Talk, why: str, status: int, detail: str, header: tuple[str, str] | None) -> None:
-    told = agent.told[why]
-    assert (told.status, told.headers["content-type"]) == (status, "application/problem+json")
-    assert told.json() == {"status": status, "detail": detail}
-    assert header is None or header in told.headers.items()
+def test_an_invalid_order_is_rejected(
+    agent: Exchange, case: str, status: int, detail: str, header: tuple[str, str] | None
+) -> None:
+    reply = agent.replies[case]
+    assert (reply.status, reply.headers["content-type"]) == (status, "application/problem+json")
+    assert reply.json() == {"status": status, "detail": detail}
+    assert header is None or header in reply.headers.items()
 
 
 AGENT_STATE = {
@@ -948,16 +983,16 @@
     "controller": "...",
     "heard_s_ago": "...",
     "turn": 4,
-    "tag": RATE,
+    "tag": RATE_TAG,
     "swaps": 2,
-    "files": RATE,
+    "files": RATE_TAG,
     "lines": {"read": 1, "write": 1},
     "withdrawn": [],
 }
 
 
 @pytest.mark.parametrize(
-    ("target", "value"),
+    ("target", "expected"),
     [
         ("health", {"name": "p1", "joined": True}),
         ("state", AGENT_STATE),
@@ -976,25 +1011,25 @@
         ),
     ],
 )
-def test_an_agent_answers(agent: Talk, target: str, value: Any) -> None:
-    told = agent.told[f"GET {target}"]
-    assert (told.status, told.headers["content-type"]) == (200, "application/json")
-    assert without(told.json(), "controller", "heard_s_ago") == value
+def test_an_agent_answers_a_get_request(agent: Exchange, target: str, expected: Any) -> None:
+    reply = agent.replies[f"GET {target}"]
+    assert (reply.status, reply.headers["content-type"]) == (200, "application/json")
+    assert with_placeholders(reply.json(), "controller", "heard_s_ago") == expected
 
 
-def test_show_prints_an_agents_state_as_json(agent: Talk) -> None:
-    code, output = agent.shown["show"]
+def test_show_prints_an_agents_state_as_json(agent: Exchange) -> None:
+    code, output = agent.command_results["show"]
     assert code == 0
-    assert without(json.loads(output), "controller", "heard_s_ago") == AGENT_STATE
+    assert with_placeholders(json.loads(output), "controller", "heard_s_ago") == AGENT_STATE
 
 
-def test_a_proxys_counters_are_asked_for_by_get(agent: Talk) -> None:
-    request = agent.asked["stats"]
+def test_an_agent_gets_the_counters_of_its_proxy(agent: Exchange) -> None:
+    request = agent.requests["stats"]
     assert (request.method, request.target) == ("GET", "/stats")
 
 
-def test_a_load_report_has_the_published_form(agent: Talk) -> None:
-    request = agent.asked["load report"]
+def test_a_load_report_has_the_published_form(agent: Exchange) -> None:
+    request = agent.requests["load report"]
     assert request.target == "/v1/proxies/p1/sums"
     body = re.sub(rb'"boot": "[0-9a-f]{12}"', b'"boot": "BOOT"', request.body)
     assert re.sub(rb'"\d+\.\d{4}s"', b'"SPAN"', body) == (
@@ -1010,91 +1045,91 @@
 
 # The files that proxies read
 
-TYPE = '{"version_info":"%s","type_url":"type.googleapis.com/envoy.config.%s","resources":['
-ENDPOINTS = "endpoint.v3.ClusterLoadAssignment"
-ROUTES = "route.v3.RouteConfiguration"
-ENDPOINT = (
+FILE_START = '{"version_info":"%s","type_url":"type.googleapis.com/envoy.config.%s","resources":['
+ENDPOINTS_TYPE = "endpoint.v3.ClusterLoadAssignment"
+ROUTES_TYPE = "route.v3.RouteConfiguration"
+ENVOY_ENDPOINT = (
     '{"endpoint":{"address":{"socket_address":{"address":"127.0.0.1","port_value":%d}}},'
     '"health_status":"%s","load_balancing_weight":%d}'
 )
-ASSIGNMENT = '{"@type":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment","cluster_name":"%s",'
-WRITE = (
-    ASSIGNMENT % "write"
+CLUSTER_START = '{"@type":"type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment","cluster_name":"%s",'
+WRITE_CLUSTER = (
+    CLUSTER_START % "write"
     + '"endpoints":[{"locality":{"zone":"north"},"lb_endpoints":['
-    + ENDPOINT % (9009, "HEALTHY", 1_000_000)
+    + ENVOY_ENDPOINT % (9009, "HEALTHY", 1_000_000)
     + "]}]}]}\n"
 )
-ROUTE_HEAD = (
+ROUTES_START = (
     '{"@type":"type.googleapis.com/envoy.config.route.v3.RouteConfiguration","name":"onyxhead","virtual_hosts":['
     '{"name":"onyxhead","domains":["*"],"routes":[{"match":{"prefix":"/r"},"name":"read","route":{"cluster":"read",'
 )
-PREDICATE = '"retry_host_predicate":[{"name":"envoy.retry_host_predicates.previous_hosts"}]'
-ROUTE_TAIL = ',{"match":{"prefix":"/w"},"name":"write","route":{"cluster":"write"}}]}]}]}\n'
+RETRY_PREDICATE = '"retry_host_predicate":[{"name":"envoy.retry_host_predicates.previous_hosts"}]'
+ROUTES_END = ',{"match":{"prefix":"/w"},"name":"write","route":{"cluster":"write"}}]}]}]}\n'
 
 
-def test_envoy_endpoints_of_a_standing_view(agent: Talk) -> None:
+def test_envoy_endpoints_of_a_standing_view(agent: Exchange) -> None:
     assert agent.files["standing"]["eds.json"] == (
-        TYPE % (STANDING.strip('"'), ENDPOINTS)
-        + ASSIGNMENT % "read"
+        FILE_START % (STANDING_TAG.strip('"'), ENDPOINTS_TYPE)
+        + CLUSTER_START % "read"
         + '"endpoints":[{"locality":{"zone":"north"},"lb_endpoints":['
-        + ENDPOINT % (9009, "HEALTHY", 1_000_000)
+        + ENVOY_ENDPOINT % (9009, "HEALTHY", 1_000_000)
         + "]}]},"
-        + WRITE
+        + WRITE_CLUSTER
     )
 
 
-def test_envoy_endpoints_by_zone_with_a_withdrawal_and_a_share(agent: Talk) -> None:
+def test_envoy_endpoints_by_zone_with_a_withdrawal_and_a_share(agent: Exchange) -> None:
     assert agent.files["whole"]["eds.json"] == (
-        TYPE % (SHARE.strip('"'), ENDPOINTS)
-        + ASSIGNMENT % "read"
+        FILE_START % (SHARE_TAG.strip('"'), ENDPOINTS_TYPE)
+        + CLUSTER_START % "read"
         + '"endpoints":[{"locality":{"zone":"north"},"lb_endpoints":['
-        + ENDPOINT % (9001, "HEALTHY", 250_000)
+        + ENVOY_ENDPOINT % (9001, "HEALTHY", 250_000)
         + ']},{"locality":{"zone":"south"},"lb_endpoints":['
-        + ENDPOINT % (9002, "DRAINING", 1_000_000)
+        + ENVOY_ENDPOINT % (9002, "DRAINING", 1_000_000)
         + ']}],"policy":{"drop_overloads":[{"category":"admission","drop_percentage":{"numerator":750000,'
         + '"denominator":"MILLION"}}]}},'
-        + WRITE
+        + WRITE_CLUSTER
     )
 
 
-def test_envoy_routes_with_tries_only_where_the_first_never_ran(agent: Talk) -> None:
+def test_envoy_routes_retry_only_requests_that_never_ran(agent: Exchange) -> None:
     assert agent.files["standing"]["rds.json"] == (
-        TYPE % (STANDING.strip('"'), ROUTES)
-        + ROUTE_HEAD
+        FILE_START % (STANDING_TAG.strip('"'), ROUTES_TYPE)
+        + ROUTES_START
         + '"retry_policy":{"retry_on":"connect-failure,refused-stream","num_retries":1,'
-        + PREDICATE
+        + RETRY_PREDICATE
         + "}}}"
-        + ROUTE_TAIL
+        + ROUTES_END
     )
 
 
-def test_envoy_routes_with_a_second_try_in_time(agent: Talk) -> None:
+def test_envoy_routes_with_a_retry_and_a_timeout_of_each_attempt(agent: Exchange) -> None:
     assert agent.files["whole"]["rds.json"] == (
-        TYPE % (SHARE.strip('"'), ROUTES)
-        + ROUTE_HEAD
+        FILE_START % (SHARE_TAG.strip('"'), ROUTES_TYPE)
+        + ROUTES_START
         + '"retry_policy":{"retry_on":"5xx,reset,connect-failure,refused-stream","num_retries":1,'
-        + PREDICATE
+        + RETRY_PREDICATE
         + ',"per_try_timeout":"0.6000s"}}}'
-        + ROUTE_TAIL
+        + ROUTES_END
     )
 
 
-def test_envoy_routes_with_a_rate(agent: Talk) -> None:
+def test_envoy_routes_with_a_rate_limit(agent: Exchange) -> None:
     always = '{"default_value":{"numerator":100,"denominator":"HUNDRED"}}'
     assert agent.files["change"]["rds.json"] == (
-        TYPE % (RATE.strip('"'), ROUTES)
-        + ROUTE_HEAD
+        FILE_START % (RATE_TAG.strip('"'), ROUTES_TYPE)
+        + ROUTES_START
         + '"retry_policy":{"retry_on":"5xx,reset,connect-failure,refused-stream","num_retries":2,'
-        + PREDICATE
+        + RETRY_PREDICATE
         + ',"per_try_timeout":"0.6000s"}},"typed_per_filter_config":{"envoy.filters.http.local_ratelimit":'
         + '{"@type":"type.googleapis.com/envoy.extensions.filters.http.local_ratelimit.v3.LocalRateLimit",'
         + '"stat_prefix":"read","token_bucket":{"max_tokens":12,"tokens_per_fill":12,"fill_interval":"0.100000s"},'
         + f'"filter_enabled":{always},"filter_enforced":{always}}}}}}}'
-        + ROUTE_TAIL
+        + ROUTES_END
     )
 
 
-NGINX_WRITE = """
+NGINX_WRITE_UPSTREAM = """
 upstream write {
     zone write 256k;
     server 127.0.0.1:9009 weight=65535 max_fails=0;  # b9
@@ -1102,10 +1137,10 @@
 """
 
 
-def test_nginx_upstreams_with_a_withdrawal_and_a_share(agent: Talk) -> None:
+def test_nginx_upstreams_with_a_withdrawal_and_a_share(agent: Exchange) -> None:
     assert (
         agent.files["whole"]["upstreams.conf"]
-        == f"""# view {SHARE}
+        == f"""# view {SHARE_TAG}
 
 upstream read {{
     zone read 256k;
@@ -1116,21 +1151,21 @@
     25.00% 1;
     * 0;
 }}
-{NGINX_WRITE}"""
+{NGINX_WRITE_UPSTREAM}"""
     )
 
 
-def test_nginx_upstreams_with_a_rate(agent: Talk) -> None:
+def test_nginx_upstreams_with_a_rate_limit(agent: Exchange) -> None:
     assert (
         agent.files["change"]["upstreams.conf"]
-        == f"""# view {RATE}
+        == f"""# view {RATE_TAG}
 
 upstream read {{
     zone read 256k;
     server 127.0.0.1:9001 weight=65535 max_fails=0;  # b1
 }}
 limit_req_zone $server_name zone=read_rate:64k rate=120r/s;
-{NGINX_WRITE}"""
+{NGINX_WRITE_UPSTREAM}"""
     )
 
 
@@ -1154,7 +1189,7 @@
         ),
     ],
 )
-def test_nginx_location_of_a_group(agent: Talk, view: str, text: str) -> None:
+def test_nginx_location_of_a_group(agent: Exchange, view: str, text: str) -> None:
     assert agent.files[view]["location-read.conf"] == "# for locations of read\n" + text
 
 
@@ -1171,7 +1206,7 @@
 def test_a_health_check_reads_the_load_report_of_its_answer(header: str) -> None:
     backend = Peer(lambda _: (200, {"endpoint-load-metrics": header}, b""))
     try:
-        assert probe(backend.port, "/health") == (0.5, 200)
+        assert health_check_load(backend.port, "/health") == (0.5, 200)
         (request,) = backend.requests
         assert (request.method, request.target) == ("GET", "/health")
     finally:
@@ -1205,11 +1240,11 @@
         await asyncio.to_thread(until, lambda: "busy.b2" in series_names(daemon))
         await asyncio.to_thread(ask, port_of(daemon), "POST", "/v1/proxies/p1/sums", sums)
 
-        def all_there() -> bool:
+        def all_series_exist() -> bool:
             names.update(series_names(daemon))
             return len(names) >= 8
 
-        await asyncio.to_thread(until, all_there)
+        await asyncio.to_thread(until, all_series_exist)
 
     play(tmp_path, work)
     assert names == {
@@ -1226,7 +1261,7 @@
 
 # RESP2 between a node and proxies
 
-SIMULATED: dict[str, Any] = {
+SIMULATED_SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "zone": 0,
     "zones": ["a", "b"],
@@ -1260,7 +1295,7 @@
     "report": {"fields": ["cpu_share", "svc_ms"], "via": "on_probe"},
     "services": [{"aimNs": 75000000, "credit": 1.0, "deadlineNs": 250000000, "effect": "pure", "name": "look"}],
 }
-SERVERS = [
+LISTED_SERVERS = [
     {
         "id": f"s-{n}",
         "host_port": f"127.0.0.1:900{n}",
@@ -1275,32 +1310,41 @@
 ]
 
 
-def test_a_node_speaks_resp2_and_follows_the_platforms_discovery(tmp_path: Path) -> None:
-    """One conversation, as each step needs the one before: heartbeat, join, whole table, answer, withdrawal, reject."""
+def test_a_node_exchanges_resp2_messages_and_follows_the_platforms_discovery(tmp_path: Path) -> None:
+    """A single test, because each step needs the one before.
+
+    The steps are heartbeat, join, whole table, acknowledgement, withdrawal and rejection.
+    """
     drained = threading.Event()
 
     def servers(request: Request) -> tuple[int, dict[str, str], bytes]:
         if "?" not in request.target:
-            told: dict[str, Any] = {"revision": 7, "complete": True, "members": SERVERS}
+            answer: dict[str, Any] = {"revision": 7, "complete": True, "members": LISTED_SERVERS}
         elif request.target == "/v1/servers?index=7&wait=4000" and drained.wait(4.0):
-            told = {"revision": 8, "complete": False, "members": [SERVERS[0] | {"phase": "DRAINING"}]}
+            answer = {"revision": 8, "complete": False, "members": [LISTED_SERVERS[0] | {"phase": "DRAINING"}]}
         else:
             threading.Event().wait(4.0)
-            told = {"revision": 8, "complete": False, "members": []}
-        return 200, {}, json.dumps(told).encode()
+            answer = {"revision": 8, "complete": False, "members": []}
+        return 200, {}, json.dumps(answer).encode()
 
     discovery = Peer(servers)
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
-    listen, found = f"127.0.0.1:{port}", f"127.0.0.1:{discovery.port}"
-    given = {"name": "n0", "listen": listen, "discovery": found, "seed": "ff", "settings": SIMULATED}
-    (tmp_path / "config.json").write_text(json.dumps(given))
+    listen_address, discovery_address = f"127.0.0.1:{port}", f"127.0.0.1:{discovery.port}"
+    configuration = {
+        "name": "n0",
+        "listen": listen_address,
+        "discovery": discovery_address,
+        "seed": "ff",
+        "settings": SIMULATED_SETTINGS,
+    }
+    (tmp_path / "config.json").write_text(json.dumps(configuration))
     node = Program(
         tmp_path,
         *NODE,
         BALANCER_NAME="n0",
-        BALANCER_LISTEN=listen,
-        BALANCER_DISCOVERY=found,
+        BALANCER_LISTEN=listen_address,
+        BALANCER_DISCOVERY=discovery_address,
         BALANCER_CONFIG="config.json",
     )
     try:
@@ -1324,9 +1368,9 @@
             drained.set()
             withdrawal = b"*5\r\n$6\r\nassign\r\n$4\r\ndrop\r\n$3\r\ns-0\r\n$5\r\nstamp\r\n$1\r\n2\r\n"
             assert read(len(withdrawal)) == withdrawal
-        with socket.create_connection(("127.0.0.1", port), PATIENCE) as stranger:
-            stranger.sendall(b"*3\r\n$9\r\ntelemetry\r\n$4\r\nzone\r\n$2\r\nzz\r\n")
-            assert stranger.makefile("rb").read() == (
+        with socket.create_connection(("127.0.0.1", port), PATIENCE) as collector:
+            collector.sendall(b"*3\r\n$9\r\ntelemetry\r\n$4\r\nzone\r\n$2\r\nzz\r\n")
+            assert collector.makefile("rb").read() == (
                 b"*3\r\n$6\r\nreject\r\n$3\r\nwhy\r\n$35\r\ntelemetry: zone 'zz' does not exist\r\n"
             )
         assert [each.target for each in discovery.requests[:2]] == ["/v1/servers", "/v1/servers?index=7&wait=4000"]
@@ -1338,8 +1382,8 @@
 
 # The simulator's wire
 
-ADAPTER_BEGIN = json.dumps(SIMULATED | {"discovery": "subscribe", "bounds": {"probes": True}})
-TRANSCRIPT = (
+ADAPTER_BEGIN = json.dumps(SIMULATED_SETTINGS | {"discovery": "subscribe", "bounds": {"probes": True}})
+ADAPTER_TRANSCRIPT = (
     (
         "a subscription at the start",
         f"BEGIN 7 {ADAPTER_BEGIN}",
@@ -1378,19 +1422,19 @@
 
 @pytest.fixture(scope="module")
 def adapter_replies() -> list[str]:
-    frames = [
-        f"FRAME {8_412_250_000 + 500_000_000 * place}\nSELECT 0\n{lines}\nOVER_TO_YOU\n"
-        for place, (_, lines, _) in enumerate(TRANSCRIPT)
+    batches = [
+        f"FRAME {8_412_250_000 + 500_000_000 * index}\nSELECT 0\n{lines}\nOVER_TO_YOU\n"
+        for index, (_, lines, _) in enumerate(ADAPTER_TRANSCRIPT)
     ]
-    done = subprocess.run(
-        [sys.executable, *ADAPTER], input="".join(frames), capture_output=True, text=True, check=True, timeout=PATIENCE
+    result = subprocess.run(
+        [sys.executable, *ADAPTER], input="".join(batches), capture_output=True, text=True, check=True, timeout=PATIENCE
     )
-    return done.stdout.split("END\n")
+    return result.stdout.split("END\n")
 
 
-@pytest.mark.parametrize("place", range(len(TRANSCRIPT)), ids=[step[0] for step in TRANSCRIPT])
-def test_the_adapter_answers_a_frame(adapter_replies: list[str], place: int) -> None:
-    assert adapter_replies[place] == "FROM 0\n" + TRANSCRIPT[place][2]
+@pytest.mark.parametrize("index", range(len(ADAPTER_TRANSCRIPT)), ids=[step[0] for step in ADAPTER_TRANSCRIPT])
+def test_the_adapter_answers_a_batch(adapter_replies: list[str], index: int) -> None:
+    assert adapter_replies[index] == "FROM 0\n" + ADAPTER_TRANSCRIPT[index][2]
 
 
 @pytest.mark.parametrize(
@@ -1403,4 +1447,4 @@
     ],
 )
 def test_the_adapter_writes_a_decision(decision: Any, line: str) -> None:
-    assert adapter_lines(decision) == [line]
+    assert encoded_lines(decision) == [line]
