--- a/onyxhead/fronts/streams/messages.py
+++ b/onyxhead/fronts/streams/messages.py
@@ -1,4 +1,4 @@
-"""Parses the elements of a RESP2 message into a typed message; an error names the invalid field.
+"""Parses the elements of a RESP2 message into a typed message. Errors name the invalid field.
 
 The protocol gives durations in milliseconds. This module converts them to ticks (`onyxhead.time_units`), so the rest
 of the node handles ticks only.
@@ -34,11 +34,11 @@
     "qps": "served_ps",
     "eps": "failed_ps",
 }
-"""Names of load report values: the name in the stream protocol to the name in the settings."""
+"""The name that the settings use for a load report value, by its name in the stream protocol."""
 
 
 class InvalidMessageError(StreamProtocolError):
-    """One message is invalid, but the stream stays readable. The error text names the field."""
+    """One message is invalid; the messages before and after it can still be read. The error text names the field."""
 
 
 @dataclass(slots=True)
@@ -100,7 +100,10 @@
 
 
 class KnownNames(NamedTuple):
-    """The names that messages may refer to; discovery adds to `backends` while the node runs."""
+    """The names that messages may refer to; groups and zones map to their numbers.
+
+    Discovery adds to `backends` while the node runs.
+    """
 
     groups: Mapping[str, int]
     zones: Mapping[str, int]
--- a/onyxhead/fronts/streams/resp.py
+++ b/onyxhead/fronts/streams/resp.py
@@ -12,7 +12,7 @@
 """The largest message that the protocol allows, with the overhead of its elements."""
 MAX_ELEMENTS = 1024
 MAX_LENGTH_LINE_BYTES = 12
-"""The type byte, the digits of a length and the line end. Nine digits exceed every length that is allowed."""
+"""The size of a type byte, a length of nine digits and a line end; every allowed length has fewer digits."""
 
 ARRAY = b"*"
 BULK_STRING = b"$"
--- a/onyxhead/fronts/streams/updates.py
+++ b/onyxhead/fronts/streams/updates.py
@@ -50,7 +50,7 @@
 class ProxyUpdate(NamedTuple):
     """Everything that one decision round sends to one proxy.
 
-    A `round_number` of 0 means that the proxy does not acknowledge the update.
+    A `round_number` of 0 means that no acknowledgement is requested.
     """
 
     withdrawn: tuple[str, ...]
--- a/onyxhead/wirehost/codec.py
+++ b/onyxhead/wirehost/codec.py
@@ -166,9 +166,10 @@
 
 
 class LineFormat(NamedTuple):
-    """The format of one kind of input line: the parsers of its values in order, and the callable that takes the values.
+    """The format of one kind of input line.
 
-    With `last_has_spaces` the last value extends to the end of the line and may contain spaces.
+    `parsers` holds the parser of each value in order, and `make_message` is called with the parsed values. With
+    `last_has_spaces` the last value extends to the end of the line and may contain spaces.
     """
 
     make_message: Callable[..., WireMessage]
