--- a/onyxhead/fronts/netconf/session.py
+++ b/onyxhead/fronts/netconf/session.py
@@ -1,4 +1,4 @@
-"""One NETCONF session as a state machine: bytes in, bytes out (RFC 6241, 6242, 5277, 6022, 6243). No I/O."""
+"""A NETCONF session as a state machine without I/O (RFC 6241, 6242, 5277, 6022, 6243)."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 class NetconfSession:
-    """A session from the server's `hello` on. `write` passes bytes to the transport, `close_transport` ends it."""
+    """Handles one client's messages and sends the replies. Its creation sends the server's `hello`.
+
+    `write` passes bytes to the transport and `close_transport` closes it.
+    """
 
     def __init__(
         self,
@@ -40,26 +43,26 @@
 
     @property
     def session_id(self) -> int:
-        """The number of the session, which `kill-session` takes."""
+        """The session's number, by which `kill-session` refers to it."""
         return self.context.session_id
 
     @property
     def is_closed(self) -> bool:
-        """Whether nothing more will be received."""
+        """True once the session is over; it handles no further messages then."""
         return self.context.state is SessionState.CLOSED
 
     def terminate(self) -> None:
-        """End the session and its transport at once."""
+        """End the session and close its transport without a reply."""
         self.context.state = SessionState.CLOSED
         self._close_transport()
 
     def on_transport_closed(self) -> None:
-        """Release what the session holds, since its transport is gone."""
+        """End the session after its transport has closed, which releases its locks and subscription."""
         self.context.state = SessionState.CLOSED
         self._service.close_session(self.session_id)
 
     def receive(self, data: bytes) -> None:
-        """Handle the messages that are complete with these bytes. Broken framing ends the session without a reply."""
+        """Handle the messages that these bytes complete. Invalid framing ends the session without a reply."""
         try:
             messages = self.framing.receive(data)
             while messages:
@@ -72,7 +75,7 @@
             self.terminate()
 
     def on_notification(self, event: Notification) -> None:
-        """Send an event that the session has subscribed to."""
+        """Send an event if the session has a subscription that is not yet past its stop time."""
         subscription = self.context.subscription
         if not self.is_closed and subscription is not None and event.at <= subscription.stop_time:
             self._send(event_notification(event))
@@ -89,7 +92,13 @@
         if self.context.state is SessionState.AWAITING_HELLO:
             self._on_hello(root)
         elif local_name(root) != "rpc" or namespace_of(root) != BASE_NAMESPACE:
-            self._send_error(RpcError("operation-not-supported", "not an rpc", kind="protocol"))
+            self._send_error(
+                RpcError(
+                    "operation-not-supported",
+                    "the message is not an rpc element of the NETCONF base namespace",
+                    kind="protocol",
+                )
+            )
         else:
             self._on_rpc(root)
 
@@ -109,22 +118,24 @@
             self._close_transport()
 
     def _reply_content(self, rpc: Element) -> list[Element]:
-        requests = list(rpc)
+        operations = list(rpc)
         try:
             if rpc.get("message-id") is None:
-                raise RpcError("missing-attribute", "no message-id", kind="rpc", bad_attribute="message-id")
-            if len(requests) != 1:
-                raise RpcError("malformed-message", "an rpc holds one operation", kind="rpc")
-            return run_operation(self.context, requests[0])
+                raise RpcError(
+                    "missing-attribute", "the rpc has no message-id attribute", kind="rpc", bad_attribute="message-id"
+                )
+            if len(operations) != 1:
+                raise RpcError("malformed-message", "an rpc must contain exactly one operation", kind="rpc")
+            return run_operation(self.context, operations[0])
         except RpcError as error:
             return [rpc_error(error)]
-        except Exception as error:  # a fault of ours must not leave the client without a reply
+        except Exception as error:  # the client gets a reply even if the operation has a bug
             audit = self._service.callbacks.audit
-            audit(self.context.user, self.session_id, local_name(requests[0]), f"fault: {error!r}")
-            return [rpc_error(RpcError("operation-failed", f"internal fault: {error!r}"))]
+            audit(self.context.user, self.session_id, local_name(operations[0]), f"fault: {error!r}")
+            return [rpc_error(RpcError("operation-failed", f"internal error: {error!r}"))]
 
     def _send_replay(self) -> None:
-        """Send the events from before a new subscription; they follow its reply (RFC 5277, section 2.1.1)."""
+        """Send the replayed events of a new subscription, which must follow its reply (RFC 5277, section 2.1.1)."""
         subscription = self.context.subscription
         if subscription is None or subscription.replay is None:
             return
@@ -134,7 +145,7 @@
         self._send(replay_complete_notification(self._service.callbacks.wall_time()))
 
     def _send_error(self, error: RpcError) -> None:
-        """Send an error that belongs to no `rpc`."""
+        """Send the error for a message that is not a valid `rpc`."""
         self._send(rpc_reply(None, [rpc_error(error)]))
 
     def _send(self, root: Element) -> None:
--- a/onyxhead/fronts/netconf/session_context.py
+++ b/onyxhead/fronts/netconf/session_context.py
@@ -1,4 +1,4 @@
-"""The state of a session that its operations read and change."""
+"""The part of a session's state that operations read and change."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SessionState(Enum):
-    """How far a session is."""
+    """The stages of a session."""
 
     AWAITING_HELLO = auto()
     OPEN = auto()
@@ -22,8 +22,9 @@
 class Subscription:
     """A subscription to notifications (RFC 5277).
 
-    `stop_time` is in seconds since the epoch; `replay` are the earlier events that are still to be sent, or None if
-    no replay was requested or it is complete."""
+    `stop_time` is in seconds since the epoch. `replay` holds earlier events that are still to be sent; it is None if no
+    replay was requested or the replay is complete.
+    """
 
     stop_time: float = math.inf
     replay: list[Notification] | None = None
@@ -31,7 +32,7 @@
 
 @dataclass(slots=True)
 class SessionContext:
-    """Who the client is, the service that operations call, and what they may change in the session."""
+    """The authenticated user, the configuration service, and the session state that operations may change."""
 
     service: ConfigurationService
     user: str
