--- a/onyxhead/fronts/netconf/bounded_writer.py
+++ b/onyxhead/fronts/netconf/bounded_writer.py
@@ -1,4 +1,4 @@
-"""Writing to clients that may read too slowly."""
+"""Bounded output buffering for clients that may read too slowly."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 import asyncssh
 
 MAX_BUFFERED_BYTES = 4 * 1024 * 1024
-"""What may wait for a slow client; beyond it its session ends, so that no other session has to wait."""
+"""Limit of the output buffered for a slow client. Its session is closed beyond it, so that no other session waits."""
 
 Writer = asyncio.StreamWriter | asyncssh.SSHWriter[bytes]
 
 
 class BoundedWriter:
-    """Writes to a transport without waiting, and closes it when too much is buffered."""
+    """Writes to a transport without waiting, and closes the transport if too much output is buffered."""
 
     def __init__(self, writer: Writer, close: Callable[[], None]) -> None:
         self._writer, self._close = writer, close
 
     def write(self, data: bytes) -> None:
-        """Write, or close the transport if the client has fallen too far behind."""
+        """Write the data, or close the transport if more than MAX_BUFFERED_BYTES are buffered already."""
         if isinstance(self._writer, asyncio.StreamWriter):
             buffered = self._writer.transport.get_write_buffer_size()
         else:
--- a/onyxhead/fronts/netconf/server.py
+++ b/onyxhead/fronts/netconf/server.py
@@ -1,4 +1,4 @@
-"""NETCONF on sockets: the `netconf` subsystem of an SSH server, and TLS with certificates on both sides."""
+"""NETCONF server: the `netconf` subsystem of SSH, and TLS with client certificates."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import structlog
 
 from onyxhead.controller.configuration.service import ConfigurationService
-from onyxhead.fronts.netconf.authentication import PublicKeyAuthenticator, user_of_certificate
+from onyxhead.fronts.netconf.authentication import PublicKeyAuthenticator, user_from_certificate
 from onyxhead.fronts.netconf.bounded_writer import BoundedWriter, Writer
 from onyxhead.fronts.netconf.session import NetconfSession
 from onyxhead.settings.model import NetconfSettings
@@ -22,7 +22,7 @@
 
 
 class NetconfServer:
-    """Accepts sessions over SSH and TLS, as far as the settings open them."""
+    """Accepts NETCONF sessions over SSH, TLS or both, as the settings say."""
 
     def __init__(self, settings: NetconfSettings, service: ConfigurationService) -> None:
         self._settings, self._service = settings, service
@@ -31,7 +31,7 @@
         self.tls: asyncio.Server | None = None
 
     async def start(self, tls_context: ssl.SSLContext | None) -> None:
-        """Listen. Raises OSError for an address or a host key that can't be used."""
+        """Start listening. Raise OSError if an address or the SSH host key can't be used."""
         if self._settings.ssh is not None and self._settings.host_key is not None:
             self.ssh = await self._listen_ssh(self._settings.ssh, str(self._settings.host_key))
             log.info("netconf over ssh", port=self.ssh.get_port())
@@ -40,11 +40,11 @@
             log.info("netconf over tls", port=self.tls.sockets[0].getsockname()[1])
 
     async def replace_tls_context(self, tls_context: ssl.SSLContext) -> None:
-        """Use other keys for new handshakes; open sessions go on."""
+        """Use another certificate and key for new handshakes. Open sessions continue."""
         if self.tls is not None:
             address = self.tls.sockets[0].getsockname()[:2]
-            previous, self.tls = self.tls, await self._listen_tls(address, tls_context)
-            previous.close()
+            previous_server, self.tls = self.tls, await self._listen_tls(address, tls_context)
+            previous_server.close()
 
     def close(self) -> None:
         """Stop listening and end all sessions."""
@@ -80,9 +80,9 @@
         await self._serve(user, process.stdin.read, process.stdout, lambda: process.exit(0))
 
     async def _serve_tls(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        user = user_of_certificate(writer.get_extra_info("peercert") or {}, self._settings.users)
+        user = user_from_certificate(writer.get_extra_info("peercert") or {}, self._settings.users)
         if user is None:
-            log.warning("netconf client rejected", error="its certificate names no user")
+            log.warning("netconf client rejected", error="the client certificate names no configured user")
             writer.close()
             return
         await self._serve(user, reader.read, writer, writer.close)
@@ -101,7 +101,7 @@
                 session.receive(data)
                 await writer.drain()
         except (OSError, asyncssh.Error, asyncio.IncompleteReadError):
-            pass  # the client is gone
+            pass  # The connection is lost; the session is released below.
         finally:
             self._sessions.discard(session)
             session.on_transport_closed()
