--- a/onyxhead/fronts/netconf/framing.py
+++ b/onyxhead/fronts/netconf/framing.py
@@ -1,4 +1,4 @@
-"""Both framings of RFC 6242: the end-of-message delimiter of NETCONF 1.0 and the chunks of 1.1. No I/O."""
+"""The message framings of RFC 6242, without I/O: end-of-message delimiters (NETCONF 1.0) and chunks (1.1)."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class Framing:
-    """Turns received bytes into messages, and messages into bytes to send.
+    """Splits received bytes into messages, and encodes messages to send.
 
-    `chunked` is set once both sides have announced NETCONF 1.1."""
+    The session sets `chunked` once both sides have announced NETCONF 1.1.
+    """
 
     def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self.chunked = False
@@ -23,10 +24,11 @@
         self._message = bytearray()
 
     def receive(self, data: bytes) -> list[bytes]:
-        """Return the messages that are complete now. Raises FramingError.
+        """Add received bytes and return the messages that are now complete. Raise FramingError if they are invalid.
 
-        Without chunks it is one message at most, since that message may change the framing; `receive_buffered`
-        returns the next."""
+        In delimiter framing at most one message is returned, because a `hello` may switch the session to chunks. Call
+        `receive_buffered` for the next message.
+        """
         self._received += data
         messages = []
         while (message := self._next_message()) is not None:
@@ -36,11 +38,11 @@
         return messages
 
     def receive_buffered(self) -> list[bytes]:
-        """Return further messages that are complete already. Raises FramingError."""
+        """Return further messages that are already complete. Raise FramingError if the buffered bytes are invalid."""
         return self.receive(b"")
 
     def encode(self, message: bytes) -> bytes:
-        """Return a message as it is sent."""
+        """Return a message in the current framing."""
         if not self.chunked:
             return message + END_OF_MESSAGE
         return b"\n#%d\n%s\n##\n" % (len(message), message)
@@ -62,12 +64,12 @@
             data_start = len(header) + len(b"\n#\n")
             if header == END_OF_CHUNKS:
                 if not self._message:
-                    raise FramingError("a message of no chunks")
+                    raise FramingError("a message has no chunks")
                 del self._received[:data_start]
                 message, self._message = bytes(self._message), bytearray()
                 return message
             size = _chunk_size(header)
-            # Checked before the data arrives: a wrong size must not make us wait for it, or store it.
+            # The size is checked before the data arrives, so that an excessive size is never awaited or buffered.
             self._check_length(len(self._message) + size)
             if len(self._received) < data_start + size:
                 return None
@@ -76,22 +78,22 @@
         return None
 
     def _chunk_header(self) -> bytes | None:
-        """Return what stands between LF, # and the next LF; None if that is not complete."""
+        """Return the bytes between the leading LF and `#` and the next LF, or None if they are incomplete."""
         if bytes(self._received[:2]) not in (b"", b"\n", b"\n#"):
-            raise FramingError("a chunk does not begin with LF and #")
+            raise FramingError("a chunk header does not begin with LF and #")
         end = self._received.find(b"\n", 2)
         if end >= 0:
             return bytes(self._received[2:end])
         if len(self._received) > MAX_CHUNK_HEADER_BYTES:
-            raise FramingError("a chunk's head does not end")
+            raise FramingError(f"a chunk header is longer than {MAX_CHUNK_HEADER_BYTES} bytes")
         return None
 
     def _check_length(self, length: int) -> None:
         if length > self._max_message_bytes:
-            raise FramingError(f"a message of over {self._max_message_bytes} bytes")
+            raise FramingError(f"a message is longer than {self._max_message_bytes} bytes")
 
 
 def _chunk_size(header: bytes) -> int:
     if not header.isdigit() or header[:1] == b"0" or int(header) > MAX_CHUNK_BYTES:
-        raise FramingError(f"{header[:20]!r} is no chunk size")
+        raise FramingError(f"invalid chunk size {header[:20]!r}")
     return int(header)
