--- a/onyxhead/fronts/netconf/filters.py
+++ b/onyxhead/fronts/netconf/filters.py
@@ -1,4 +1,4 @@
-"""Filters of `get` and `get-config`: subtree (RFC 6241, section 6) and XPath (section 8.9)."""
+"""Filters for `get` and `get-config`: subtree (RFC 6241, section 6) and XPath (section 8.9)."""
 
 from __future__ import annotations
 
@@ -17,34 +17,36 @@
 )
 
 DEFAULT_XPATH_NAMESPACES = {"oh": FLEET_NAMESPACE}
-"""For expressions in a filter that declares no prefix of its own."""
+"""Prefixes for the XPath expression of a filter that declares none itself."""
 LIST_KEY_TAGS = {f"{{{FLEET_NAMESPACE}}}{key}" for key in ("name", "id")}
 
 
 def filtered_data(request: Element, roots: list[Element]) -> Element:
-    """Return a `data` element with what the request's filter selects of these; all, without a filter."""
+    """Return a `data` element with the parts of `roots` that the request's filter selects, or all without a filter."""
     data = new_element("data")
     data.extend(_select(find_child(request, "filter"), roots))
     return data
 
 
-def _select(selection: Element | None, roots: list[Element]) -> list[Element]:
-    if selection is None:
+def _select(filter_element: Element | None, roots: list[Element]) -> list[Element]:
+    if filter_element is None:
         return roots
-    match selection.get("type", "subtree"):
+    match filter_element.get("type", "subtree"):
         case "xpath":
-            return _select_by_xpath(selection, roots)
+            return _select_by_xpath(filter_element, roots)
         case "subtree":
-            return _select_by_subtrees(selection, roots)
-        case kind:
-            raise RpcError("bad-attribute", f"a filter of type {kind!r}", kind="protocol", bad_attribute="type")
+            return _select_by_subtrees(filter_element, roots)
+        case filter_type:
+            raise RpcError(
+                "bad-attribute", f"unsupported filter type {filter_type!r}", kind="protocol", bad_attribute="type"
+            )
 
 
-def _select_by_subtrees(selection: Element, roots: list[Element]) -> list[Element]:
-    """Return of each root what the first subtree that fits it selects."""
+def _select_by_subtrees(filter_element: Element, roots: list[Element]) -> list[Element]:
+    """Return the part of each root that the filter selects, by its first subtree that selects anything there."""
     selected = []
     for root in roots:
-        matches = (filter_subtree(root, subtree) for subtree in selection)
+        matches = (filter_subtree(root, subtree) for subtree in filter_element)
         match = next((match for match in matches if match is not None), None)
         if match is not None:
             selected.append(match)
@@ -52,7 +54,7 @@
 
 
 def filter_subtree(data: Element, subtree: Element) -> Element | None:
-    """Return what one subtree of a filter selects of a data element; None for nothing."""
+    """Return the part of a data element that one subtree of a filter selects, or None if it selects nothing."""
     if local_name(subtree) != local_name(data):
         return None
     if namespace_of(subtree) and namespace_of(subtree) != namespace_of(data):
@@ -81,11 +83,11 @@
     )
 
 
-def _select_by_xpath(selection: Element, roots: list[Element]) -> list[Element]:
-    """Return the nodes that an expression selects, with their ancestors and the keys of the lists on the way."""
+def _select_by_xpath(filter_element: Element, roots: list[Element]) -> list[Element]:
+    """Return the selected elements with their descendants, their ancestors, and the keys of enclosing list entries."""
     document = new_element("root", "")
     document.extend(roots)
-    selected = _evaluate_xpath(selection, document)
+    selected = _evaluate_xpath(filter_element, document)
     kept = set(selected)
     for element in selected:
         kept |= set(element.iter()) | set(element.iterancestors())
@@ -97,12 +99,12 @@
     return list(document)
 
 
-def _evaluate_xpath(selection: Element, document: Element) -> list[Element]:
-    namespaces = {prefix: uri for prefix, uri in (selection.nsmap or {}).items() if prefix}
+def _evaluate_xpath(filter_element: Element, document: Element) -> list[Element]:
+    namespaces = {prefix: uri for prefix, uri in (filter_element.nsmap or {}).items() if prefix}
     try:
-        selected = document.xpath(selection.get("select", ""), namespaces=namespaces or DEFAULT_XPATH_NAMESPACES)
+        selected = document.xpath(filter_element.get("select", ""), namespaces=namespaces or DEFAULT_XPATH_NAMESPACES)
     except etree.XPathError as error:
-        raise RpcError("invalid-value", f"XPath: {error}", kind="protocol") from error
-    if not isinstance(selected, list) or not all(etree.iselement(each) for each in selected):
-        raise RpcError("invalid-value", "the expression selects no nodes", kind="protocol")
+        raise RpcError("invalid-value", f"invalid XPath expression: {error}", kind="protocol") from error
+    if not isinstance(selected, list) or not all(etree.iselement(item) for item in selected):
+        raise RpcError("invalid-value", "the result of the XPath expression is not a set of elements", kind="protocol")
     return selected
--- a/onyxhead/fronts/netconf/retrieval.py
+++ b/onyxhead/fronts/netconf/retrieval.py
@@ -1,4 +1,4 @@
-"""Operations that read: `get`, `get-config` (RFC 6241), `get-schema` (RFC 6022)."""
+"""Operations that only read: `get`, `get-config` (RFC 6241) and `get-schema` (RFC 6022)."""
 
 from __future__ import annotations
 
@@ -38,22 +38,22 @@
         text_parameter(request, name, MONITORING_NAMESPACE) for name in ("identifier", "version", "format")
     )
     if identifier != schema.MODULE or version not in ("", schema.REVISION):
-        raise RpcError("invalid-value", f"there is no schema {identifier!r}", kind="protocol")
-    require_one_of(schema_format, ("", SCHEMA_FORMAT), f"no format {schema_format!r}")
+        raise RpcError("invalid-value", f"unknown schema {identifier!r} or version {version!r}", kind="protocol")
+    require_one_of(schema_format, ("", SCHEMA_FORMAT), f"unsupported schema format {schema_format!r}")
     return [new_element("data", MONITORING_NAMESPACE, schema.yang_module_text())]
 
 
 def _configuration(context: SessionContext, datastore: str, request: Element) -> list[Element]:
-    """Return the datastore's tree as far as the user may read it; nothing for an empty datastore."""
+    """Return the part of a datastore that the user may read, as one element; no element for an empty datastore."""
     mode = text_parameter(request, "with-defaults", WITH_DEFAULTS_NAMESPACE) or "explicit"
-    require_one_of(mode, WITH_DEFAULTS_MODES, f"with-defaults {mode!r} is not served")
-    root = schema.config_schema()
-    tree = with_defaults(root, context.service.datastores.get(datastore), mode)
-    return [tree_element(root, _readable_part(context, root, tree, CONFIG_PATH))] if tree else []
+    require_one_of(mode, WITH_DEFAULTS_MODES, f"unsupported with-defaults mode {mode!r}")
+    config_schema = schema.config_schema()
+    tree = with_defaults(config_schema, context.service.datastores.get(datastore), mode)
+    return [tree_element(config_schema, _readable_part(context, config_schema, tree, CONFIG_PATH))] if tree else []
 
 
 def _readable_part(context: SessionContext, node: Node, tree: Tree, path: str) -> Tree:
-    """Return what the user may read of a container or list entry; keys of a list are always kept."""
+    """Return the part of a container or list entry that the user may read. List keys are always readable."""
     readable: Tree = {}
     for name, value in tree.items():
         child, child_path = node.children[name], f"{path}/{name}"
