--- a/onyxhead/fronts/netconf/commits.py
+++ b/onyxhead/fronts/netconf/commits.py
@@ -1,4 +1,4 @@
-"""Operations on commits: `commit` and `cancel-commit`, confirmed or not (RFC 6241, section 8.4)."""
+"""The operations `commit` and `cancel-commit`, with confirmed commits (RFC 6241, section 8.4)."""
 
 from __future__ import annotations
 
@@ -12,19 +12,26 @@
 
 
 def commit(context: SessionContext, request: Element) -> list[Element]:
-    """Put the candidate datastore into effect; a confirmed commit is rolled back unless another one follows in time."""
+    """Commit the candidate datastore.
+
+    A confirmed commit is rolled back unless another commit confirms it within `confirm-timeout` seconds.
+    """
     timeout = text_parameter(request, "confirm-timeout") or str(CONFIRM_TIMEOUT)
     if not timeout.isdigit() or not 0 < int(timeout) <= MAX_CONFIRM_TIMEOUT_S:
-        raise RpcError("invalid-value", f"confirm-timeout {timeout!r}", kind="protocol")
+        raise RpcError(
+            "invalid-value",
+            f"confirm-timeout {timeout!r} is not a number of seconds from 1 to {MAX_CONFIRM_TIMEOUT_S}",
+            kind="protocol",
+        )
     confirmed = find_child(request, "confirmed") is not None
     persist, persist_id = text_parameter(request, "persist"), text_parameter(request, "persist-id")
     if persist and not confirmed:
-        raise RpcError("invalid-value", "persist goes with confirmed", kind="protocol")
+        raise RpcError("invalid-value", "persist requires confirmed", kind="protocol")
     context.service.commit(context.user, context.session_id, confirmed, int(timeout), persist, persist_id)
     return []
 
 
 def cancel_commit(context: SessionContext, request: Element) -> list[Element]:
-    """Roll a confirmed commit back."""
+    """Roll back a confirmed commit that is not yet confirmed."""
     context.service.cancel(context.user, context.session_id, text_parameter(request, "persist-id"))
     return []
--- a/onyxhead/fronts/netconf/editing.py
+++ b/onyxhead/fronts/netconf/editing.py
@@ -1,4 +1,4 @@
-"""Operations that change, check and lock datastores (RFC 6241, sections 7.2 to 7.6, 8.3 and 8.6)."""
+"""Operations that change, validate and lock datastores (RFC 6241, sections 7.2 to 7.6, 8.3 and 8.6)."""
 
 from __future__ import annotations
 
@@ -16,14 +16,17 @@
 
 
 def edit_config(context: SessionContext, request: Element) -> list[Element]:
-    """Edit a datastore. An edit is applied as a whole or not at all, whichever `error-option` is given."""
+    """Edit a datastore.
+
+    The edit is applied completely or not at all: every `error-option` has the effect of `rollback-on-error`.
+    """
     target = datastore_parameter(request, "target")
     default_operation = text_parameter(request, "default-operation") or "merge"
     test_option = text_parameter(request, "test-option") or "test-then-set"
     error_option = text_parameter(request, "error-option") or "stop-on-error"
-    require_one_of(default_operation, DEFAULT_OPERATIONS, "default-operation or test-option")
-    require_one_of(test_option, TEST_OPTIONS, "default-operation or test-option")
-    require_one_of(error_option, ERROR_OPTIONS, "error-option")
+    require_one_of(default_operation, DEFAULT_OPERATIONS, f"unsupported default-operation {default_operation!r}")
+    require_one_of(test_option, TEST_OPTIONS, f"unsupported test-option {test_option!r}")
+    require_one_of(error_option, ERROR_OPTIONS, f"unsupported error-option {error_option!r}")
     edit = _requested_edit(request)
     context.service.edit(context.user, context.session_id, target, edit, default_operation, test_option)
     return []
@@ -32,17 +35,17 @@
 def _requested_edit(request: Element) -> Edit:
     config = find_child(request, "config")
     if config is None:
-        raise RpcError("missing-element", "no config", kind="protocol", bad_element="config")
+        raise RpcError("missing-element", "the config parameter is missing", kind="protocol", bad_element="config")
     edits = read_edits(config, schema.config_schema())
     if len(edits) > 1:
-        raise RpcError("malformed-message", "one fleet is edited at a time")
+        raise RpcError("malformed-message", "config contains more than one fleet element")
     edit = edits[0] if edits else Edit("fleet")
-    # The root container can't be absent: to delete it is to leave it empty.
+    # The root container always exists, so deleting it leaves an empty container.
     return Edit("fleet", "replace") if edit.operation in ("delete", "remove") else edit
 
 
 def copy_config(context: SessionContext, request: Element) -> list[Element]:
-    """Replace a datastore by another one or by the configuration in the request."""
+    """Replace the content of a datastore by that of another one or by the configuration in the request."""
     target, tree = datastore_parameter(request, "target"), _source_tree(context, request)
     service = context.service
     service.replace(context.user, context.session_id, target, service.datastores.get(target), tree)
@@ -50,18 +53,21 @@
 
 
 def delete_config(context: SessionContext, request: Element) -> list[Element]:
-    """Reset the startup datastore, the only one that can be deleted, to the oldest commit: the settings file's."""
+    """Reset the startup datastore to the oldest commit, which holds the configuration from the settings file.
+
+    No other datastore can be deleted.
+    """
     target = datastore_parameter(request, "target")
     if target != STARTUP:
-        raise RpcError("operation-not-supported", f"{target} can't be deleted", kind="protocol")
+        raise RpcError("operation-not-supported", f"the {target} datastore can't be deleted", kind="protocol")
     datastores = context.service.datastores
-    oldest = datastores.commits[min(datastores.commits)].tree
-    context.service.replace(context.user, context.session_id, target, datastores.startup, oldest)
+    oldest_tree = datastores.commits[min(datastores.commits)].tree
+    context.service.replace(context.user, context.session_id, target, datastores.startup, oldest_tree)
     return []
 
 
 def validate(context: SessionContext, request: Element) -> list[Element]:
-    """Check a datastore or the configuration in the request against the schema."""
+    """Validate a datastore or the configuration in the request."""
     context.service.datastores.check(_source_tree(context, request))
     return []
 
@@ -82,7 +88,7 @@
 
 
 def unlock(context: SessionContext, request: Element) -> list[Element]:
-    """Release this session's lock of a datastore."""
+    """Release this session's lock on a datastore."""
     context.service.datastores.unlock(context.session_id, datastore_parameter(request, "target"))
     return []
 
