--- a/onyxhead/fronts/netconf/operations.py
+++ b/onyxhead/fronts/netconf/operations.py
@@ -1,4 +1,4 @@
-"""The operations that are served, by the names that requests have for them."""
+"""The supported operations by name, and their dispatch."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from onyxhead.fronts.netconf.xml_elements import Element, local_name, new_element
 
 Operation = Callable[[SessionContext, Element], list[Element]]
-"""From the request's element to the content of the reply, where nothing stands for `ok`. Raises RpcError."""
+"""Takes the operation's element and returns the content of the reply; an empty list means `ok`. Raises RpcError."""
 
 OPERATIONS: dict[str, Operation] = {
     "get": retrieval.get,
@@ -32,10 +32,13 @@
 
 
 def run_operation(context: SessionContext, request: Element) -> list[Element]:
-    """Run the operation that a request's element names and return the content of the reply. Raises RpcError."""
+    """Run the operation that an element names and return the content of the reply.
+
+    Raise RpcError if the operation is unknown, denied to the user, or fails.
+    """
     name = local_name(request)
     operation = OPERATIONS.get(name)
     if operation is None:
-        raise RpcError("operation-not-supported", f"{name} is not served", kind="protocol")
+        raise RpcError("operation-not-supported", f"operation {name!r} is not supported", kind="protocol")
     context.service.access.authorize_operation(context.user, name)
     return operation(context, request) or [new_element("ok")]
