--- a/onyxhead/fronts/netconf/capabilities.py
+++ b/onyxhead/fronts/netconf/capabilities.py
@@ -1,4 +1,4 @@
-"""The capabilities of a session and the exchange of `hello` messages (RFC 6241, section 8.1)."""
+"""The server's capabilities and the `hello` messages that exchange them (RFC 6241, section 8.1)."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def hello_message(session_id: int) -> Element:
-    """Return the server's `hello`."""
+    """Return the server's `hello`, with its capabilities and the session's id."""
     hello = new_element("hello")
     capabilities = add_child(hello, "capabilities")
     for capability in CAPABILITIES:
@@ -43,7 +43,10 @@
 
 
 def read_client_hello(root: Element) -> set[str] | None:
-    """Return the capabilities of a client's `hello`; None for a message that no session can begin with."""
+    """Return the capabilities in a client's `hello`, or None if the message is invalid as the first of a session.
+
+    The message is invalid if it is no `hello`, has a `session-id`, or announces neither NETCONF 1.0 nor 1.1.
+    """
     capabilities = {text_of(element) for element in root.iter(f"{{{BASE_NAMESPACE}}}capability")}
     is_hello = local_name(root) == "hello" and find_child(root, "session-id") is None
     return capabilities if is_hello and capabilities & {BASE_1_0, BASE_1_1} else None
--- a/onyxhead/fronts/netconf/messages.py
+++ b/onyxhead/fronts/netconf/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the client: `rpc-reply` with or without `rpc-error` (RFC 6241), and `notification` (RFC 5277)."""
+"""The messages that a client receives: `rpc-reply` and `rpc-error` (RFC 6241), `notification` (RFC 5277)."""
 
 from __future__ import annotations
 
@@ -16,11 +16,14 @@
 )
 
 APP_TAG = "app_tag"
-"""The one entry of an RpcError's information that is not part of `error-info`."""
+"""Key in `RpcError.info` that is sent as `error-app-tag` rather than within `error-info`."""
 
 
 def rpc_reply(rpc: Element | None, content: Iterable[Element]) -> Element:
-    """Return the reply to an `rpc`, with its attributes; `rpc` is None for a message that was none."""
+    """Return the reply to an `rpc`, with the attributes of the `rpc` copied to it.
+
+    `rpc` is None if the reply reports an error in a message that is not an `rpc`.
+    """
     reply = new_element("rpc-reply")
     if rpc is not None:
         for name, value in rpc.attrib.items():
@@ -30,7 +33,7 @@
 
 
 def rpc_error(error: RpcError) -> Element:
-    """Return the `rpc-error` element for an error (RFC 6241, section 4.3)."""
+    """Return an error as an `rpc-error` element (RFC 6241, section 4.3)."""
     element = new_element("rpc-error")
     add_child(element, "error-type", error.kind)
     add_child(element, "error-tag", error.tag)
@@ -39,7 +42,7 @@
         add_child(element, "error-app-tag", error.info[APP_TAG])
     if error.path:
         add_child(element, "error-path", error.path)
-    add_child(element, "error-message", "".join(letter for letter in error.text if letter.isprintable()))
+    add_child(element, "error-message", "".join(character for character in error.text if character.isprintable()))
     info = {name: value for name, value in error.info.items() if name != APP_TAG}
     if info:
         info_element = add_child(element, "error-info")
@@ -49,7 +52,7 @@
 
 
 def event_notification(event: Notification) -> Element:
-    """Return the message for an event of the configuration service."""
+    """Return the notification of an event from the configuration service."""
     body = new_element(event.name, FLEET_NAMESPACE)
     for name, value in event.values.items():
         for item in value if isinstance(value, list) else [value]:
@@ -58,13 +61,13 @@
 
 
 def replay_complete_notification(at: float) -> Element:
-    """Return the message that follows the last event of a replay; `at` is in seconds since the epoch."""
+    """Return the notification that ends a replay; `at` is in seconds since the epoch."""
     return _notification(at, new_element("replayComplete", NOTIFICATION_NAMESPACE))
 
 
 def _notification(at: float, body: Element) -> Element:
     root = new_element("notification", NOTIFICATION_NAMESPACE)
-    time = datetime.datetime.fromtimestamp(at, datetime.UTC).isoformat(timespec="milliseconds")
-    add_child(root, "eventTime", time.replace("+00:00", "Z"))
+    event_time = datetime.datetime.fromtimestamp(at, datetime.UTC).isoformat(timespec="milliseconds")
+    add_child(root, "eventTime", event_time.replace("+00:00", "Z"))
     root.append(body)
     return root
--- a/onyxhead/fronts/netconf/schema.py
+++ b/onyxhead/fronts/netconf/schema.py
@@ -1,4 +1,4 @@
-"""The YANG module as the configuration service's schema; yangson reads it and validates data trees."""
+"""The configuration service's schema, read from the YANG module with yangson, and validation against it."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 @cache
-def _yang_folder() -> Path:
+def _yang_directory() -> Path:
     return Path(str(resources.files("onyxhead.fronts.netconf").joinpath("yang")))
 
 
 def yang_module_text() -> str:
-    """Return the text of the YANG module, which `get-schema` serves."""
-    return _yang_folder().joinpath(f"{MODULE}@{REVISION}.yang").read_text(encoding="utf-8")
+    """Return the text of the YANG module."""
+    return _yang_directory().joinpath(f"{MODULE}@{REVISION}.yang").read_text(encoding="utf-8")
 
 
 @cache
 def _data_model() -> DataModel:
     module = {"name": MODULE, "revision": REVISION, "namespace": NAMESPACE, "conformance-type": "implement"}
     library = {"ietf-yang-library:modules-state": {"module-set-id": REVISION, "module": [module]}}
-    return DataModel(json.dumps(library), [str(_yang_folder())])
+    return DataModel(json.dumps(library), [str(_yang_directory())])
 
 
 @cache
@@ -60,9 +60,9 @@
 
 
 def _leaf_parser(data_type: DataType) -> Callable[[str], Any]:
-    """Return a function from a leaf's text to its JSON value (RFC 7951), or None for a text that is no value."""
+    """Return a function that converts a leaf's text to its JSON value (RFC 7951), or to None if the text is invalid."""
 
-    def parse(text: str) -> Any:  # noqa: ANN401  # a JSON value of whichever type the schema says
+    def parse(text: str) -> Any:  # noqa: ANN401  # the JSON type depends on the schema
         value = data_type.parse_value(text)
         try:
             return data_type.to_raw(value) if value is not None and value in data_type else None
@@ -73,7 +73,7 @@
 
 
 def validate_tree(tree: Tree) -> None:
-    """Raise RpcError for a tree that breaks the schema: a missing node, a value out of range, a failed `must`."""
+    """Raise RpcError if a tree violates the schema: a missing node, a value out of range, a failed `must`."""
     try:
         _data_model().from_raw({f"{MODULE}:fleet": tree}).validate(ctype=ContentType.config)
     except SemanticError as error:
@@ -83,5 +83,5 @@
         path = error.instance.json_pointer() if getattr(error, "instance", None) else ""
         tag = "data-missing" if getattr(error, "tag", "") == "missing-data" else "invalid-value"
         raise RpcError(tag, str(getattr(error, "message", "") or error), path) from error
-    except Exception as error:  # yangson's exceptions have no common base
+    except Exception as error:  # yangson's exceptions have no common base class
         raise RpcError("operation-failed", f"{type(error).__name__}: {error}") from error
