--- a/tests/test_netconf.py
+++ b/tests/test_netconf.py
@@ -1,4 +1,4 @@
-"""NETCONF: framing, XML, sessions, and the whole way from a client library (ncclient) to a proxy's file."""
+"""Tests of NETCONF: framing, XML, sessions, and end-to-end runs from a client (ncclient) to a proxy's file."""
 
 from __future__ import annotations
 
@@ -39,26 +39,28 @@
 
 
 @given(
-    st.lists(st.binary(min_size=1, max_size=60).filter(lambda b: END_OF_MESSAGE not in b), max_size=5),
+    st.lists(st.binary(min_size=1, max_size=60).filter(lambda message: END_OF_MESSAGE not in message), max_size=5),
     st.integers(1, 9),
 )
-def test_messages_are_decoded_however_the_bytes_are_split(messages: list[bytes], piece_length: int) -> None:
+def test_messages_are_decoded_for_any_split_of_the_bytes(messages: list[bytes], piece_length: int) -> None:
     for chunked in (False, True):
         sender, receiver = Framing(), Framing()
         sender.chunked = receiver.chunked = chunked
         data = b"".join(sender.encode(message) for message in messages)
-        found: list[bytes] = []
-        for place in range(0, len(data), piece_length):
-            part = receiver.receive(data[place : place + piece_length])
-            while part:
-                found += part
-                part = receiver.receive_buffered()
-        assert found == [m for m in messages] or (not chunked and any(m.endswith(b"]") for m in messages))
+        decoded: list[bytes] = []
+        for start in range(0, len(data), piece_length):
+            complete = receiver.receive(data[start : start + piece_length])
+            while complete:
+                decoded += complete
+                complete = receiver.receive_buffered()
+        assert decoded == [message for message in messages] or (
+            not chunked and any(message.endswith(b"]") for message in messages)
+        )
 
 
 @settings(max_examples=200)
 @given(st.binary(max_size=300), st.booleans())
-def test_random_bytes_at_most_end_the_session(data: bytes, chunked: bool) -> None:
+def test_random_bytes_never_raise_and_can_only_end_the_session(data: bytes, chunked: bool) -> None:
     session, _, closed = new_session()
     session.framing.chunked = chunked
     if chunked:
@@ -161,32 +163,32 @@
         ),
     ],
 )
-def test_errors_are_replied_with_the_tag_of_the_rfc_and_the_session_goes_on(body: str, tag: str) -> None:
+def test_an_error_reply_has_the_error_tag_of_the_rfc_and_the_session_continues(body: str, tag: str) -> None:
     session, sent = open_session()
     assert f"<error-tag>{tag}</error-tag>" in send_rpc(session, sent, body)
     assert "<ok/>" in send_rpc(session, sent, "<discard-changes/>")
 
 
-def test_a_message_id_is_required_and_attributes_are_returned() -> None:
+def test_an_rpc_needs_a_message_id_and_its_attributes_are_copied_to_the_reply() -> None:
     session, sent = open_session()
     assert "missing-attribute" in send_rpc(session, sent, "<discard-changes/>", "")
     assert 'x="y"' in send_rpc(session, sent, "<discard-changes/>", 'message-id="7" x="y"')
 
 
-def test_subtree_and_xpath_filters() -> None:
+def test_subtree_and_xpath_filters_select_parts_of_the_data() -> None:
     session, sent = open_session()
     reply = send_rpc(session, sent, f'<get><filter><fleet-state xmlns="{FLEET_NAMESPACE}"/></filter></get>')
     assert "<epoch>3</epoch>" in reply and "latency-budget" not in reply
-    by_key = f'<fleet xmlns="{FLEET_NAMESPACE}"><group><name>%s</name></group></fleet>'
+    group_subtree = f'<fleet xmlns="{FLEET_NAMESPACE}"><group><name>%s</name></group></fleet>'
     request = "<get-config><source><running/></source><filter>%s</filter></get-config>"
-    assert "latency-budget" in send_rpc(session, sent, request % (by_key % "read"))
-    assert "latency-budget" not in send_rpc(session, sent, request % (by_key % "other"))
-    xpath = f'<get><filter xmlns:o="{FLEET_NAMESPACE}" type="xpath" select="//o:group/o:expiry"/></get>'
-    reply = send_rpc(session, sent, xpath)
+    assert "latency-budget" in send_rpc(session, sent, request % (group_subtree % "read"))
+    assert "latency-budget" not in send_rpc(session, sent, request % (group_subtree % "other"))
+    xpath_request = f'<get><filter xmlns:o="{FLEET_NAMESPACE}" type="xpath" select="//o:group/o:expiry"/></get>'
+    reply = send_rpc(session, sent, xpath_request)
     assert "<expiry>10000</expiry>" in reply and "<name>read</name>" in reply and "latency-budget" not in reply
 
 
-def test_notifications_are_replayed_and_then_sent_as_they_happen() -> None:
+def test_a_subscription_replays_old_notifications_and_then_sends_new_ones() -> None:
     session, sent = open_session()
     session.context.service.notify("orders-sent", {"turn": 1, "cause": ["x"]})
     start = "<startTime>2020-01-01T00:00:00Z</startTime>"
@@ -199,7 +201,7 @@
     assert b"<turn>2</turn>" in sent[0]
 
 
-def test_a_session_that_ends_within_a_message_releases_its_locks_and_candidate() -> None:
+def test_a_session_that_ends_amid_a_message_releases_its_locks_and_resets_the_candidate() -> None:
     session, sent = open_session()
     send_rpc(session, sent, "<lock><target><candidate/></target></lock>")
     config = f'<config><fleet xmlns="{FLEET_NAMESPACE}">{backend_xml("b1")}</fleet></config>'
@@ -210,36 +212,36 @@
     assert datastores.locks == {} and datastores.candidate == datastores.running == TREE
 
 
-def test_idle_sessions_and_a_client_that_reads_nothing_do_not_delay_others() -> None:
+def test_idle_sessions_and_a_client_that_reads_nothing_do_not_delay_other_sessions() -> None:
     session, sent = open_session()
     service, closed = session.context.service, list[bool]()
     idle = [NetconfSession(service, "u", lambda _: None, lambda: None) for _ in range(200)]
 
     class StalledWriter:
-        """Buffers everything, as for a client that reads nothing."""
+        """A channel whose buffer only grows, because the client reads nothing."""
 
         def __init__(self) -> None:
-            self.channel, self.size = self, 0
+            self.channel, self.buffered_bytes = self, 0
 
         def get_write_buffer_size(self) -> int:
-            return self.size
+            return self.buffered_bytes
 
         def write(self, data: bytes) -> None:
-            self.size += len(data)
+            self.buffered_bytes += len(data)
 
     stalled = StalledWriter()
     slow = NetconfSession(service, "u", BoundedWriter(stalled, lambda: closed.append(True)).write, lambda: None)  # type: ignore[arg-type]
-    for each in (session, slow):
-        each.context.state, each.context.subscription = SessionState.OPEN, Subscription()
-        service.listeners[each.session_id] = each.on_notification
+    for subscriber in (session, slow):
+        subscriber.context.state, subscriber.context.subscription = SessionState.OPEN, Subscription()
+        service.listeners[subscriber.session_id] = subscriber.on_notification
     sent.clear()
-    for turn in range(60):
-        service.notify("orders-sent", {"turn": turn, "cause": ["x" * 100_000]})
-    assert closed and stalled.size < 5 * 1024 * 1024 and len(sent) == 60
-    assert len({each.session_id for each in idle}) == 200 and "<ok/>" in send_rpc(session, sent, "<discard-changes/>")
+    for round_number in range(60):
+        service.notify("orders-sent", {"turn": round_number, "cause": ["x" * 100_000]})
+    assert closed and stalled.buffered_bytes < 5 * 1024 * 1024 and len(sent) == 60
+    assert len({item.session_id for item in idle}) == 200 and "<ok/>" in send_rpc(session, sent, "<discard-changes/>")
 
 
-# End to end: a client library, SSH, the controller, the agent's stream, the proxy's file
+# End to end: client library, SSH, controller, agent, proxy file
 
 NETCONF_SETTINGS = """
 netconf: {
@@ -250,20 +252,20 @@
 """
 
 
-def drain_xml(name: str, value: str = "true") -> str:
-    entry = f"<backend><id>{name}</id><drained>{value}</drained></backend>"
-    return f'<config xmlns="{BASE_NAMESPACE}"><fleet xmlns="{FLEET_NAMESPACE}">{entry}</fleet></config>'
+def drain_xml(backend_id: str, drained: str = "true") -> str:
+    backend = f"<backend><id>{backend_id}</id><drained>{drained}</drained></backend>"
+    return f'<config xmlns="{BASE_NAMESPACE}"><fleet xmlns="{FLEET_NAMESPACE}">{backend}</fleet></config>'
 
 
-def test_a_drain_over_netconf_reaches_the_proxys_file_and_an_unconfirmed_commit_is_rolled_back(
+def test_a_committed_drain_reaches_the_proxy_file_and_an_unconfirmed_commit_is_rolled_back(
     tmp_path: Path,
 ) -> None:
-    key = asyncssh.generate_private_key("ssh-ed25519")
+    user_key = asyncssh.generate_private_key("ssh-ed25519")
     for name in ("host", "user"):
-        (asyncssh.generate_private_key("ecdsa-sha2-nistp256") if name == "host" else key).write_private_key(
+        (asyncssh.generate_private_key("ecdsa-sha2-nistp256") if name == "host" else user_key).write_private_key(
             tmp_path / name
         )
-    public = key.export_public_key("openssh").decode().strip()
+    public_key = user_key.export_public_key("openssh").decode().strip()
 
     def connect(port: int, user: str = "op") -> Any:
         return manager.connect(
@@ -277,16 +279,16 @@
             timeout=10,
         )
 
-    async def work(running: LoopbackRig) -> None:
-        running.extra_settings = NETCONF_SETTINGS % (public, public)
-        controller = await running.controller()
+    async def scenario(rig: LoopbackRig) -> None:
+        rig.extra_settings = NETCONF_SETTINGS % (public_key, public_key)
+        controller = await rig.controller()
         port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
-        await running.agent("p1", port)
+        await rig.agent("p1", port)
         await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001, 9002, 9003})
         assert controller.netconf is not None
         await wait_until(lambda: controller.netconf.ssh)
-        ssh = controller.netconf.ssh.get_port()  # type: ignore[union-attr]
-        client = await asyncio.to_thread(connect, ssh)
+        ssh_port = controller.netconf.ssh.get_port()  # type: ignore[union-attr]
+        client = await asyncio.to_thread(connect, ssh_port)
         assert "urn:ietf:params:netconf:base:1.1" in client.server_capabilities
         await asyncio.to_thread(client.edit_config, drain_xml("b2"), target="candidate")
         await asyncio.sleep(0.1)
@@ -309,59 +311,59 @@
         schema_text = await asyncio.to_thread(client.get_schema, "onyxhead-fleet")
         assert "module onyxhead-fleet" in schema_text.data
         await asyncio.to_thread(client.close_session)
-        client = await asyncio.to_thread(connect, ssh, "viewer")
-        with pytest.raises(RPCError) as caught:
+        client = await asyncio.to_thread(connect, ssh_port, "viewer")
+        with pytest.raises(RPCError) as rejection:
             await asyncio.to_thread(client.edit_config, drain_xml("b1"), target="candidate")
-        assert caught.value.tag == "access-denied"
+        assert rejection.value.tag == "access-denied"
         await asyncio.to_thread(client.close_session)
         controller.supervisor.stopping.set()
-        await wait_until(lambda: running.tasks[0].done())
-        second = await running.controller()
-        assert second.configuration is not None and second.configuration.datastores.running["backend"] == [
+        await wait_until(lambda: rig.tasks[0].done())
+        restarted = await rig.controller()
+        assert restarted.configuration is not None and restarted.configuration.datastores.running["backend"] == [
             {"id": "b2", "drained": True}
         ]
-        audit = second.store._query("select user, what, result from audit order by number")
-        assert ("op", "commit", "refused: group 'read' would have no warm backend (rule 1)") in audit
+        audit_entries = restarted.store._query("select user, what, result from audit order by number")
+        assert ("op", "commit", "refused: group 'read' would have no warm backend (rule 1)") in audit_entries
 
-    run_scenario(tmp_path, work)
+    run_scenario(tmp_path, scenario)
 
 
-def test_commits_amid_list_changes_and_reconnecting_proxies_converge(tmp_path: Path) -> None:
-    async def work(running: LoopbackRig) -> None:
+def test_proxies_converge_after_commits_amid_endpoint_list_changes_and_reconnects(tmp_path: Path) -> None:
+    async def scenario(rig: LoopbackRig) -> None:
         (tmp_path / "host").write_bytes(asyncssh.generate_private_key("ecdsa-sha2-nistp256").export_private_key())
-        running.extra_settings = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
-        controller = await running.controller()
+        rig.extra_settings = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
+        controller = await rig.controller()
         port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
-        agent = await running.agent("p1", port)
+        agent = await rig.agent("p1", port)
         await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3)
         service = controller.configuration
         assert service is not None
         service.access.rules = (PERMIT_ALL,)
-        for turn in range(6):
-            drained = "true" if turn % 2 == 0 else "false"
-            fourth = {"id": "b4", "address": "127.0.0.1:9004", "zone": "north", "state": "ready"}
-            write_endpoint_list(tmp_path, 2 + turn, [*BACKENDS, fourth] if turn % 3 else BACKENDS)
+        for step in range(6):
+            drained = "true" if step % 2 == 0 else "false"
+            fourth_backend = {"id": "b4", "address": "127.0.0.1:9004", "zone": "north", "state": "ready"}
+            write_endpoint_list(tmp_path, 2 + step, [*BACKENDS, fourth_backend] if step % 3 else BACKENDS)
             agent.session.disconnected.set()
-            text = backend_xml("b2", "", f"<drained>{drained}</drained>")
-            service.datastores.put(1, "candidate", edited_tree(text, tree=service.datastores.running))
-            await asyncio.sleep(0.02 * turn)
+            drain_edit = backend_xml("b2", "", f"<drained>{drained}</drained>")
+            service.datastores.put(1, "candidate", edited_tree(drain_edit, tree=service.datastores.running))
+            await asyncio.sleep(0.02 * step)
             service.commit("u", 1)
         await wait_until(lambda: usable_ports(tmp_path, "p1") == {9001, 9002, 9003, 9004}, 12.0)
-        number = controller.core.proxy_number("p1")
-        await wait_until(lambda: controller.core.proxy_tables.views[number].etag == agent.replica.view.etag)
+        proxy_number = controller.core.proxy_number("p1")
+        await wait_until(lambda: controller.core.proxy_tables.views[proxy_number].etag == agent.replica.view.etag)
 
-    run_scenario(tmp_path, work)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_change_of_safety_limits_restarts_the_policy_and_proxies_get_the_same_lines(tmp_path: Path) -> None:
-    async def work(running: LoopbackRig) -> None:
+def test_changed_safety_limits_restart_the_policy_and_proxies_keep_the_same_lines(tmp_path: Path) -> None:
+    async def scenario(rig: LoopbackRig) -> None:
         (tmp_path / "host").write_bytes(asyncssh.generate_private_key("ecdsa-sha2-nistp256").export_private_key())
-        running.extra_settings = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
-        controller = await running.controller()
+        rig.extra_settings = 'netconf: {ssh: "127.0.0.1:0", host_key: "host", users: {}}\n'
+        controller = await rig.controller()
         port = int(controller.http_server.listener.sockets[0].getsockname()[1])  # type: ignore[union-attr]
-        await running.agent("p1", port)
+        await rig.agent("p1", port)
         await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3)
-        epoch, service = controller.core.epoch, controller.configuration
+        previous_epoch, service = controller.core.epoch, controller.configuration
         assert service is not None
         service.datastores.put(
             1,
@@ -370,8 +372,8 @@
         )
         service.access.rules = (PERMIT_ALL,)
         service.commit("u", 1)
-        assert controller.core.epoch > epoch and controller.core.deployment.safety.drain_grace == 9000
+        assert controller.core.epoch > previous_epoch and controller.core.deployment.safety.drain_grace == 9000
         await wait_until(lambda: controller.core.acknowledged)
         assert json.dumps(sorted(usable_ports(tmp_path, "p1"))) == "[9001, 9002, 9003]"
 
-    run_scenario(tmp_path, work)
+    run_scenario(tmp_path, scenario)
