--- a/onyxhead/agent/__init__.py
+++ b/onyxhead/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent beside each plain proxy: takes table updates, checks them, swaps the proxy's files, acknowledges."""
+"""The agent beside each plain proxy: checks table updates, replaces the proxy's files and acknowledges the updates."""
--- a/onyxhead/agent/controller_client.py
+++ b/onyxhead/agent/controller_client.py
@@ -1,4 +1,4 @@
-"""Requests of the agent to controllers."""
+"""HTTP requests that the agent sends to controllers."""
 
 from __future__ import annotations
 
@@ -13,18 +13,24 @@
 
 
 class ControllerClient:
-    """Asks controllers, and no one else who only holds a controller's address, if there are credentials."""
+    """Sends requests to controllers.
+
+    With TLS credentials, a server whose certificate lacks the controller role gets no request.
+    """
 
     def __init__(self, credentials: TlsCredentials | None) -> None:
         self.credentials = credentials
 
     async def fetch(self, address: Address, request: Request, timeout_s: float) -> Response:
-        """Send one request on a connection of its own. Raises HttpError, OSError, TimeoutError."""
+        """Send one request on a new connection, and return the response.
+
+        Raises HttpError, OSError, TimeoutError.
+        """
         tls = self.credentials.client_context if self.credentials is not None else None
         async with asyncio.timeout(timeout_s):
             async with await Connection.open(*address, tls) as connection:
                 if self.credentials is not None:
                     peer = peer_identity(connection.certificate)
                     if peer is None or peer.role != CONTROLLER_ROLE:
-                        raise OSError(f"the peer is {peer}, not a controller")
+                        raise OSError(f"the peer's certificate identifies {peer}, not a controller")
                 return await connection.fetch(request)
--- a/onyxhead/agent/controller_session.py
+++ b/onyxhead/agent/controller_session.py
@@ -1,4 +1,4 @@
-"""Keeps the agent joined to one of its controllers, and knows which stream of updates is the current one."""
+"""Keeps the agent joined to one of its controllers and tracks the current stream of updates."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 DEFAULT_REPORT_INTERVAL_S = 1.0
 CONNECT_JITTER = (0.5, 1.5)
 RECONNECT_JITTER = (0.2, 1.0)
-"""Bounds of the random factor of a delay, so that the agents of a lost controller do not join the next all at once."""
+"""Bounds of the random factor of a delay: agents that lose their controller must not all join the next one at once."""
 
 log = structlog.get_logger()
 
 
 class ControllerSession:
-    """Joins a controller, waits until the stream of its updates ends or falls silent, and joins again."""
+    """Joins a controller, waits until its stream of updates closes or times out, and joins again."""
 
     def __init__(
         self, settings: AgentSettings, client: ControllerClient, updater: TableUpdater, random: Random
@@ -36,7 +36,7 @@
         self.settings, self.client, self.updater, self.random = settings, client, updater, random
         self.replica = updater.replica
         self.listen_address: Address = settings.advertise or settings.listen
-        """Where controllers reach this agent; set once it listens."""
+        """Where controllers reach this agent; the server sets it once it listens."""
         self.controller: Address | None = None
         self.report_interval = DEFAULT_REPORT_INTERVAL_S
         self.disconnected = asyncio.Event()
@@ -51,34 +51,37 @@
 
     @property
     def silence_s(self) -> float | None:
-        """Seconds since the last request of a controller's stream, None before the first join."""
+        """Seconds since the last request of the current stream, or since the join; None before the first join."""
         return time.monotonic() - self._last_request_at if self._last_request_at else None
 
-    # Requests of streams
+    # Requests of the controller's stream
 
-    async def settle(self, request: Request) -> None:
-        """Let a join in progress end if the request is of another stream: it may be quicker than the disk."""
+    async def wait_for_join(self, request: Request) -> None:
+        """Wait for a join in progress to end if the request names another stream than the current one.
+
+        The controller's first request on a new stream may arrive while the agent still writes the join to disk.
+        """
         stream = request.headers.get(STREAM_HEADER)
         if stream is not None and stream != self.replica.stream:
             async with self._joining:
                 pass
 
     def on_request(self, request: Request, writer: asyncio.StreamWriter) -> bool:
-        """Note a request of the current stream as a sign of life; return whether it is one."""
-        if not self.replica.owns(request):
+        """Return whether a request belongs to the current stream; if so, restart the silence timeout."""
+        if not self.replica.is_of_current_stream(request):
             return False
         self._last_request_at, self._writer = time.monotonic(), writer
         return True
 
     def on_connection_closed(self, writer: asyncio.StreamWriter) -> None:
-        """End the session if the connection was the stream's."""
+        """Mark the stream as disconnected if this connection carried it."""
         if writer is self._writer:
             self.disconnected.set()
 
     # Joining
 
     async def run(self) -> None:
-        """Stay joined for ever."""
+        """Join a controller, follow its stream and join again, without end."""
         selector = ControllerSelector(len(self.settings.controllers))
         while True:
             attempt = selector.next_attempt()
@@ -86,13 +89,13 @@
             await asyncio.sleep(delay * self.random.uniform(*CONNECT_JITTER))
             address = self.settings.controllers[attempt.position]
             try:
-                # Requests of the new stream wait until it is known to be the current one.
+                # While the lock is held, requests of the new stream wait in `wait_for_join`.
                 async with self._joining:
                     controller = await self._join(address, attempt.insist)
             except JoinRedirectedError as redirect:
                 selector.on_redirected(redirect.controller, redirect.better)
             except Exception as error:
-                # Whatever a controller answers, the agent goes on and asks the next one.
+                # A malformed answer can raise any exception; none may end the agent, which asks the next controller.
                 log.info("join failed", controller=address, error=str(error) or type(error).__name__)
                 selector.on_failed()
             else:
@@ -102,19 +105,19 @@
                 await asyncio.sleep(self.settings.reconnect_delay * self.random.uniform(*RECONNECT_JITTER))
 
     async def _join(self, address: Address, insist: bool) -> str:
-        """Ask a controller to accept the proxy, and return its name.
+        """Ask a controller to accept the proxy, and return the controller's name.
 
-        Raises JoinRejectedError, StaleTokenError, HttpError, OSError, and whatever a malformed answer leads to.
+        Raises JoinRejectedError, StaleTokenError, HttpError, OSError, and other exceptions for a malformed answer.
         """
         request = self._join_request(insist)
-        # Updates that an older stream still brings are rejected from here on: they would change what is reported here.
+        # Late updates of the old stream are rejected from here on: they would change the view that the join reports.
         self.replica.follow(NO_STREAM)
-        await self.updater.idle()
+        await self.updater.wait_until_idle()
         if request.view is not self.replica.view:
-            raise JoinRejectedError("an update was applied in the meantime")
+            raise JoinRejectedError("an update was applied while the join was prepared")
         accepted = JoinAccepted.decode(await self.client.fetch(address, request.encode(), JOIN_TIMEOUT_S))
         self.report_interval = accepted.report_interval
-        # On disk before it counts: an older controller must be rejected also after a restart.
+        # The token is on disk before the stream is followed, so that a restarted agent still rejects older controllers.
         self.replica.token_guard.advance(accepted.token)
         await asyncio.to_thread(self.updater.files.save_state, request.view, accepted.token)
         self.disconnected.clear()
@@ -142,13 +145,13 @@
         self.controller = None
 
     async def _wait_until_disconnected(self) -> None:
-        """Wait until the stream's connection ends, or nothing has come on it for too long."""
+        """Wait until the stream's connection closes, or no request has arrived within the silence timeout."""
         while not self.disconnected.is_set():
-            left = self._last_request_at + self.settings.silence_timeout - time.monotonic()
-            if left <= 0:
+            remaining_s = self._last_request_at + self.settings.silence_timeout - time.monotonic()
+            if remaining_s <= 0:
                 break
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self.disconnected.wait()
         self.disconnected.set()
         if self._writer is not None:
--- a/onyxhead/agent/errors.py
+++ b/onyxhead/agent/errors.py
@@ -4,19 +4,19 @@
 
 
 class AgentError(Exception):
-    """Base of this package's errors; the text says why."""
+    """Base class of this package's errors; the message gives the reason."""
 
 
 class CorruptStateError(AgentError):
-    """The state file is not one that the agent wrote."""
+    """The state file is incomplete, malformed or inconsistent."""
 
 
 class JoinRejectedError(AgentError):
-    """A controller did not accept the agent."""
+    """The join was not accepted."""
 
 
 class JoinRedirectedError(JoinRejectedError):
-    """The controller that was asked knows one that is better for this proxy."""
+    """The controller redirects the agent to `better`, a controller that suits this proxy better."""
 
     def __init__(self, controller: str, better: str) -> None:
         super().__init__(f"{controller} redirects to {better}")
--- a/onyxhead/agent/join_messages.py
+++ b/onyxhead/agent/join_messages.py
@@ -1,4 +1,4 @@
-"""Codec of an agent's join: the request for its proxy, and the controller's answer."""
+"""Encodes an agent's join request and decodes the controller's answer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class JoinRequest(NamedTuple):
-    """A proxy that joins: the view and the fencing token that its agent holds, and where the agent listens.
+    """A join request: the proxy, the view and fencing token that its agent holds, and the agent's address.
 
     `baseline_rate` is in requests a second, `silence_timeout` in seconds. `insist` asks the controller to accept the
     proxy even if it knows a better controller.
@@ -34,7 +34,7 @@
         body = {
             "zone": self.zone,
             "usual": self.baseline_rate,
-            # Whether the proxy still uses its static endpoints, since no controller has bound its groups yet.
+            # True as long as the proxy uses its static endpoints, because no controller has bound its groups to tables.
             "standing": not any(path[0] == BINDINGS for path in self.view.entries),
             "held": self.view.to_document(),
             "push": "{}:{}".format(*self.listen_address),
@@ -47,7 +47,10 @@
 
 
 class JoinAccepted(NamedTuple):
-    """A controller's acceptance: the stream to follow, its fencing token, and seconds between two load reports."""
+    """The controller's acceptance of a join.
+
+    `stream` identifies the stream to follow and `token` is its fencing token; `report_interval` is in seconds.
+    """
 
     controller: str
     stream: str
@@ -56,9 +59,9 @@
 
     @classmethod
     def decode(cls, response: Response) -> JoinAccepted:
-        """Read a response to a join.
+        """Decode the response to a join.
 
-        Raises JoinRejectedError, JoinRedirectedError, and KeyError, TypeError or ValueError for an answer that is none.
+        Raises JoinRejectedError, JoinRedirectedError, and KeyError, TypeError or ValueError for a malformed answer.
         """
         if response.status == REDIRECT_STATUS:
             document = response.json()
--- a/onyxhead/agent/load_reporter.py
+++ b/onyxhead/agent/load_reporter.py
@@ -1,4 +1,4 @@
-"""Reads the proxy's statistics at an interval and sends the controller a load report of each period."""
+"""Reads the proxy's statistics at intervals and sends the controller a load report for each period."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
 STATS_TIMEOUT_S = 1.0
 STATS_PATH = "/stats"
 MAX_PENDING_REPORTS = 3
-"""Reports kept for a controller that does not accept them now; older ones would describe another load."""
+"""Reports kept while no controller accepts them; older ones are dropped, since they describe an outdated load."""
 
 log = structlog.get_logger()
 
 
 class LoadReporter:
-    """Reports of the proxy whose statistics are at `stats`, for the controller of a session."""
+    """Sends load reports to the session's controller, from the proxy statistics served at address `stats`."""
 
     def __init__(self, stats: Address, session: ControllerSession, incarnation: str) -> None:
         self.stats, self.session, self.incarnation = stats, session, incarnation
         self.pending: deque[dict[str, object]] = deque(maxlen=MAX_PENDING_REPORTS)
         self._counters: Counters = {}
         self._counted_at = 0.0
-        self._number = 0
+        self._report_number = 0
 
     async def run(self) -> None:
-        """Report for ever."""
+        """Send reports without end."""
         self._counted_at = time.monotonic()
         while True:
             await asyncio.sleep(self.session.report_interval)
@@ -59,8 +59,8 @@
 
     def _add_report(self, counters: Counters, utilizations: dict[str, float]) -> None:
         now = time.monotonic()
-        self._number += 1
-        period = ReportPeriod(self.session.settings.name, self.incarnation, self._number, now - self._counted_at)
+        self._report_number += 1
+        period = ReportPeriod(self.session.settings.name, self.incarnation, self._report_number, now - self._counted_at)
         self.pending.append(load_report(period, counter_increments(self._counters, counters), utilizations))
         self._counters, self._counted_at = counters, now
 
--- a/onyxhead/agent/proxy_counters.py
+++ b/onyxhead/agent/proxy_counters.py
@@ -1,14 +1,14 @@
-"""From a proxy's running counters to a load report of one period. No I/O.
+"""Turns a proxy's cumulative counters into a load report for one period. No I/O.
 
-A plain proxy counts from its own start. A counter that falls means that the proxy has restarted, and that what it
-shows is all since then; nothing is ever made negative or guessed.
+A plain proxy counts from its own start. A counter that decreases shows that the proxy has restarted; all counts since
+the restart then belong to the period. Increments are never negative and never estimated.
 """
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-# Counters in the proxy's document; `REQUESTS` is also the name of a metric in the load report.
+# Counters in the proxy's statistics document; `REQUESTS` is also the name of a metric in the load report.
 REQUESTS = "flows"
 DROPPED = "dropped"
 SUCCESSES = "good"
@@ -33,7 +33,7 @@
 
 
 class ReportPeriod(NamedTuple):
-    """Who reports, which of its incarnations, the number of the report, and the seconds that it covers."""
+    """The reporting proxy, the agent's incarnation, the report's number, and the seconds that the report covers."""
 
     proxy: str
     incarnation: str
@@ -42,7 +42,7 @@
 
 
 def parse_counters(document: Any) -> Counters:  # noqa: ANN401  # any JSON value
-    """Read a proxy's statistics.
+    """Return the counters of a proxy's statistics document, which has this form:
 
     {"boot": "...", "groups": {group: {"flows": n, "dropped": n, "backends": {"host:port": {"good": n, "bad": n,
     "ms": total}}}}}. Raises ValueError, TypeError, KeyError or AttributeError for another document.
@@ -58,12 +58,15 @@
 
 
 def parse_utilizations(document: Any) -> dict[str, float]:  # noqa: ANN401  # any JSON value
-    """Read the utilization of backends, by address, from a proxy's statistics. Raises as `parse_counters` does."""
+    """Return the utilizations in a proxy's statistics document, by backend address.
+
+    Raises the same errors as `parse_counters`.
+    """
     return {str(address): float(utilization) for address, utilization in document.get("loads", {}).items()}
 
 
 def counter_increments(before: Counters, after: Counters) -> Counters:
-    """Return what was counted since `before`; all of `after` if a counter fell, since the proxy has restarted then."""
+    """Return the nonzero increments since `before`, or all of `after` if a decreased counter shows a restart."""
     if any(after.get(key, 0.0) < value for key, value in before.items()):
         before = {}
     increments = {key: value - before.get(key, 0.0) for key, value in after.items()}
--- a/onyxhead/agent/proxy_files.py
+++ b/onyxhead/agent/proxy_files.py
@@ -1,4 +1,4 @@
-"""The files that a proxy reads, and the agent's state file, which is always replaced first."""
+"""Writes the files that a proxy reads, and before them the agent's state file."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 
 class ProxyFiles:
-    """The folders of one agent: its state and the files of its proxy."""
+    """The state folder of one agent and the output folder with its proxy's files."""
 
     def __init__(self, settings: AgentSettings) -> None:
-        """Make the folders where needed. Raises OSError."""
+        """Create missing folders and remove temporary files of interrupted replacements. Raises OSError."""
         self.settings = settings
         self.state_path = settings.state_directory / STATE_FILE_NAME
         self.installed: dict[Path, bytes] = {}
-        """Contents that are known to be in place."""
+        """Contents of the proxy's files as this process last wrote them."""
         for folder in (settings.state_directory, settings.output_directory):
             folder.mkdir(parents=True, exist_ok=True)
             if removed := remove_temporary_files(folder):
                 log.info("temporary files removed", files=removed)
 
     def load_state(self) -> tuple[View, int] | None:
-        """Return the stored view and fencing token, None if there are none that can be used."""
+        """Return the stored view and fencing token, or None if the state file is missing or corrupt."""
         try:
             return decode_state(self.state_path.read_bytes())
         except FileNotFoundError:
@@ -46,7 +46,7 @@
             return None
 
     def render(self, view: View) -> list[tuple[Path, bytes]]:
-        """Return the proxy's files for a view."""
+        """Return the paths and contents of the proxy's files for a view."""
         folder, routes = self.settings.output_directory, self.settings.routes
         files = {
             ENVOY_ENDPOINTS: envoy.endpoint_assignments(view, routes),
@@ -57,11 +57,11 @@
         return [(folder / name, body) for name, body in files.items()]
 
     def save_state(self, view: View, token: int) -> None:
-        """Replace the state file alone. Raises OSError."""
+        """Replace the state file only. Raises OSError."""
         replace_files([(self.state_path, encode_state(view, token))])
 
     def install(self, view: View, token: int = 0) -> None:
-        """Replace the state file and each of the proxy's files that changes. Raises SwapError, OSError."""
+        """Replace the state file, then each of the proxy's files whose content changes. Raises SwapError, OSError."""
         changed = [
             (path, body) for path, body in self.render(view) if _payload(self.installed.get(path)) != _payload(body)
         ]
@@ -69,11 +69,11 @@
         self.installed.update(changed)
 
     def forget_installed(self) -> None:
-        """Replace all files next time, since it is no longer known for sure which contents are in place."""
+        """Make the next `install` replace all files, because a failed one may have replaced some of them."""
         self.installed.clear()
 
     def installed_etag(self) -> str | None:
-        """Return the entity tag of the view that the proxy's files were made of, by the files themselves."""
+        """Return the entity tag that the proxy's endpoint file holds, or None if the file can't be read."""
         try:
             document = json.loads((self.settings.output_directory / ENVOY_ENDPOINTS).read_bytes())
             return f'"{document["version_info"]}"'
@@ -82,7 +82,10 @@
 
 
 def _payload(body: bytes | None) -> bytes | None:
-    """Return a file's content without the view's tag: one that differs by the tag alone need not be replaced."""
+    """Return a file's content without the view's entity tag.
+
+    A file that differs from the installed one in the tag alone is not replaced.
+    """
     if body is None:
         return None
     if body.startswith(b"{"):
--- a/onyxhead/agent/routes.py
+++ b/onyxhead/agent/routes.py
@@ -1,4 +1,4 @@
-"""The agent's HTTP routes: updates and probes of the controller's stream, and requests of operators."""
+"""The agent's HTTP routes: updates and probes from the controller's stream, and requests from operators."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from onyxhead.agent.controller_client import CONTROLLER_ROLE
 from onyxhead.agent.controller_session import ControllerSession
-from onyxhead.agent.table_replica import OTHER_STREAM
+from onyxhead.agent.table_replica import STREAM_NOT_CURRENT
 from onyxhead.fronts.files import envoy
 from onyxhead.fronts.files.agent_stream import VIEW_PATH
 from onyxhead.http.messages import STREAM_HEADER, Request, Response, json_response, problem_response
@@ -17,17 +17,17 @@
 
 
 class AgentRoutes:
-    """Answers the requests to one agent; `authenticated` demands a certificate of the fleet."""
+    """Answers the requests to one agent; with `authenticated`, only clients with a certificate of the fleet."""
 
     def __init__(self, session: ControllerSession, authenticated: bool) -> None:
         self.session, self.authenticated = session, authenticated
         self.replica, self.updater = session.replica, session.updater
 
     async def respond(self, request: Request, writer: asyncio.StreamWriter) -> Response:
-        """Return the response to a request that came on the connection of `writer`."""
+        """Return the response to a request that arrived on the connection of `writer`."""
         if not self._authorized(request, writer):
-            return problem_response(403, "this certificate may not ask that")
-        await self.session.settle(request)
+            return problem_response(403, "the certificate does not authorize this request")
+        await self.session.wait_for_join(request)
         match request.method, request.target:
             case (("HEAD" | "GET"), path) if path == VIEW_PATH:
                 return self._show_view(request, writer)
@@ -41,22 +41,25 @@
         return problem_response(404, "nothing here")
 
     def _authorized(self, request: Request, writer: asyncio.StreamWriter) -> bool:
-        """Only a controller may speak for a stream; any holder of a certificate of the fleet may look."""
+        """Return whether the peer may send a request.
+
+        Requests of a stream need a controller's certificate, all others any certificate of the fleet.
+        """
         if not self.authenticated:
             return True
         peer = peer_identity(writer.get_extra_info("peercert"))
         return peer is not None and (STREAM_HEADER not in request.headers or peer.role == CONTROLLER_ROLE)
 
     def _show_view(self, request: Request, writer: asyncio.StreamWriter) -> Response:
-        """Acknowledge the current view to the stream; show it in full to anyone else."""
+        """Return an acknowledgement to a request of a stream, and the whole view to any other request."""
         if STREAM_HEADER not in request.headers:
             return json_response(200, self.replica.view.to_document(), etag=self.replica.view.etag)
         if not self.session.on_request(request, writer):
-            return problem_response(409, OTHER_STREAM)
+            return problem_response(409, STREAM_NOT_CURRENT)
         return self.replica.check_token(request) or self.replica.acknowledgement()
 
     def state(self) -> dict[str, object]:
-        """Return the members of `/v1/state`."""
+        """Return the content of `/v1/state`."""
         session, view = self.session, self.replica.view
         silence = session.silence_s
         return {
--- a/onyxhead/agent/server.py
+++ b/onyxhead/agent/server.py
@@ -1,4 +1,4 @@
-"""The agent's process: the listening socket, the tasks, and their end."""
+"""The agent's process: start-up, HTTP server, background tasks and shutdown."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class AgentServer:
-    """One agent, put together from its parts."""
+    """One agent: its HTTP server, controller session, load reports and key rotation."""
 
     def __init__(self, settings: AgentSettings) -> None:
-        """Read the state and the keys. Raises OSError, KeyFileError."""
+        """Load the stored state and the key files. Raises OSError, KeyFileError."""
         self.settings = settings
         self.incarnation = secrets.token_hex(INCARNATION_BYTES)
         files = ProxyFiles(settings)
@@ -45,13 +45,16 @@
         self.stopping = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until told to stop. Raises OSError if the address or the folders can't be used."""
+        """Serve until SIGTERM, SIGINT or the end of a background task.
+
+        Raises OSError if the address or the folders can't be used.
+        """
         await self.updater.restore_files()
         tls = self.credentials.server_context if self.credentials is not None else None
         address = await self.http_server.start(*self.settings.listen, tls)
         self.session.listen_address = self.settings.advertise or address
-        for name in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(name, self.stopping.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            asyncio.get_running_loop().add_signal_handler(signal_number, self.stopping.set)
         host, port = address
         log.info("agent started", name=self.settings.name, host=host, port=port, etag=self.replica.view.etag)
         tasks = self._start_tasks(address)
@@ -59,37 +62,37 @@
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
             self.http_server.close()
-            await _cancel(tasks)
+            await _cancel_tasks(tasks)
             log.info("agent stopped", name=self.settings.name)
 
     def _start_tasks(self, address: Address) -> list[asyncio.Task[None]]:
-        """Start what runs beside the HTTP server; the end of any of these tasks ends the agent."""
-        work = [self.session.run(), self._wait_for_stop()]
+        """Start the background tasks; the end of any of them stops the agent."""
+        coroutines = [self.session.run(), self._wait_for_stop()]
         if self.settings.stats is not None:
-            work.append(LoadReporter(self.settings.stats, self.session, self.incarnation).run())
+            coroutines.append(LoadReporter(self.settings.stats, self.session, self.incarnation).run())
         if self.credentials is not None and self.settings.tls is not None:
-            work.append(self._rotate_keys(self.credentials, address, self.settings.tls.interval))
-        return [asyncio.create_task(each) for each in work]
+            coroutines.append(self._rotate_keys(self.credentials, address, self.settings.tls.interval))
+        return [asyncio.create_task(coroutine) for coroutine in coroutines]
 
     async def _wait_for_stop(self) -> None:
         await self.stopping.wait()
 
     async def _rotate_keys(self, credentials: TlsCredentials, address: Address, interval: float) -> None:
-        """Use new keys for new handshakes; a stream that is open goes on until its controller ends it."""
+        """Use changed key files for new handshakes; an open stream goes on until its controller closes it."""
         async for _ in watch_key_files(credentials, interval):
             await self.http_server.start(*address, credentials.server_context)
             log.info("key files reloaded", generation=credentials.generation)
 
 
 def _restored_replica(settings: AgentSettings, files: ProxyFiles) -> TableReplica:
-    """Return the replica as it is stored, or the static endpoints of the settings."""
+    """Return a replica of the stored view, or of the settings' static endpoints if none is stored."""
     stored = files.load_state()
     if stored is not None:
         return TableReplica(*stored)
     return TableReplica(View.from_entries({(STANDING, name): line for name, line in settings.static_endpoints.items()}))
 
 
-async def _cancel(tasks: list[asyncio.Task[None]]) -> None:
+async def _cancel_tasks(tasks: list[asyncio.Task[None]]) -> None:
     for task in tasks:
         task.cancel()
     for result in await asyncio.gather(*tasks, return_exceptions=True):
--- a/onyxhead/agent/state_file.py
+++ b/onyxhead/agent/state_file.py
@@ -1,4 +1,4 @@
-"""The agent's state on disk: the table view that it holds, and the highest fencing token that it has accepted."""
+"""Codec of the agent's state file: its table view, and the highest fencing token that it has accepted."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 
 def decode_state(body: bytes) -> tuple[View, int]:
-    """Return the view and the token of a state file.
+    """Return the view and the fencing token in a state file.
 
-    Raises CorruptStateError for one that is not complete: it is never used in part.
+    Raises CorruptStateError for an incomplete or inconsistent file, which is never used in part.
     """
     try:
         state = json.loads(body)
@@ -33,5 +33,5 @@
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         raise CorruptStateError(str(error)) from error
     if not consistent or type(token) is not int or token < 0:
-        raise CorruptStateError("the entity tag does not match the content")
+        raise CorruptStateError("the entity tag does not match the view, or the token is not a natural number")
     return view, token
--- a/onyxhead/agent/table_replica.py
+++ b/onyxhead/agent/table_replica.py
@@ -1,4 +1,4 @@
-"""The agent's replica of its proxy's tables: which updates are accepted, and why others are rejected. No I/O."""
+"""The agent's replica of its proxy's tables: accepts or rejects each table update. No I/O."""
 
 from __future__ import annotations
 
@@ -25,27 +25,30 @@
 
 APPLIED_HEADER = "onyxhead-applied"
 ORDER_ROUND = "turn"
-"""Member of the order header that holds the number of the decision round."""
+"""Member of the order header with the decision round's number."""
 NO_STREAM = ""
 NO_TOKEN = "0"
 INVALID_TOKEN = -1
 
-# Reasons of rejections, as controllers and operators see them.
-OTHER_STREAM = "another stream is listened to"
-WRONG_DIGEST = "the body does not fit its Content-Digest, or has none"
-NO_BASE = "If-Match is wanted"
-OTHER_BASE = "another view is held"
+# Reasons for rejections, as controllers and operators see them.
+STREAM_NOT_CURRENT = "another stream is listened to"
+DIGEST_MISMATCH = "the body does not fit its Content-Digest, or has none"
+MISSING_BASE = "If-Match is wanted"
+BASE_MISMATCH = "another view is held"
 
 
 class AcceptedUpdate(NamedTuple):
-    """An update that may be applied: the view it leads to, and the decision round that it belongs to."""
+    """A checked update: the view that results from it, and its decision round."""
 
     view: View
     round_number: int
 
 
 class TableReplica:
-    """The view that the proxy's files show, or will show after a crash, and the stream that may change it."""
+    """The current view, and the stream that may update it.
+
+    The proxy's files show this view; after a crash, the agent restores them from the stored view.
+    """
 
     def __init__(self, view: View, token: int = 0) -> None:
         self.view, self.token_guard = view, FencingTokenGuard(token)
@@ -53,11 +56,11 @@
         self.round_number = 0
 
     def follow(self, stream: str) -> None:
-        """Accept updates of this stream only; those of an older one are rejected, however late they come."""
+        """Accept only updates of this stream from now on, so that late updates of an older stream are rejected."""
         self.stream = stream
 
-    def owns(self, request: Request) -> bool:
-        """Return whether a request belongs to the stream that is followed."""
+    def is_of_current_stream(self, request: Request) -> bool:
+        """Return whether a request names the current stream; False if there is none."""
         return self.stream != NO_STREAM and request.headers.get(STREAM_HEADER) == self.stream
 
     def check_update(self, request: Request) -> AcceptedUpdate | Response:
@@ -77,24 +80,24 @@
         return AcceptedUpdate(view, order.get(ORDER_ROUND, 0))
 
     def _check_sender(self, request: Request) -> Response | None:
-        if not self.owns(request):
-            return problem_response(409, OTHER_STREAM)
+        if not self.is_of_current_stream(request):
+            return problem_response(409, STREAM_NOT_CURRENT)
         return self.check_token(request)
 
     def _check_headers(self, request: Request) -> Response | None:
         if request.method not in ("PUT", "PATCH"):
-            return problem_response(405, f"{request.method} is not taken here")
+            return problem_response(405, f"method {request.method} is not allowed")
         digest = request.headers.get("content-digest")
         if digest is None or not digest_matches(digest, request.body):
-            return problem_response(400, WRONG_DIGEST)
+            return problem_response(400, DIGEST_MISMATCH)
         base = request.headers.get("if-match", "")
         if not base:
-            return problem_response(428, NO_BASE)
+            return problem_response(428, MISSING_BASE)
         if base != self.view.etag:
-            return _with_header(problem_response(412, OTHER_BASE), "etag", self.view.etag)
+            return _with_header(problem_response(412, BASE_MISMATCH), "etag", self.view.etag)
         media_type = request.headers.get("content-type", "")
         if media_type != (JSON_MEDIA_TYPE if request.method == "PUT" else MERGE_PATCH_MEDIA_TYPE):
-            rejection = problem_response(415, f"{request.method} of {media_type or 'nothing named'} is not taken")
+            rejection = problem_response(415, f"{request.method} of {media_type or 'no media type'} is not taken")
             return _with_header(rejection, "accept-patch", MERGE_PATCH_MEDIA_TYPE)
         return None
 
@@ -105,7 +108,7 @@
         return self.view.apply(parse_merge_patch(document))
 
     def check_token(self, request: Request) -> Response | None:
-        """Return the rejection of a request whose fencing token is not the current one; it carries the current one."""
+        """Return None for the current fencing token, else a rejection that carries the current token."""
         text = request.headers.get(TOKEN_HEADER, NO_TOKEN)
         try:
             self.token_guard.check(int(text) if text.isascii() and text.isdigit() else INVALID_TOKEN)
@@ -114,12 +117,12 @@
         return None
 
     def commit(self, update: AcceptedUpdate) -> Response:
-        """Hold the view of an update whose files are in place, and return the acknowledgement."""
+        """Make an update's view the current one, once its files are installed, and return the acknowledgement."""
         self.view, self.round_number = update.view, update.round_number
         return self.acknowledgement(204)
 
     def acknowledgement(self, status: int = 200) -> Response:
-        """Return a response that names the current view and decision round."""
+        """Return a response with the current view's entity tag and the last applied decision round."""
         return Response(status, {"etag": self.view.etag, APPLIED_HEADER: str(self.round_number)})
 
 
--- a/onyxhead/agent/table_updater.py
+++ b/onyxhead/agent/table_updater.py
@@ -1,4 +1,4 @@
-"""Applies table updates: checks each, replaces the proxy's files, signals the proxy to reload, acknowledges."""
+"""Applies table updates: checks each, replaces the proxy's files, signals the proxy to reload and acknowledges."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 class TableUpdater:
-    """One update at a time: the base of the next is what this one leaves."""
+    """Applies table updates one at a time, since each is based on the view that the one before leads to."""
 
     def __init__(self, replica: TableReplica, files: ProxyFiles, reload: ReloadSettings | None) -> None:
         self.replica, self.files, self.reload = replica, files, reload
         self.swaps = 0
-        """Updates that were applied since the start."""
+        """Number of updates applied since the agent started."""
         self._updating = asyncio.Lock()
 
     async def restore_files(self) -> None:
-        """Make the proxy's files anew from the state, which a crash may have left ahead of them. Raises OSError."""
+        """Rewrite the proxy's files from the stored view, which may be newer after a crash. Raises OSError."""
         await asyncio.to_thread(self.files.install, self.replica.view, self.replica.token_guard.current)
 
-    async def idle(self) -> None:
-        """Wait until the update that is being applied, if any, has ended."""
+    async def wait_until_idle(self) -> None:
+        """Wait for the end of the update that is being applied, if any."""
         async with self._updating:
             pass
 
@@ -48,19 +48,19 @@
             try:
                 await asyncio.to_thread(self.files.install, update.view, self.replica.token_guard.current)
             except OSError as error:
-                return self._failed(error)
+                return self._failure_response(error)
             self.swaps += 1
             acknowledgement = self.replica.commit(update)
             log.info("table update applied", round=update.round_number, etag=update.view.etag, method=request.method)
             self._reload_proxy()
             return acknowledgement
 
-    def _failed(self, error: OSError) -> Response:
+    def _failure_response(self, error: OSError) -> Response:
         log.error("table update failed", error=str(error))
         if not isinstance(error, SwapError):
-            # The state may be ahead of the proxy's files now.
+            # Some files may be replaced and others not, so the state file may be newer than the proxy's files.
             self.files.forget_installed()
-        return problem_response(507 if error.errno in DISK_FULL else 500, f"not swapped: {error}")
+        return problem_response(507 if error.errno in DISK_FULL else 500, f"files not replaced: {error}")
 
     def _reload_proxy(self) -> None:
         if self.reload is None:
--- a/onyxhead/fronts/files/__init__.py
+++ b/onyxhead/fronts/files/__init__.py
@@ -1,1 +1,1 @@
-"""Updates to agents, and the files that they write for proxies."""
+"""The update stream from a controller to an agent, and the formats of the files that agents write for proxies."""
