--- a/onyxhead/fronts/files/agent_stream.py
+++ b/onyxhead/fronts/files/agent_stream.py
@@ -1,4 +1,4 @@
-"""The stream of table updates to one agent: a full view by PUT, changed entries by PATCH (RFC 5789, RFC 7396)."""
+"""The controller's stream of table updates to an agent: PUT for a full view, PATCH for changes (RFC 5789, RFC 7396)."""
 
 from __future__ import annotations
 
@@ -29,36 +29,36 @@
 MAX_REASON_LENGTH = 200
 MAX_ENCODED_UPDATES = 64
 
-# Reasons that end a stream; the store keeps them as part of the cause of a decision round.
-SEND_TIMED_OUT = "it reads nothing"
-ANSWER_TIMED_OUT = "no whole answer in time"
-MALFORMED_ANSWER = "not HTTP"
-STREAM_ENDED = "the stream ended"
+# Reasons for the end of a stream; the store keeps them as part of the cause of a decision round.
+SEND_TIMED_OUT = "the agent does not read"
+ANSWER_TIMED_OUT = "no complete answer in time"
+MALFORMED_ANSWER = "invalid HTTP answer"
+STREAM_ENDED = "the agent closed the connection"
 
 
 class AgentFaultError(Exception):
-    """The agent did not acknowledge as it should: it rejected a request, was too slow or broke the protocol.
+    """The agent rejected a request, did not answer in time or broke the protocol.
 
-    The text says why. A connection that ends is an OSError instead.
+    The message gives the reason. A closed connection raises OSError instead.
     """
 
 
 class EncodedUpdate(NamedTuple):
-    """The body of an update and its digest, as a Content-Digest header."""
+    """The body of an update, and its digest in the form of a Content-Digest field."""
 
     body: bytes
     digest: str
 
 
 class UpdateEncoder:
-    """Encodes updates; a body that many proxies get alike is made once."""
+    """Encodes updates, and caches the bodies so that equal updates to many proxies are encoded once."""
 
     def __init__(self, max_cached: int = MAX_ENCODED_UPDATES) -> None:
         self.max_cached = max_cached
         self._cache: OrderedDict[tuple[bool, int, str | None], EncodedUpdate] = OrderedDict()
 
     def encode(self, update: ProxyUpdate) -> EncodedUpdate:
-        """Return the encoded update."""
+        """Return the body and digest of an update, from the cache if possible."""
         key = (update.full, update.result.digest, None if update.full else update.base_etag)
         encoded = self._cache.get(key)
         if encoded is None:
@@ -70,10 +70,11 @@
 
 
 class AgentStream:
-    """The connection to one agent. One request at a time: an update builds on the answer to the last one.
+    """The connection to one agent.
 
-    `token` names the stream, `fencing_token` proves that the controller still leads the proxy, and `timeout_s` is how
-    long the agent may take for each step.
+    It carries one request at a time, since each update is based on the last acknowledged view. `token` identifies the
+    stream, `fencing_token` proves that the controller still owns the proxy, and `timeout_s` limits each connect, send
+    and receive.
     """
 
     def __init__(
@@ -90,7 +91,7 @@
             self.headers[TOKEN_HEADER] = str(fencing_token)
         self.connection: Connection | None = None
         self.etag = ""
-        """Entity tag of the view that the agent held at its last answer."""
+        """Entity tag of the agent's view, from its last answer."""
 
     async def open(self, tls: ssl.SSLContext | None = None) -> str:
         """Connect to the agent, and return the entity tag of its view. Raises OSError, AgentFaultError."""
@@ -105,19 +106,22 @@
 
     @property
     def peer(self) -> PeerIdentity | None:
-        """Who answers, by the certificate shown; None if there is none."""
+        """The agent's identity by its certificate; None without one."""
         return peer_identity(self.connection.certificate) if self.connection is not None else None
 
     async def probe(self) -> str:
-        """Ask for the entity tag of the agent's view, which also shows it that the stream is alive.
+        """Request the entity tag of the agent's view, and return it.
 
-        Raises OSError, AgentFaultError.
+        The request also restarts the agent's silence timeout. Raises OSError, AgentFaultError.
         """
         await self._send(Request("HEAD", VIEW_PATH, self.headers))
         return await self._receive_etag()
 
     async def send(self, update: ProxyUpdate, ordered_at: int) -> None:
-        """Write an update; return once the stream has taken it. Raises OSError, AgentFaultError."""
+        """Send an update; return before it is acknowledged. Raises OSError, AgentFaultError.
+
+        `ordered_at` is the time of the decision in tenths of a millisecond.
+        """
         encoded = self.encoder.encode(update)
         headers = {
             **self.headers,
@@ -130,17 +134,17 @@
         await self._send(Request("PUT" if update.full else "PATCH", VIEW_PATH, headers, encoded.body))
 
     async def receive_acknowledgement(self) -> str:
-        """Return the entity tag that the agent holds after the last update. Raises OSError, AgentFaultError."""
+        """Wait for the last update's acknowledgement, and return its entity tag. Raises OSError, AgentFaultError."""
         return await self._receive_etag()
 
     def close(self) -> None:
-        """Close the connection, if there is one."""
+        """Close the connection if it is open."""
         if self.connection is not None:
             self.connection.close()
 
     async def _send(self, request: Request) -> None:
         if self.connection is None:
-            raise OSError("not open")
+            raise OSError("the stream is not open")
         try:
             async with asyncio.timeout(self.timeout_s):
                 await self.connection.send(request)
@@ -151,7 +155,7 @@
 
     async def _receive_etag(self) -> str:
         if self.connection is None:
-            raise OSError("not open")
+            raise OSError("the stream is not open")
         try:
             async with asyncio.timeout(self.timeout_s):
                 response = await self.connection.receive(MAX_RESPONSE_BYTES)
@@ -168,7 +172,7 @@
 
 
 def _problem_detail(body: bytes) -> str:
-    """Return the reason in a problem response (RFC 9457), empty if there is none."""
+    """Return the detail of a problem response (RFC 9457), or an empty string if there is none."""
     try:
         problem = json.loads(body)
     except ValueError:
--- a/onyxhead/fronts/files/envoy.py
+++ b/onyxhead/fronts/files/envoy.py
@@ -1,8 +1,8 @@
-"""A table view as the documents that Envoy's v3 file subscription reads: endpoints and routes, in the JSON mapping.
+"""Formats a table view as the JSON files of Envoy's v3 file subscriptions: endpoints and routes.
 
-The cluster of a traffic group has the group's name, so which table serves it is told by the endpoints alone, and no
-proxy ever has to read two files that must agree. Clusters must have `common_lb_config.healthy_panic_threshold` at 0:
-above it, Envoy sends to endpoints that are marked as draining when too few others are left.
+The cluster of a traffic group has the group's name, so that only the endpoint file depends on the table that serves the
+group, and a proxy needs no two files that agree. Clusters must set `common_lb_config.healthy_panic_threshold` to 0:
+with a higher value, Envoy sends requests to draining endpoints when too few healthy ones are left.
 """
 
 from __future__ import annotations
@@ -38,24 +38,28 @@
 ROUTE_CONFIGURATION_NAME = "onyxhead"
 MILLION = 1_000_000
 RETRY_ON_UNSENT = "connect-failure,refused-stream"
-"""Failures after which the attempt has surely not been executed."""
+"""Retry conditions under which the backend has certainly not executed the attempt."""
 RETRY_ON_ANY_FAILURE = "5xx,reset,connect-failure,refused-stream"
 RETRY_UNSENT_MODE = 1
-"""Retry mode of a single retry, only of what has surely not been executed; n above it are n - 1 retries of anything."""
+"""Retry mode that allows one retry of attempts that were certainly not executed.
+
+Mode 0 allows no retry; a higher mode n allows n - 1 retries after any failure.
+"""
 RATE_LIMIT_FILLS_PER_SECOND = 10
-"""A bucket of a tenth of a second: small enough that a burst is cut, large enough that rounding is not felt."""
+"""Fills of the token bucket per second: frequent fills limit bursts, infrequent ones keep the rounding error small."""
 MAX_FILL_INTERVAL_S = 3600.0
+"""Fill interval of the token bucket for a rate of 0."""
 
 
 def endpoint_assignments(view: View, routes: Sequence[GroupRoute]) -> bytes:
-    """Return the endpoint subscription's file: one assignment for each traffic group."""
+    """Return the endpoint file: one cluster load assignment for each traffic group."""
     return _discovery_response(view, ENDPOINTS_TYPE, [_assignment(view, route.group) for route in routes])
 
 
 def route_configuration(view: View, routes: Sequence[GroupRoute], attempt_timeout_factor: float) -> bytes:
-    """Return the route subscription's file: prefixes, retries and rate limits.
+    """Return the route file: path prefixes, retry policies and rate limits.
 
-    An attempt may take `attempt_timeout_factor` times the latency budget of its group.
+    The timeout of an attempt is its group's latency budget times `attempt_timeout_factor`.
     """
     longest_prefix_first = sorted(routes, key=lambda route: (-len(route.prefix), route.prefix))
     hosts = [
@@ -75,19 +79,19 @@
 
 
 def group_endpoints(view: View, group: str) -> dict[str, ViewValue]:
-    """Return the endpoints of a group: its table's, or the static ones if no controller has bound it to a table."""
+    """Return a group's endpoints by backend: those of its table, or the static ones if it is bound to no table."""
     table = view.entries.get(binding_path(group))
     return view.children(STANDING) if table is None else view.children(TABLES, table, LINES)
 
 
 def admission_level(view: View, group: str) -> ViewValue | None:
-    """Return a group's admission level with its retry mode, None if no controller has set one."""
+    """Return a group's admission level, which includes its retry mode, or None if no controller has set one."""
     table = view.entries.get(binding_path(group))
     return None if table is None else view.entries.get(level_path(table, group))
 
 
 def admitted_share(level: ViewValue | None) -> float | None:
-    """Return the share of requests that a level admits, None if it admits all."""
+    """Return the share of requests that an admission level admits, or None if it does not limit the share."""
     if level is None or level.get(SHARE, 1) >= 1:
         return None
     share: float = level[SHARE]
@@ -138,7 +142,7 @@
 
 
 def _rate_limit(group: str, rate: float) -> Document:
-    """Return the filter's configuration that admits `rate` requests a second."""
+    """Return the configuration of Envoy's local rate limit filter for `rate` requests a second."""
     per_fill = max(1, round(rate / RATE_LIMIT_FILLS_PER_SECOND)) if rate >= RATE_LIMIT_FILLS_PER_SECOND else 1
     interval_s = per_fill / rate if rate > 0 else MAX_FILL_INTERVAL_S
     always = {"default_value": {"numerator": 100, "denominator": "HUNDRED"}}
--- a/onyxhead/fronts/files/nginx.py
+++ b/onyxhead/fronts/files/nginx.py
@@ -1,7 +1,7 @@
-"""A table view as nginx includes: upstream blocks for the http context, and one file a group for its locations.
+"""Formats a table view as files for nginx to include: upstream blocks, and one file of location directives a group.
 
-What nginx can't express is left out with a comment, never approximated silently: it has no way to retry only where
-the first attempt has surely not been executed, so such a retry mode turns retries off.
+What nginx can't express is left out, with a comment in the file. nginx can't restrict retries to attempts that were
+certainly not executed, so the retry mode that asks for this turns retries off.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 MAX_WEIGHT = 65_535
 UNUSED_ADDRESS = "127.0.0.1:9"
-"""Placeholder of an upstream without endpoints, which nginx would reject; marked as down."""
+"""Placeholder server, marked as down, for an upstream without endpoints: nginx rejects an empty upstream."""
 
 
 def upstream_blocks(view: View, routes: Sequence[GroupRoute]) -> bytes:
-    """Return the file for the http context: an upstream for each group, and what its admission level needs there."""
+    """Return the file for the http context: upstreams, and the definitions that admission levels need."""
     lines = [f"# view {view.etag}"]
     for route in routes:
         lines += ["", *_upstream(view, route.group), *_admission_definitions(view, route.group)]
@@ -34,7 +34,7 @@
     for backend, endpoint in sorted(endpoints.items()):
         weight = endpoint[WEIGHT]
         if max_weight > MAX_WEIGHT:
-            # nginx adds weights up in whole numbers at each pick; large ones would only cost it time.
+            # nginx adds up the integer weights at each pick; larger ones would cost time and bring no benefit.
             weight = max(1, round(weight * MAX_WEIGHT / max_weight))
         down = " down" if withdrawal_path(backend) in view.entries else ""
         lines.append(f"    server {endpoint[ADDRESS]} weight={weight} max_fails=0{down};  # {backend}")
@@ -55,7 +55,7 @@
 
 
 def location_directives(view: View, route: GroupRoute) -> bytes:
-    """Return what belongs inside the locations of one group, besides their own proxy_pass."""
+    """Return the directives that each location of a group includes in addition to its proxy_pass."""
     name, level = upstream_name(route.group), admission_level(view, route.group)
     lines = [f"# for locations of {name}"]
     if admitted_share(level) is not None:
@@ -81,7 +81,7 @@
 
 
 def upstream_name(group: str) -> str:
-    """Return a traffic group's name in nginx's spelling of names."""
+    """Return the upstream name of a traffic group, with underscores for characters other than letters and digits."""
     return re.sub(r"[^A-Za-z0-9_]", "_", group)
 
 
--- a/onyxhead/http/client.py
+++ b/onyxhead/http/client.py
@@ -24,9 +24,9 @@
 
 
 class Connection:
-    """An open HTTP/1.1 connection.
+    """An open HTTP/1.1 client connection.
 
-    Requests go one at a time. After an HttpError the connection can't be used again.
+    It carries one request at a time, and can't be used again after an HttpError.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str) -> None:
@@ -41,11 +41,11 @@
 
     @property
     def certificate(self) -> object:
-        """The peer's certificate as `ssl.SSLSocket.getpeercert` returns it; None without TLS."""
+        """The peer's certificate in the form of `ssl.SSLSocket.getpeercert`; None without TLS."""
         return self.writer.get_extra_info("peercert")
 
     async def send(self, request: Request) -> None:
-        """Write the request; returns once the socket has taken it. Raises HttpError, OSError."""
+        """Write a request to the socket's buffer, and wait while the buffer is full. Raises HttpError, OSError."""
         if self.state.our_state is h11.DONE and self.state.their_state is h11.DONE:
             self.state.start_next_cycle()
         fields = [("host", self.host), *request.headers.items(), ("content-length", str(len(request.body)))]
@@ -79,7 +79,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 return Response(status, headers, bytes(body))
             elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-                raise IncompleteResponseError("closed before its answer was whole")
+                raise IncompleteResponseError("the connection closed before the response was complete")
 
     async def fetch(self, request: Request, max_body: int = MAX_BODY_BYTES) -> Response:
         """Send a request and return its response. Raises HttpError, OSError."""
@@ -112,7 +112,10 @@
 async def fetch_once(
     address: tuple[str, int], request: Request, timeout: float, tls: ssl.SSLContext | None = None
 ) -> Response:
-    """Send one request on a connection of its own; `timeout` in seconds. Raises HttpError, OSError, TimeoutError."""
+    """Send one request on a new connection, and return the response.
+
+    `timeout` is in seconds and includes connecting. Raises HttpError, OSError, TimeoutError.
+    """
     async with asyncio.timeout(timeout):
         async with await Connection.open(*address, tls) as connection:
             return await connection.fetch(request)
--- a/onyxhead/http/messages.py
+++ b/onyxhead/http/messages.py
@@ -1,8 +1,9 @@
 """HTTP requests and responses as values, and the header fields of this project.
 
-`Onyxhead-Stream` names the stream that a decision round belongs to, `Onyxhead-Token` is the stream's fencing token and
-`Onyxhead-Result` the tag of the table that the round leads to. `Onyxhead-Order` holds the round's number, the table
-lines that it counts as and when it was decided, as a structured dictionary (RFC 9651).
+They accompany a table update: `Onyxhead-Stream` identifies its stream, `Onyxhead-Token` is the stream's fencing token
+and `Onyxhead-Result` the entity tag of the view that results from the update. `Onyxhead-Order` is a structured
+dictionary (RFC 9651) with the number of the decision round, the update's cost in table lines and the time of the
+decision.
 """
 
 from __future__ import annotations
@@ -30,18 +31,18 @@
 
 
 class HttpError(Exception):
-    """The peer broke the protocol or a limit; the connection is of no more use."""
+    """The peer broke the protocol or exceeded a limit; the connection can't be used again."""
 
 
 class ProtocolError(HttpError):
-    """A message that HTTP/1.1 does not allow, from the peer or from the caller."""
+    """The peer or the caller produced a message that HTTP/1.1 does not allow."""
 
 
 class BodyTooLargeError(HttpError):
-    """The peer's message body is over the limit."""
+    """The peer's message body exceeds the limit, in bytes."""
 
     def __init__(self, limit: int) -> None:
-        super().__init__(f"an answer of over {limit} bytes")
+        super().__init__(f"the response body exceeds {limit} bytes")
         self.limit = limit
 
 
@@ -50,7 +51,7 @@
 
 
 class Request(NamedTuple):
-    """One HTTP request; header names are in lower case."""
+    """An HTTP request; header names are in lower case."""
 
     method: str
     target: str
@@ -63,7 +64,7 @@
 
 
 class Response(NamedTuple):
-    """One HTTP response; header names are in lower case."""
+    """An HTTP response; header names are in lower case."""
 
     status: int
     headers: Headers = {}  # noqa: RUF012  # never changed in place
@@ -82,7 +83,10 @@
 
 
 def json_response(status: int, value: object = None, **headers: str) -> Response:
-    """Return a JSON response, without a body for None; header names are written with underscores for dashes."""
+    """Return a JSON response; a `value` of None leads to an empty body.
+
+    Keyword arguments add header fields, with underscores in place of the dashes in their names.
+    """
     fields = {name.replace("_", "-"): text for name, text in headers.items()}
     if value is None:
         return Response(status, fields)
@@ -90,7 +94,7 @@
 
 
 def problem_response(status: int, detail: str, **members: object) -> Response:
-    """Return an error response with its reason (RFC 9457)."""
+    """Return a problem response (RFC 9457) with a reason and additional members."""
     body = json.dumps({"status": status, "detail": detail, **members}).encode()
     return Response(status, {"content-type": PROBLEM_MEDIA_TYPE}, body)
 
@@ -101,18 +105,21 @@
 
 
 def digest_matches(field: str, body: bytes) -> bool:
-    """Tell whether a Content-Digest field names the body's SHA-256; other algorithms are not supported."""
+    """Return whether a Content-Digest field contains the body's SHA-256 digest; other algorithms are ignored."""
     members = [part.strip() for part in field.split(",")]
     return content_digest(body) in members
 
 
 def format_order_header(round_number: int, lines: float, ordered_at: int) -> str:
-    """Return an Onyxhead-Order field; `ordered_at` is in tenths of a millisecond."""
+    """Return an Onyxhead-Order field.
+
+    `lines` is the update's cost in table lines, `ordered_at` the time of the decision in tenths of a millisecond.
+    """
     return f"turn={round_number}, lines={lines:.0f}, at={ordered_at}"
 
 
 def parse_order_header(field: str) -> dict[str, int]:
-    """Return the whole numbers of an Onyxhead-Order field by their wire names; other members are left out."""
+    """Return the members of an Onyxhead-Order field whose values are natural numbers, by their names in the field."""
     numbers = {}
     for part in field.split(","):
         name, _, value = part.strip().partition("=")
--- a/onyxhead/http/server.py
+++ b/onyxhead/http/server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server: one task for each connection, one handler for all requests."""
+"""HTTP/1.1 server with a task for each connection and one handler for all requests."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Server:
-    """Answers requests on a listening socket.
+    """Serves HTTP requests on a listening socket.
 
-    `handler` gets each complete request; None from it closes the connection without a response. A peer that breaks the
-    protocol or a limit gets one error response, if it can still be sent, and its connection is closed. `on_close` is
-    called with each connection that ended.
+    `handler` receives each complete request and returns the response, or None to close the connection without one. A
+    peer that breaks the protocol or exceeds a limit gets an error response, if one can still be sent, and its
+    connection is closed. `on_close` is called with the writer of each closed connection.
     """
 
     def __init__(
@@ -38,8 +38,8 @@
     async def start(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> tuple[str, int]:
         """Listen and return the bound address. Raises OSError.
 
-        A second call replaces the listener, for new TLS keys: a connecting client meets either listener, and open
-        connections go on.
+        A further call replaces the listener, for example to use new TLS keys. The new listener opens before the old one
+        closes, so that no client is turned away, and open connections go on.
         """
         replaced, self.listener = (
             self.listener,
@@ -82,7 +82,7 @@
     async def _read_request(
         self, state: h11.Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> Request | None:
-        """Return the next complete request; None where the connection ended or was refused."""
+        """Return the next complete request, or None if the connection ended or the request was rejected."""
         head: h11.Request | None = None
         body = bytearray()
         while True:
@@ -99,7 +99,7 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > self.max_body:
-                    too_large = problem_response(413, f"a body of over {self.max_body} bytes")
+                    too_large = problem_response(413, f"the request body exceeds {self.max_body} bytes")
                     await _write_response(state, writer, too_large)
                     return None
             elif isinstance(event, h11.EndOfMessage) and head is not None:
