--- a/onyxhead/__init__.py
+++ b/onyxhead/__init__.py
@@ -1,1 +1,1 @@
-"""onyxhead: assigns backends to plain proxies."""
+"""onyxhead: a control service that assigns backends to plain proxies."""
--- a/onyxhead/atomic_files.py
+++ b/onyxhead/atomic_files.py
@@ -1,7 +1,7 @@
-"""Atomic replacement of files: written beside, flushed, renamed over, the folder flushed (POSIX.1-2017, rename).
+"""Atomic replacement of files by writing temporary files, flushing them and renaming them (POSIX.1-2017, rename).
 
-A reader sees the old file or the new one. All new files are on disk under temporary names before the first rename, so
-a full disk or a read-only folder changes nothing that a reader sees.
+A reader sees either the old or the new content of each file. All new contents are on disk under temporary names before
+the first rename, so that a full disk or a read-only folder leaves every file unchanged.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 TEMPORARY_PREFIX = ".swap-"
 FILE_MODE = 0o644
-WRITERS = ThreadPoolExecutor(4, "swap")
+WRITER_POOL = ThreadPoolExecutor(4, "swap")
 
 
 class SwapError(OSError):
@@ -22,56 +22,57 @@
 
 
 def replace_files(files: Sequence[tuple[Path, bytes]]) -> None:
-    """Replace files one by one, in the order given.
+    """Replace the contents of files, in the given order.
 
-    Raises SwapError if none was replaced, another OSError if some may have been.
+    Raises SwapError if no file was replaced, and another OSError if some files may have been replaced.
     """
-    temporary = [path.with_name(f"{TEMPORARY_PREFIX}{path.name}") for path, _ in files]
+    temporary_paths = [path.with_name(f"{TEMPORARY_PREFIX}{path.name}") for path, _ in files]
     try:
-        _write_all(temporary, [body for _, body in files])
+        _write_all(temporary_paths, [body for _, body in files])
     except OSError as error:
-        for path in temporary:
+        for path in temporary_paths:
             with contextlib.suppress(OSError):
                 path.unlink()
-        raise SwapError(error.errno, f"{error.strerror}: the old files stand") from error
-    for place, (path, _) in enumerate(files):
-        os.rename(temporary[place], path)
-        # The first is the state that a restart goes by: it must not be lost once a reader has seen the others.
-        if place == 0 or place == len(files) - 1:
+        raise SwapError(error.errno, f"{error.strerror}: the old files are unchanged") from error
+    for position, (path, _) in enumerate(files):
+        os.rename(temporary_paths[position], path)
+        # The agent's first file is its state, which a restart reads: its rename must be durable before a reader sees
+        # the others.
+        if position == 0 or position == len(files) - 1:
             _flush_folder(path.parent)
 
 
 def remove_temporary_files(folder: Path) -> list[str]:
-    """Remove what an interrupted replacement left in a folder, and return the names."""
-    left_over = sorted(folder.glob(f"{TEMPORARY_PREFIX}*"))
-    for path in left_over:
+    """Remove the temporary files that an interrupted replacement left in a folder, and return their names."""
+    leftover_paths = sorted(folder.glob(f"{TEMPORARY_PREFIX}*"))
+    for path in leftover_paths:
         path.unlink()
-    return [path.name for path in left_over]
+    return [path.name for path in leftover_paths]
 
 
 def _write_all(paths: Sequence[Path], bodies: Sequence[bytes]) -> None:
-    # Together, since a disk flushes several files in hardly more time than one.
-    writes = [WRITERS.submit(_write, path, body) for path, body in zip(paths, bodies, strict=True)]
-    # All must have ended before anything else is done: a writer left behind would write into the next replacement.
+    # In parallel, since a disk flushes several files in hardly more time than one.
+    writes = [WRITER_POOL.submit(_write, path, body) for path, body in zip(paths, bodies, strict=True)]
+    # All writes must end, also after an error: one still running would write to the next replacement's temporary file.
     wait(writes)
     for write in writes:
         write.result()
 
 
 def _write(path: Path, body: bytes) -> None:
-    handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
+    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, FILE_MODE)
     try:
-        left = memoryview(body)
-        while left:
-            left = left[os.write(handle, left) :]
-        os.fsync(handle)
+        remaining = memoryview(body)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
 def _flush_folder(folder: Path) -> None:
-    handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/onyxhead/error_location.py
+++ b/onyxhead/error_location.py
@@ -1,4 +1,4 @@
-"""A short description of an unexpected exception, for a log line or a reply."""
+"""Describes an unexpected exception on one line, for a log line or a reply."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def describe_error(error: Exception) -> str:
-    """An exception and where it was raised, on one line."""
+    """Return an exception's type, message, function and line number, on one line."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     return " ".join(f"{type(error).__name__}: {error} ({frame.name}, line {frame.lineno})".split())
--- a/onyxhead/keys/__init__.py
+++ b/onyxhead/keys/__init__.py
@@ -1,1 +1,1 @@
-"""Keys and certificates: a small private authority, and TLS contexts that change in service."""
+"""Keys and certificates: a private certificate authority, and TLS contexts that are replaced without a restart."""
--- a/onyxhead/keys/authority.py
+++ b/onyxhead/keys/authority.py
@@ -1,7 +1,7 @@
-"""A private certificate authority in a folder: it issues, renews and revokes certificates (RFC 5280).
+"""A private certificate authority in a folder, which issues, renews and revokes certificates (RFC 5280).
 
-`authorities.pem` holds every authority that is still trusted, the newest first; `revoked.pem` holds the revocation list
-of each. Private keys leave the folder only as files that someone copies.
+`authorities.pem` holds the certificates of all trusted authorities, the newest first; `revoked.pem` holds a revocation
+list for each of them. The authority writes private keys to its folder only; operators copy them to their machines.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 ROLES = ("controller", "agent", "operator")
 RESERVED_NAMES = ("authority", "authorities", "index", "revoked")
-"""Names of the authority's own files."""
+"""Names that would collide with the authority's own files."""
 CLOCK_SKEW = datetime.timedelta(minutes=5)
-"""Certificates are valid from a little before they are made, since clocks differ."""
+"""Certificates are valid from this long before their issue, so that hosts whose clocks are behind accept them."""
 REVOCATION_LIST_VALIDITY = datetime.timedelta(days=365)
 AUTHORITY_VALIDITY_DAYS = 3650
 CERTIFICATE_VALIDITY_DAYS = 90
@@ -33,14 +33,17 @@
 
 
 class CertificateAuthority:
-    """The authority whose files are in `folder`; `now` is the time that it signs for."""
+    """The certificate authority whose files are in `folder`; `now` is the time of issue and revocation."""
 
     def __init__(self, folder: Path, now: datetime.datetime | None = None) -> None:
         self.folder = folder
         self.now = now or datetime.datetime.now(datetime.UTC)
 
     def create(self, name: str, days: int = AUTHORITY_VALIDITY_DAYS) -> None:
-        """Make the authority, or replace it: the one before stays trusted until `forget`. Raises IssuanceError."""
+        """Create the authority, or replace it by a new one. Raises IssuanceError.
+
+        The previous authorities stay trusted until `forget`.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         trusted = self._path("authorities.pem").read_bytes() if self._path("authorities.pem").exists() else b""
         index = self._read_index() if trusted else CertificateIndex()
@@ -61,7 +64,7 @@
         self._write_revocation_lists(index)
 
     def forget(self) -> None:
-        """Trust only the newest authority from now on. Raises IssuanceError."""
+        """Remove all authorities but the newest from the trusted ones. Raises IssuanceError."""
         self._write("authorities.pem", self._path("authority.crt").read_bytes())
         self._write_revocation_lists(self._read_index())
 
@@ -70,50 +73,53 @@
     ) -> x509.Certificate:
         """Write a new key and certificate to `NAME.key` and `NAME.crt`. Raises IssuanceError."""
         if role not in ROLES:
-            raise IssuanceError(f"{role!r} is none of {', '.join(ROLES)}")
+            raise IssuanceError(f"role {role!r} is not one of {', '.join(ROLES)}")
         if not name or "/" in name or name in RESERVED_NAMES:
-            raise IssuanceError(f"{name!r} can't be a name")
+            raise IssuanceError(f"{name!r} is not allowed as a certificate's name")
         index, (signing_key, authority) = self._read_index(), self._read_authority()
         key = ec.generate_private_key(ec.SECP256R1())
-        host_names = [x509.DNSName(name), *map(_host_name, hosts)]
+        alternative_names = [x509.DNSName(name), *map(_general_name, hosts)]
         usages = [ExtendedKeyUsageOID.CLIENT_AUTH, ExtendedKeyUsageOID.SERVER_AUTH]
         certificate = (
             self._builder(_distinguished_name(name, role), authority.subject, key, days)
             .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
-            .add_extension(x509.SubjectAlternativeName(host_names), critical=False)
+            .add_extension(x509.SubjectAlternativeName(alternative_names), critical=False)
             .add_extension(_key_usage(authority=False), critical=True)
             .add_extension(x509.ExtendedKeyUsage(usages), critical=False)
             .sign(signing_key, hashes.SHA256())
         )
-        until = certificate.not_valid_after_utc.isoformat()
-        issued = IssuedCertificate(list(hosts), role, str(certificate.serial_number), until)
+        expires_at = certificate.not_valid_after_utc.isoformat()
+        issued = IssuedCertificate(list(hosts), role, str(certificate.serial_number), expires_at)
         index.issued.setdefault(name, []).append(issued)
-        # The index first: a certificate that nobody could revoke must not be anywhere.
+        # The index is written first: a certificate that is missing in it could not be revoked.
         self._write("index.json", index.to_json())
         self._write(f"{name}.key", _private_bytes(key))
         self._write(f"{name}.crt", certificate.public_bytes(serialization.Encoding.PEM))
         return certificate
 
     def renew(self, name: str, days: int = CERTIFICATE_VALIDITY_DAYS) -> x509.Certificate:
-        """Issue a new key and certificate like the last. Raises IssuanceError for a name that has none."""
+        """Issue a new key and certificate with the role and hosts of the name's last one.
+
+        Raises IssuanceError if none was issued to the name.
+        """
         certificates = self._read_index().issued.get(name)
         if not certificates:
-            raise IssuanceError(f"nothing was issued to {name!r}")
+            raise IssuanceError(f"no certificate was issued to {name!r}")
         return self.issue(name, certificates[-1].role, tuple(certificates[-1].hosts), days)
 
     def revoke(self, name: str) -> int:
-        """Revoke all that was issued to a name and return how many were not revoked yet. Raises IssuanceError."""
+        """Revoke all certificates of a name, and return the number of newly revoked ones. Raises IssuanceError."""
         index = self._read_index()
         if name not in index.issued:
-            raise IssuanceError(f"nothing was issued to {name!r}")
-        serials = {each.serial for each in index.issued[name]} - set(index.revoked)
+            raise IssuanceError(f"no certificate was issued to {name!r}")
+        serials = {certificate.serial for certificate in index.issued[name]} - set(index.revoked)
         index.revoked |= {serial: self.now.isoformat() for serial in sorted(serials)}
         self._write("index.json", index.to_json())
         self._write_revocation_lists(index)
         return len(serials)
 
     def issued(self) -> list[dict[str, Any]]:
-        """Return all certificates that were issued, by name, as they are shown. Raises IssuanceError."""
+        """Return the listing of all issued certificates, sorted by name. Raises IssuanceError."""
         index = self._read_index()
         return [
             {"name": name, **certificate.to_json(), "revoked": certificate.serial in index.revoked}
@@ -151,18 +157,18 @@
             builder = builder.add_revoked_certificate(entry.build())
         body = builder.sign(key, hashes.SHA256()).public_bytes(serialization.Encoding.PEM)
         self._write(f"revoked-{index.number}.pem", body)
-        # Each trusted authority needs a list of its own, or none of its certificates would be accepted.
+        # OpenSSL rejects all certificates of an authority without a revocation list, so each trusted one gets its own.
         trusted = self._path("authorities.pem").read_bytes().count(b"BEGIN CERTIFICATE")
         numbers = range(index.number, index.number - trusted, -1)
-        self._write("revoked.pem", b"".join(self._path(f"revoked-{n}.pem").read_bytes() for n in numbers))
+        self._write("revoked.pem", b"".join(self._path(f"revoked-{number}.pem").read_bytes() for number in numbers))
 
     def _builder(
         self, subject: x509.Name, issuer: x509.Name, key: ec.EllipticCurvePrivateKey, days: int
     ) -> x509.CertificateBuilder:
         builder = x509.CertificateBuilder().subject_name(subject).issuer_name(issuer).public_key(key.public_key())
         builder = builder.serial_number(x509.random_serial_number())
-        expires = self.now + datetime.timedelta(days=days)
-        return builder.not_valid_before(self.now - CLOCK_SKEW).not_valid_after(expires)
+        expires_at = self.now + datetime.timedelta(days=days)
+        return builder.not_valid_before(self.now - CLOCK_SKEW).not_valid_after(expires_at)
 
 
 def _distinguished_name(name: str, role: str) -> x509.Name:
@@ -170,7 +176,7 @@
     return x509.Name([x509.NameAttribute(oid, value) for oid, value in parts])
 
 
-def _host_name(host: str) -> x509.GeneralName:
+def _general_name(host: str) -> x509.GeneralName:
     try:
         return x509.IPAddress(ipaddress.ip_address(host))
     except ValueError:
--- a/onyxhead/keys/credentials.py
+++ b/onyxhead/keys/credentials.py
@@ -1,7 +1,7 @@
-"""TLS contexts that follow their files: a new pair is checked in full before it is used, a bad one changes nothing.
+"""TLS contexts that are replaced when their key files change; unusable files leave the old contexts in use.
 
-Both sides show certificates (mutual TLS 1.3). Who a peer is comes from its certificate: the role from the
-organizational unit, the name from the common name. What it may do is decided by the callers.
+Both sides present certificates (mutual TLS 1.3). A certificate identifies the peer by a role, the organizational unit,
+and a name, the common name. The callers decide what a peer may do.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 log = structlog.get_logger()
 
 KEY_FILES_REJECTED = "key files rejected"
-"""Log event: changed key files can't be used, and the old ones stay in use."""
+"""Log event: changed key files can't be used, and the old TLS contexts stay in use."""
 
 
 class PeerIdentity(NamedTuple):
-    """Who a peer is, by its certificate."""
+    """A peer's role and name, from its certificate."""
 
     role: str
     name: str
 
 
 class _KeyFiles(NamedTuple):
-    """The bytes of the key files."""
+    """Contents of the certificate, key, authorities and revocation list files."""
 
     certificate: bytes
     key: bytes
@@ -50,9 +50,10 @@
 
 
 class TlsCredentials:
-    """TLS contexts for both directions, made from files.
+    """TLS contexts for servers and clients, made from key files.
 
-    `expires_at` is a Unix time in seconds; `generation` counts the pairs that replaced an earlier one.
+    `expires_at` is the end of the certificate's validity as Unix time in seconds; `generation` counts how often changed
+    files were taken into use.
     """
 
     def __init__(self, files: TlsSettings) -> None:
@@ -62,17 +63,17 @@
         self.server_context, self.client_context, self.expires_at = self._make_contexts(self._read_files())
 
     def refresh(self) -> bool:
-        """Use changed files for new handshakes and tell whether there were any.
+        """Use changed files for new handshakes, and return whether there were any.
 
-        Raises KeyFileError for changed files that can't be used; the contexts stay, and the same files are not tried
-        again.
+        Raises KeyFileError for changed files that can't be used; the contexts stay as they are, and the files are tried
+        again only after their next change.
         """
         fingerprint = self._stat_files()
         if fingerprint == self._fingerprint:
             return False
         self._fingerprint = fingerprint
         contexts = self._make_contexts(self._read_files())
-        # A file written while the others were read would pair a new key with an old certificate.
+        # A file that changed while the files were read may not fit the others; the next call reads them again.
         if self._stat_files() != fingerprint:
             self._fingerprint = ()
             return False
@@ -85,15 +86,15 @@
         return [files.certificate, files.key, files.authorities, *([files.revoked] if files.revoked else [])]
 
     def _stat_files(self) -> tuple[object, ...]:
-        """Return what changes when a file is replaced or rewritten."""
-        marks: list[tuple[int, int, int] | None] = []
+        """Return the inode, modification time and size of each file, None for a missing one."""
+        file_stats: list[tuple[int, int, int] | None] = []
         for path in self._paths():
             try:
                 status = path.stat()
-                marks.append((status.st_ino, status.st_mtime_ns, status.st_size))
+                file_stats.append((status.st_ino, status.st_mtime_ns, status.st_size))
             except OSError:
-                marks.append(None)
-        return tuple(marks)
+                file_stats.append(None)
+        return tuple(file_stats)
 
     def _read_files(self) -> _KeyFiles:
         try:
@@ -103,7 +104,7 @@
         return _KeyFiles(certificate, key, authorities, revoked[0] if revoked else None)
 
     def _make_contexts(self, files: _KeyFiles) -> _Contexts:
-        certificate = _check_pair(files)
+        certificate = _check_key_files(files)
         try:
             server, client = _make_context(files, server=True), _make_context(files, server=False)
         except (ssl.SSLError, OSError) as error:
@@ -111,18 +112,21 @@
         return _Contexts(server, client, certificate.not_valid_after_utc.timestamp())
 
 
-def _check_pair(files: _KeyFiles) -> x509.Certificate:
-    """Return the certificate if it is valid now and fits key and authorities. Raises KeyFileError."""
+def _check_key_files(files: _KeyFiles) -> x509.Certificate:
+    """Return the certificate, which must match the key, be signed by an authority and not be expired.
+
+    Raises KeyFileError.
+    """
     try:
         certificate = x509.load_pem_x509_certificate(files.certificate)
         key = serialization.load_pem_private_key(files.key, None)
         authorities = x509.load_pem_x509_certificates(files.authorities)
     except (ValueError, TypeError) as error:
-        raise KeyFileError(f"not a certificate and its key: {error}") from error
-    form = serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo
-    if key.public_key().public_bytes(*form) != certificate.public_key().public_bytes(*form):
-        raise KeyFileError("the key is not the certificate's")
-    if not any(certificate.issuer == each.subject and _is_signed_by(certificate, each) for each in authorities):
+        raise KeyFileError(f"the certificate, key or authorities can't be parsed: {error}") from error
+    public_key_format = serialization.Encoding.DER, serialization.PublicFormat.SubjectPublicKeyInfo
+    if key.public_key().public_bytes(*public_key_format) != certificate.public_key().public_bytes(*public_key_format):
+        raise KeyFileError("the key does not match the certificate")
+    if not any(certificate.issuer == issuer.subject and _is_signed_by(certificate, issuer) for issuer in authorities):
         raise KeyFileError("no trusted authority signed the certificate")
     if certificate.not_valid_after_utc.timestamp() <= time.time():
         raise KeyFileError(f"the certificate expired at {certificate.not_valid_after_utc.isoformat()}")
@@ -130,15 +134,15 @@
 
 
 def _make_context(files: _KeyFiles, server: bool) -> ssl.SSLContext:
-    """Return a context for one direction. Raises ssl.SSLError, OSError."""
+    """Return a server or a client context. Raises ssl.SSLError, OSError."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
-    # Identities are checked by the callers, who know whom they expect, not by the address that was connected to.
+    # Callers check the peer's role and name instead of its address.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     context.load_verify_locations(cadata=files.authorities.decode())
     with tempfile.TemporaryDirectory() as folder:
-        # The ssl module takes files only; these are exactly the bytes that were checked.
+        # The ssl module loads these from files only. Copies guarantee that it loads the bytes that were checked.
         pair = Path(folder) / "pair.pem"
         pair.touch(0o600)
         pair.write_bytes(files.key + b"\n" + files.certificate)
@@ -155,31 +159,31 @@
     try:
         certificate.verify_directly_issued_by(authority)
     except Exception:
-        # The library raises several kinds: wrong issuer, bad signature, unsupported algorithm.
+        # The library raises different exceptions for a wrong issuer, a bad signature and an unsupported algorithm.
         return False
     return True
 
 
 async def watch_key_files(credentials: TlsCredentials, interval: float) -> AsyncIterator[None]:
-    """Look at the key files every `interval` seconds; yield each time that changed ones were taken into use.
+    """Check the key files every `interval` seconds, and yield each time that changed ones were taken into use.
 
-    Files that can't be used are logged, and the credentials stay as they were.
+    Files that can't be used are logged, and the credentials stay unchanged.
     """
     while True:
         await asyncio.sleep(interval)
         try:
-            renewed = credentials.refresh()
+            refreshed = credentials.refresh()
         except KeyFileError as error:
             log.error(KEY_FILES_REJECTED, error=str(error))
             continue
-        if renewed:
+        if refreshed:
             yield
 
 
 def peer_identity(certificate: object) -> PeerIdentity | None:
-    """Return who showed a certificate, as `ssl.SSLSocket.getpeercert` returns it.
+    """Return the identity in a certificate that has the form of `ssl.SSLSocket.getpeercert`.
 
-    None stands for no certificate, or for one that lacks a role or a name.
+    Return None without a certificate, or if it lacks a role or a name.
     """
     fields: dict[str, str] = {}
     if isinstance(certificate, dict):
--- a/onyxhead/keys/errors.py
+++ b/onyxhead/keys/errors.py
@@ -2,12 +2,12 @@
 
 
 class KeysError(Exception):
-    """Base of this package's errors; the text says why."""
+    """Base class of this package's errors; the message gives the reason."""
 
 
 class IssuanceError(KeysError):
-    """The certificate authority can't do what it was asked for."""
+    """The certificate authority rejects a request, or its files can't be read."""
 
 
 class KeyFileError(KeysError):
-    """The key and certificate files can't be used."""
+    """The key files are missing, malformed, expired or don't fit together."""
--- a/onyxhead/keys/index.py
+++ b/onyxhead/keys/index.py
@@ -1,4 +1,4 @@
-"""The index of a certificate authority: what it issued and revoked, as stored in `index.json`."""
+"""The index of issued and revoked certificates, which a certificate authority stores in `index.json`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class IssuedCertificate(NamedTuple):
-    """One certificate; `serial` is decimal, `until` an ISO 8601 time."""
+    """An issued certificate; `serial` is decimal, `until` the end of its validity as an ISO 8601 time."""
 
     hosts: list[str]
     role: str
@@ -16,15 +16,16 @@
     until: str
 
     def to_json(self) -> dict[str, Any]:
-        """Return the certificate as it is stored and shown."""
+        """Return the certificate's entry in the stored index and in listings."""
         return self._asdict()
 
 
 @dataclass(slots=True)
 class CertificateIndex:
-    """Certificates by name in the order of their issue, revocation times by serial, and the authority's number.
+    """Issued certificates and revocations of an authority.
 
-    The number counts how often the authority was created or replaced.
+    `issued` holds each name's certificates in the order of their issue, `revoked` the revocation times by serial
+    number, and `number` counts how often the authority was created or replaced.
     """
 
     issued: dict[str, list[IssuedCertificate]] = field(default_factory=dict)
@@ -33,7 +34,7 @@
 
     @classmethod
     def from_json(cls, text: str) -> CertificateIndex:
-        """Read a stored index. Raises ValueError."""
+        """Decode a stored index. Raises ValueError."""
         try:
             stored = json.loads(text)
             issued = {
@@ -42,10 +43,12 @@
             }
             return cls(issued, dict(stored["revoked"]), int(stored["number"]))
         except (KeyError, TypeError, AttributeError) as error:
-            raise ValueError(f"not an index: {error!r}") from error
+            raise ValueError(f"not a certificate index: {error!r}") from error
 
     def to_json(self) -> bytes:
-        """Return the index as it is stored."""
-        issued = {name: [each.to_json() for each in certificates] for name, certificates in self.issued.items()}
+        """Encode the index for storage."""
+        issued = {
+            name: [certificate.to_json() for certificate in certificates] for name, certificates in self.issued.items()
+        }
         value = {"issued": issued, "revoked": self.revoked, "number": self.number}
         return json.dumps(value, indent=1, sort_keys=True).encode()
