--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent: accepted updates, replacements interrupted at every step, concurrent readers, and the proxy's files."""
+"""The agent: checks of updates, interrupted file replacements, concurrent readers, proxy files and load reports."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 
 
 def replica_and_updates() -> tuple[TableReplica, list[Request]]:
-    """A replica that follows stream "s", and two updates that build on each other."""
-    own = TableState(("read", "write"), AdmissionMode.FRACTION, 6.0)
-    own.addresses = {f"b{n}": EndpointAddress(f"127.0.0.1:{9000 + n}", "north") for n in range(4)}
+    """Return a replica that follows stream "s", and consecutive updates: a full one, then a change."""
+    tables = TableState(("read", "write"), AdmissionMode.FRACTION, 6.0)
+    tables.addresses = {f"b{n}": EndpointAddress(f"127.0.0.1:{9000 + n}", "north") for n in range(4)}
     replica = TableReplica(View.from_entries({("standing", "b9"): line("b9")}))
     replica.follow("s")
-    own.join(1, replica.view)
-    whole = own.apply_decisions(1, [TableChange(0, (("b0", 1.0), ("b1", 1.0))), TableAssignment(1, 0, ())])
-    change = own.apply_decisions(2, [Withdrawal("b1", True), TableChange(0, (("b2", 0.1),))])
-    return replica, [request_of(message, "s", 0) for message in (*whole, *change)]
+    tables.join(1, replica.view)
+    full_updates = tables.apply_decisions(1, [TableChange(0, (("b0", 1.0), ("b1", 1.0))), TableAssignment(1, 0, ())])
+    changes = tables.apply_decisions(2, [Withdrawal("b1", True), TableChange(0, (("b2", 0.1),))])
+    return replica, [request_of(message, "s", 0) for message in (*full_updates, *changes)]
 
 
 def test_consecutive_updates_are_accepted_and_acknowledged_with_the_new_tag() -> None:
@@ -53,36 +53,38 @@
     assert set(replica.view.children("tables", "t0", "lines")) == {"b0", "b1", "b2"}
 
 
-def changed(request: Request, **headers: str) -> Request:
-    return request._replace(headers=request.headers | {k.replace("_", "-"): v for k, v in headers.items()})
+def with_headers(request: Request, **headers: str) -> Request:
+    return request._replace(
+        headers=request.headers | {name.replace("_", "-"): value for name, value in headers.items()}
+    )
 
 
 @pytest.mark.parametrize(
-    ("how", "status"),
+    ("alter", "status"),
     [
-        (lambda r: changed(r, onyxhead_stream="older"), 409),
-        (lambda r: changed(r, if_match='"0"'), 412),
-        (lambda r: changed(r, if_match=""), 428),
-        (lambda r: changed(r, content_type="text/plain"), 415),
-        (lambda r: changed(r, content_digest="sha-512=:x:"), 400),
-        (lambda r: r._replace(method="POST"), 405),
-        (lambda r: r._replace(body=r.body[:-1]), 400),
-        (lambda r: r._replace(body=b"\0" + r.body), 400),
+        (lambda request: with_headers(request, onyxhead_stream="older"), 409),
+        (lambda request: with_headers(request, if_match='"0"'), 412),
+        (lambda request: with_headers(request, if_match=""), 428),
+        (lambda request: with_headers(request, content_type="text/plain"), 415),
+        (lambda request: with_headers(request, content_digest="sha-512=:x:"), 400),
+        (lambda request: request._replace(method="POST"), 405),
+        (lambda request: request._replace(body=request.body[:-1]), 400),
+        (lambda request: request._replace(body=b"\0" + request.body), 400),
     ],
 )
-def test_an_unsuitable_update_is_rejected_and_changes_nothing(how: Any, status: int) -> None:
+def test_an_unsuitable_update_is_rejected_and_changes_nothing(alter: Any, status: int) -> None:
     replica, requests = replica_and_updates()
     before = replica.view
-    answer = replica.check_update(how(requests[0]))
-    assert isinstance(answer, Response) and answer.status == status and replica.view is before
+    response = replica.check_update(alter(requests[0]))
+    assert isinstance(response, Response) and response.status == status and replica.view is before
 
 
 def test_an_update_with_another_result_than_announced_is_rejected() -> None:
     replica, requests = replica_and_updates()
-    answer = replica.check_update(changed(requests[0], onyxhead_result='"0"'))
-    assert isinstance(answer, Response) and answer.status == 422
+    response = replica.check_update(with_headers(requests[0], onyxhead_result='"0"'))
+    assert isinstance(response, Response) and response.status == 422
     assert isinstance(
-        replica.check_update(changed(requests[0], onyxhead_result=requests[0].headers["onyxhead-result"])),
+        replica.check_update(with_headers(requests[0], onyxhead_result=requests[0].headers["onyxhead-result"])),
         AcceptedUpdate,
     )
 
@@ -93,8 +95,8 @@
     assert isinstance(update, AcceptedUpdate)
     replica.commit(update)
     body = requests[1].body
-    for place in range(len(body)):
-        corrupt = body[:place] + bytes([body[place] ^ 1]) + body[place + 1 :]
+    for position in range(len(body)):
+        corrupt = body[:position] + bytes([body[position] ^ 1]) + body[position + 1 :]
         assert isinstance(replica.check_update(requests[1]._replace(body=corrupt)), Response)
 
 
@@ -103,8 +105,8 @@
     update = replica.check_update(requests[0])
     assert isinstance(update, AcceptedUpdate)
     replica.commit(update)
-    again = replica.check_update(requests[0])
-    assert isinstance(again, Response) and again.status == 412 and again.headers["etag"] == replica.view.etag
+    response = replica.check_update(requests[0])
+    assert isinstance(response, Response) and response.status == 412 and response.headers["etag"] == replica.view.etag
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b'{"tag": "x", "view": {}}', b'{"view": {}}', b"[" * 100_000])
@@ -118,7 +120,7 @@
 
 
 class Killed(BaseException):
-    """Simulates SIGKILL: nothing after it runs, not even the clean-up after errors."""
+    """Simulates SIGKILL: as no `except Exception` or `except OSError` catches it, no clean-up after errors runs."""
 
 
 def settings(folder: Path) -> AgentSettings:
@@ -143,32 +145,32 @@
     )
 
 
-CALLS = ("open", "write", "fsync", "rename")
+SYSTEM_CALLS = ("open", "write", "fsync", "rename")
 
 
-@pytest.mark.parametrize("cut", range(60))
+@pytest.mark.parametrize("calls_before_kill", range(60))
 def test_an_agent_killed_at_any_system_call_restarts_from_a_consistent_state(
-    cut: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    calls_before_kill: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old, new = (View.from_entries({("standing", name): line(name)}) for name in ("b1", "b2"))
     ProxyFiles(settings(tmp_path)).install(old)
-    files, count, lock = ProxyFiles(settings(tmp_path)), [0], threading.Lock()
+    files, call_count, lock = ProxyFiles(settings(tmp_path)), [0], threading.Lock()
 
-    def cutting(name: str) -> Any:
+    def killed_after_limit(name: str) -> Any:
         real = getattr(os, name)
 
         def call(*args: Any) -> Any:
             with lock:
-                count[0] += 1
-                if count[0] > cut:
+                call_count[0] += 1
+                if call_count[0] > calls_before_kill:
                     raise Killed
             return real(*args)
 
         return call
 
     with monkeypatch.context() as patched:
-        for name in CALLS:
-            patched.setattr(os, name, cutting(name))
+        for name in SYSTEM_CALLS:
+            patched.setattr(os, name, killed_after_limit(name))
         finished = False
         try:
             files.install(new)
@@ -177,19 +179,22 @@
             pass
     visible = {path.name: path.read_bytes() for path in (tmp_path / "files").iterdir() if path.name[0] != "."}
     assert all(
-        body in (dict(_named(files, old))[name], dict(_named(files, new))[name]) for name, body in visible.items()
+        body in (dict(_bodies_by_name(files, old))[name], dict(_bodies_by_name(files, new))[name])
+        for name, body in visible.items()
+    )
+    restarted = ProxyFiles(settings(tmp_path))
+    state = restarted.load_state()
+    assert state is not None
+    stored_view = state[0]
+    assert stored_view in (old, new) and (stored_view == new or not finished)
+    restarted.install(stored_view)
+    restored = {path.name: path.read_bytes() for path in (tmp_path / "files").iterdir()}
+    assert restored == dict(_bodies_by_name(restarted, stored_view)) and not list(
+        (tmp_path / "state").glob(f"{TEMPORARY_PREFIX}*")
     )
-    again = ProxyFiles(settings(tmp_path))
-    loaded = again.load_state()
-    assert loaded is not None
-    held = loaded[0]
-    assert held in (old, new) and (held == new or not finished)
-    again.install(held)
-    left = {path.name: path.read_bytes() for path in (tmp_path / "files").iterdir()}
-    assert left == dict(_named(again, held)) and not list((tmp_path / "state").glob(f"{TEMPORARY_PREFIX}*"))
 
 
-def _named(files: ProxyFiles, view: View) -> list[tuple[str, bytes]]:
+def _bodies_by_name(files: ProxyFiles, view: View) -> list[tuple[str, bytes]]:
     return [(path.name, body) for path, body in files.render(view)]
 
 
@@ -199,10 +204,10 @@
 ) -> None:
     replace_files([(tmp_path / "a", b"old"), (tmp_path / "b", b"old")])
 
-    def full(*_: object) -> int:
+    def failing_write(*_: object) -> int:
         raise OSError(fault, os.strerror(fault))
 
-    monkeypatch.setattr(os, "write", full)
+    monkeypatch.setattr(os, "write", failing_write)
     with pytest.raises(SwapError) as caught:
         replace_files([(tmp_path / "a", b"new"), (tmp_path / "b", b"new")])
     assert caught.value.errno == fault
@@ -211,46 +216,47 @@
 
 
 def test_a_concurrent_reader_never_sees_a_partial_file(tmp_path: Path) -> None:
-    path, over, torn, seen = tmp_path / "f", threading.Event(), list[bytes](), set[bytes]()
+    path, finished, partial_bodies, first_bytes = tmp_path / "f", threading.Event(), list[bytes](), set[bytes]()
     replace_files([(path, b"0" * 40_000)])
 
     def read() -> None:
-        while not over.is_set():
+        while not finished.is_set():
             body = path.read_bytes()
-            seen.add(body[:1])
+            first_bytes.add(body[:1])
             if len(body) != 40_000 or body.count(body[:1]) != 40_000:
-                torn.append(body)
+                partial_bodies.append(body)
 
     readers = [threading.Thread(target=read) for _ in range(3)]
     for reader in readers:
         reader.start()
     for number in range(400):
         replace_files([(path, str(number % 10).encode() * 40_000)])
-    over.set()
+    finished.set()
     for reader in readers:
         reader.join()
-    assert not torn and len(seen) == 10
+    assert not partial_bodies and len(first_bytes) == 10
 
 
 def test_a_writer_without_rename_would_be_detected(tmp_path: Path) -> None:
-    path, over, torn = tmp_path / "f", threading.Event(), list[int]()
+    # Shows that a concurrent reader as in the test above does detect partial files.
+    path, finished, partial_lengths = tmp_path / "f", threading.Event(), list[int]()
     path.write_bytes(b"0" * 400_000)
 
     def read() -> None:
-        while not over.is_set():
+        while not finished.is_set():
             body = path.read_bytes()
             if len(body) != 400_000 or body.count(body[:1]) != 400_000:
-                torn.append(len(body))
+                partial_lengths.append(len(body))
 
     reader = threading.Thread(target=read)
     reader.start()
     for number in range(4000):
         path.write_bytes(str(number % 10).encode() * 400_000)
-        if torn:
+        if partial_lengths:
             break
-    over.set()
+    finished.set()
     reader.join()
-    assert torn
+    assert partial_lengths
 
 
 def test_only_temporary_files_of_an_interrupted_replacement_are_removed(tmp_path: Path) -> None:
@@ -280,13 +286,16 @@
 def test_envoy_endpoints_carry_weights_withdrawals_and_admission_levels() -> None:
     document = json.loads(envoy.endpoint_assignments(view(share=0.25), ROUTES))
     read, write = document["resources"]
-    ends = [end for locality in read["endpoints"] for end in locality["lb_endpoints"]]
-    assert {(e["load_balancing_weight"], e["health_status"]) for e in ends} == {
+    endpoints = [endpoint for locality in read["endpoints"] for endpoint in locality["lb_endpoints"]]
+    assert {(endpoint["load_balancing_weight"], endpoint["health_status"]) for endpoint in endpoints} == {
         (250_000, "HEALTHY"),
         (1_000_000, "DRAINING"),
     }
     assert read["policy"]["drop_overloads"][0]["drop_percentage"]["numerator"] == 750_000
-    ports = [e["endpoint"]["address"]["socket_address"]["port_value"] for e in write["endpoints"][0]["lb_endpoints"]]
+    ports = [
+        endpoint["endpoint"]["address"]["socket_address"]["port_value"]
+        for endpoint in write["endpoints"][0]["lb_endpoints"]
+    ]
     assert ports == [9003] and "policy" not in write
     assert document["version_info"] in view(share=0.25).etag
 
@@ -303,20 +312,22 @@
 def test_envoy_routes_carry_the_retry_policy(tries: int, policy: Any) -> None:
     document = json.loads(envoy.route_configuration(view(tries=tries), ROUTES, 1.2))
     action = document["resources"][0]["virtual_hosts"][0]["routes"][0]["route"]
-    told = action.get("retry_policy")
+    retry_policy = action.get("retry_policy")
     assert action["cluster"] == "read"
-    assert (told and (told["retry_on"], told["num_retries"], told.get("per_try_timeout"))) == policy
+    assert (
+        retry_policy and (retry_policy["retry_on"], retry_policy["num_retries"], retry_policy.get("per_try_timeout"))
+    ) == policy
 
 
-def test_a_rate_becomes_a_token_bucket_that_admits_as_many() -> None:
+def test_a_rate_limit_becomes_a_token_bucket_with_the_same_rate() -> None:
     for rate in (0.5, 3.0, 120.0):
         document = json.loads(envoy.route_configuration(view(rate=rate), ROUTES, 1.2))
-        limit = document["resources"][0]["virtual_hosts"][0]["routes"][0]["typed_per_filter_config"]
-        bucket = limit[envoy.RATE_LIMIT_FILTER]["token_bucket"]
+        filter_config = document["resources"][0]["virtual_hosts"][0]["routes"][0]["typed_per_filter_config"]
+        bucket = filter_config[envoy.RATE_LIMIT_FILTER]["token_bucket"]
         assert bucket["tokens_per_fill"] / float(bucket["fill_interval"][:-1]) == pytest.approx(rate, rel=0.01)
 
 
-def test_nginx_files_carry_the_same_and_name_what_nginx_can_not_express() -> None:
+def test_nginx_files_carry_the_same_and_comment_on_what_nginx_can_not_express() -> None:
     text = nginx.upstream_blocks(view(share=0.25), ROUTES).decode()
     assert "server 127.0.0.1:9001 weight=16384 max_fails=0;" in text
     assert "server 127.0.0.1:9002 weight=65535 max_fails=0 down;" in text
@@ -337,17 +348,17 @@
         proxy_counters.counter_increments(before, after),
         {"127.0.0.1:9001": 0.5},
     )
-    read = parse_load_stats(json.loads(json.dumps(report)))
-    assert read.backends == {"127.0.0.1:9001": BackendStatistics(6, 1, 500.0, 10_000, 0.5)}
-    assert read.request_counts == {"read": (7, 10_000)}
+    load_stats = parse_load_stats(json.loads(json.dumps(report)))
+    assert load_stats.backends == {"127.0.0.1:9001": BackendStatistics(6, 1, 500.0, 10_000, 0.5)}
+    assert load_stats.request_counts == {"read": (7, 10_000)}
 
 
-def test_a_restarted_proxy_is_counted_from_its_restart() -> None:
+def test_counters_of_a_restarted_proxy_count_from_its_restart() -> None:
     before = proxy_counters.parse_counters(stats(good=30, bad=1, ms=300.0, flows=50))
     after = proxy_counters.parse_counters(stats(good=4, bad=2, ms=40.0, flows=6))
     assert proxy_counters.counter_increments(before, after) == {key: value for key, value in after.items() if value}
 
 
 def stats(good: int, bad: int, ms: float, flows: int) -> dict[str, Any]:
-    met = {"127.0.0.1:9001": {"good": good, "bad": bad, "ms": ms}}
-    return {"groups": {"read": {"flows": flows, "dropped": 0, "backends": met}}}
+    backends = {"127.0.0.1:9001": {"good": good, "bad": bad, "ms": ms}}
+    return {"groups": {"read": {"flows": flows, "dropped": 0, "backends": backends}}}
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""The authority, contexts that follow their files, and streams while keys, authorities and revocations change."""
+"""The certificate authority, TLS contexts that follow their key files, and key rotation with open streams."""
 
 from __future__ import annotations
 
@@ -31,31 +31,34 @@
 
 @pytest.fixture
 def authority(tmp_path: Path) -> CertificateAuthority:
-    own = CertificateAuthority(tmp_path / "keys")
-    own.create("test")
-    own.issue("c1", "controller", ("127.0.0.1",))
-    own.issue("p1", "agent")
-    return own
+    created = CertificateAuthority(tmp_path / "keys")
+    created.create("test")
+    created.issue("c1", "controller", ("127.0.0.1",))
+    created.issue("p1", "agent")
+    return created
 
 
 async def handshake(server: TlsCredentials, client: TlsCredentials) -> tuple[PeerIdentity | None, PeerIdentity | None]:
-    """Who each side sees of the other. Raises OSError where a handshake fails."""
-    seen: list[PeerIdentity | None] = []
+    """Return the client's identity as the server sees it, and the server's as the client sees it.
+
+    Raises OSError if the handshake fails.
+    """
+    client_identities: list[PeerIdentity | None] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        seen.append(peer_identity(writer.get_extra_info("peercert")))
+        client_identities.append(peer_identity(writer.get_extra_info("peercert")))
         writer.write(b"x")
         writer.close()
 
     listener = await asyncio.start_server(serve, "127.0.0.1", 0, ssl=server.server_context)
     try:
         connection = await Connection.open(*listener.sockets[0].getsockname()[:2], client.client_context)
-        # With TLS 1.3 a client learns that it was refused when it reads.
+        # In TLS 1.3, the client learns only by reading that the server rejected its certificate.
         if await connection.reader.read(1) != b"x":
-            raise OSError("refused")
-        other = peer_identity(connection.certificate)
+            raise OSError("rejected by the server")
+        server_identity = peer_identity(connection.certificate)
         connection.close()
-        return seen[0], other
+        return client_identities[0], server_identity
     finally:
         listener.close()
 
@@ -67,14 +70,14 @@
 
 def test_revoked_expired_and_unknown_peers_are_rejected(authority: CertificateAuthority, tmp_path: Path) -> None:
     authority.issue("late", "agent", days=90)
-    late = TlsCredentials(files(authority.folder, "late"))
+    revoked = TlsCredentials(files(authority.folder, "late"))
     assert authority.revoke("late") == 1 and authority.revoke("late") == 0
-    stranger = CertificateAuthority(tmp_path / "other")
-    stranger.create("other")
-    stranger.issue("p1", "agent")
-    foreign = TlsCredentials(files(stranger.folder, "p1"))
+    untrusted_authority = CertificateAuthority(tmp_path / "other")
+    untrusted_authority.create("other")
+    untrusted_authority.issue("p1", "agent")
+    unknown = TlsCredentials(files(untrusted_authority.folder, "p1"))
     server = TlsCredentials(files(authority.folder, "c1"))
-    for client in (late, foreign):
+    for client in (revoked, unknown):
         with pytest.raises((OSError, ssl.SSLError)):
             asyncio.run(handshake(server, client))
     CertificateAuthority(authority.folder, NOW - datetime.timedelta(days=30)).issue("old", "agent", days=10)
@@ -82,33 +85,33 @@
         TlsCredentials(files(authority.folder, "old"))
 
 
-@pytest.mark.parametrize("what", ["other key", "half a key", "no file", "stranger", "not a certificate"])
+@pytest.mark.parametrize("defect", ["other key", "half a key", "no file", "stranger", "not a certificate"])
 def test_unusable_key_files_are_rejected_and_the_old_ones_stay(
-    what: str, authority: CertificateAuthority, tmp_path: Path
+    defect: str, authority: CertificateAuthority, tmp_path: Path
 ) -> None:
     folder = authority.folder
     server, client = TlsCredentials(files(folder, "c1")), TlsCredentials(files(folder, "p1"))
-    good = {name: (folder / name).read_bytes() for name in ("c1.crt", "c1.key")}
-    match what:
+    usable_files = {name: (folder / name).read_bytes() for name in ("c1.crt", "c1.key")}
+    match defect:
         case "other key":
             (folder / "c1.key").write_bytes((folder / "p1.key").read_bytes())
         case "half a key":
-            (folder / "c1.key").write_bytes(good["c1.key"][:90])
+            (folder / "c1.key").write_bytes(usable_files["c1.key"][:90])
         case "no file":
             (folder / "c1.crt").unlink()
         case "stranger":
-            other = CertificateAuthority(tmp_path / "other")
-            other.create("other")
-            other.issue("c1", "controller")
-            for name in good:
-                (folder / name).write_bytes((other.folder / name).read_bytes())
+            untrusted_authority = CertificateAuthority(tmp_path / "other")
+            untrusted_authority.create("other")
+            untrusted_authority.issue("c1", "controller")
+            for name in usable_files:
+                (folder / name).write_bytes((untrusted_authority.folder / name).read_bytes())
         case _:
             (folder / "c1.crt").write_bytes(b"x")
     with pytest.raises(KeyFileError):
         server.refresh()
     assert server.generation == 0 and not server.refresh()
     assert asyncio.run(handshake(server, client))[0] == PeerIdentity("agent", "p1")
-    for name, body in good.items():
+    for name, body in usable_files.items():
         (folder / name).write_bytes(body)
     assert server.refresh() and server.generation == 1
 
@@ -129,7 +132,7 @@
 
 
 def test_the_authority_rejects_invalid_requests(tmp_path: Path, authority: CertificateAuthority) -> None:
-    for work in (
+    for invalid_request in (
         lambda: authority.issue("a/b", "agent"),
         lambda: authority.issue("x", "king"),
         lambda: authority.renew("none"),
@@ -137,14 +140,14 @@
         lambda: CertificateAuthority(tmp_path / "nowhere").issue("x", "agent"),
     ):
         with pytest.raises(IssuanceError):
-            work()
+            invalid_request()
     assert (authority.folder / "c1.key").stat().st_mode & 0o077 == 0
 
 
 def test_keys_are_managed_on_the_command_line(tmp_path: Path) -> None:
-    def run(*words: str) -> tuple[int, str]:
-        done = CliRunner().invoke(main, ["keys", words[0], str(tmp_path / "k"), *words[1:]])
-        return done.exit_code, done.output
+    def run(*arguments: str) -> tuple[int, str]:
+        result = CliRunner().invoke(main, ["keys", arguments[0], str(tmp_path / "k"), *arguments[1:]])
+        return result.exit_code, result.output
 
     assert run("issue", "x", "--role", "agent")[0] == 1
     assert run("init")[0] == 0 and run("issue", "x", "--role", "agent")[0] == 0
@@ -152,13 +155,13 @@
     assert '"revoked": true' in run("show", "--json")[1]
 
 
-# Daemons
+# A controller and its agents
 
 
 TLS = 'tls: {certificate: "keys/%s.crt", key: "keys/%s.key", authorities: "keys/authorities.pem", revoked: "keys/revoked.pem", every: 50ms}\n'
 
 
-def test_key_rotation_loses_no_update_and_revoked_agents_are_kept_out(
+def test_key_rotation_loses_no_update_and_revoked_agents_are_rejected(
     tmp_path: Path, authority: CertificateAuthority
 ) -> None:
     async def work(running: Running) -> None:
@@ -172,7 +175,7 @@
             await running.agent(name, port_of(controller))
         sockets.AGENT = AGENT
         await until(lambda: all(len(shown(tmp_path, name)) == 3 for name in ("p1", "p2")))
-        before = {line.token for line in controller.streams.by_proxy.values()}
+        old_streams = {stream.token for stream in controller.streams.by_proxy.values()}
         for name in ("c1", "p1", "p2"):
             authority.renew(name)
         backends = [{"id": f"b{n}", "address": f"127.0.0.1:{9000 + n}", "zone": "north"} for n in (1, 2)]
@@ -180,20 +183,20 @@
         await until(lambda: all(shown(tmp_path, name) == {9001, 9002} for name in ("p1", "p2")))
         assert controller.keys is not None
         await until(
-            lambda: not before & {line.token for line in controller.streams.by_proxy.values()}
+            lambda: not old_streams & {stream.token for stream in controller.streams.by_proxy.values()}
             and len(controller.streams.by_proxy) == 2
         )
         assert controller.core.counts["faults"] == 0
         authority.revoke("p2")
         await until(lambda: len(controller.streams.by_proxy) == 1, 10.0)
         await asyncio.sleep(0.5)
-        assert {known.name for known in controller.core.joined.values()} == {"p1"}
+        assert {proxy.name for proxy in controller.core.joined.values()} == {"p1"}
         assert shown(tmp_path, "p2") == {9001, 9002}
 
     play(tmp_path, work)
 
 
-def test_key_rotation_while_many_proxies_join_loses_none(tmp_path: Path, authority: CertificateAuthority) -> None:
+def test_key_rotation_while_many_proxies_join_loses_no_proxy(tmp_path: Path, authority: CertificateAuthority) -> None:
     async def work(running: Running) -> None:
         running.more = TLS % ("c1", "c1")
         controller = await running.controller()
@@ -220,12 +223,12 @@
     async def work(running: Running) -> None:
         running.more = TLS % ("c1", "c1")
         controller = await running.controller()
-        own = TlsCredentials(files(authority.folder, "p1")).client_context
+        agent_tls = TlsCredentials(files(authority.folder, "p1")).client_context
         address = ("127.0.0.1", port_of(controller))
-        assert (await fetch_once(address, Request("PUT", "/v1/proxies/p2", {}, b"{}"), 2.0, own)).status == 403
-        assert (await fetch_once(address, Request("PUT", "/v1/proxies/p1", {}, b"{}"), 2.0, own)).status == 400
-        assert (await fetch_once(address, Request("GET", "/v1/state"), 2.0, own)).status == 200
-        with pytest.raises(Exception):  # noqa: B017  # whatever the handshake makes of it
+        assert (await fetch_once(address, Request("PUT", "/v1/proxies/p2", {}, b"{}"), 2.0, agent_tls)).status == 403
+        assert (await fetch_once(address, Request("PUT", "/v1/proxies/p1", {}, b"{}"), 2.0, agent_tls)).status == 400
+        assert (await fetch_once(address, Request("GET", "/v1/state"), 2.0, agent_tls)).status == 200
+        with pytest.raises(Exception):  # noqa: B017  # the kind depends on how far the handshake gets
             await fetch_once(address, Request("GET", "/v1/state"), 2.0)
         import tests.test_controller_server as sockets
 
@@ -233,8 +236,8 @@
         agent = await running.agent("p1", port_of(controller))
         sockets.AGENT = AGENT
         await until(lambda: agent.replica.stream)
-        order = Request("HEAD", "/v1/view", {"onyxhead-stream": agent.replica.stream, "onyxhead-token": "1"})
-        assert (await fetch_once(agent.session.listen_address, order, 2.0, own)).status == 403
+        probe = Request("HEAD", "/v1/view", {"onyxhead-stream": agent.replica.stream, "onyxhead-token": "1"})
+        assert (await fetch_once(agent.session.listen_address, probe, 2.0, agent_tls)).status == 403
 
     play(tmp_path, work)
 
@@ -262,16 +265,16 @@
         controller = await running.controller()
         await until(lambda: controller.netconf and controller.netconf.tls)
         port = controller.netconf.tls.sockets[0].getsockname()[1]  # type: ignore[union-attr]
-        m = await asyncio.to_thread(connect, port, "olga")
-        told = await asyncio.to_thread(m.get_config, "running")
-        assert "drain-grace" in told.xml
+        session_before = await asyncio.to_thread(connect, port, "olga")
+        reply = await asyncio.to_thread(session_before.get_config, "running")
+        assert "drain-grace" in reply.xml
         authority.renew("c1")
         await until(lambda: controller.keys and controller.keys.generation == 1)
-        assert "drain-grace" in (await asyncio.to_thread(m.get_config, "running")).xml
-        again = await asyncio.to_thread(connect, port, "olga")
-        for session in (m, again):
+        assert "drain-grace" in (await asyncio.to_thread(session_before.get_config, "running")).xml
+        session_after = await asyncio.to_thread(connect, port, "olga")
+        for session in (session_before, session_after):
             await asyncio.to_thread(session.close_session)
-        with pytest.raises(Exception):  # noqa: B017  # the client's own kind of closed session
+        with pytest.raises(Exception):  # noqa: B017  # ncclient's error for a closed session
             await asyncio.to_thread(connect, port, "p1")
 
     play(tmp_path, work)
