--- a/onyxhead/agent/controller_session.py
+++ b/onyxhead/agent/controller_session.py
@@ -46,7 +46,7 @@
 
     @property
     def joined(self) -> bool:
-        """Whether the current stream is open."""
+        """True while the current stream is open, and also before the first join."""
         return not self.disconnected.is_set()
 
     @property
--- a/onyxhead/agent/routes.py
+++ b/onyxhead/agent/routes.py
@@ -17,7 +17,7 @@
 
 
 class AgentRoutes:
-    """Answers the requests to one agent; with `authenticated`, only clients with a certificate of the fleet."""
+    """Answers the requests to one agent; `authenticated` requires a certificate of the fleet from every client."""
 
     def __init__(self, session: ControllerSession, authenticated: bool) -> None:
         self.session, self.authenticated = session, authenticated
--- a/onyxhead/agent/table_replica.py
+++ b/onyxhead/agent/table_replica.py
@@ -47,7 +47,7 @@
 class TableReplica:
     """The current view, and the stream that may update it.
 
-    The proxy's files show this view; after a crash, the agent restores them from the stored view.
+    The proxy's files show this view, or will show it once a restarted agent has restored them.
     """
 
     def __init__(self, view: View, token: int = 0) -> None:
@@ -108,7 +108,7 @@
         return self.view.apply(parse_merge_patch(document))
 
     def check_token(self, request: Request) -> Response | None:
-        """Return None for the current fencing token, else a rejection that carries the current token."""
+        """Return None if a request has the current fencing token, else a rejection that carries the current one."""
         text = request.headers.get(TOKEN_HEADER, NO_TOKEN)
         try:
             self.token_guard.check(int(text) if text.isascii() and text.isdigit() else INVALID_TOKEN)
--- a/onyxhead/http/client.py
+++ b/onyxhead/http/client.py
@@ -88,7 +88,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request can be sent on this connection."""
+        """True if another request can be sent on this connection."""
         between_requests = (h11.IDLE, h11.DONE)
         idle = self.state.our_state in between_requests and self.state.their_state in between_requests
         return idle and not self.reader.at_eof() and not self.writer.is_closing()
--- a/onyxhead/keys/authority.py
+++ b/onyxhead/keys/authority.py
@@ -91,7 +91,7 @@
         expires_at = certificate.not_valid_after_utc.isoformat()
         issued = IssuedCertificate(list(hosts), role, str(certificate.serial_number), expires_at)
         index.issued.setdefault(name, []).append(issued)
-        # The index is written first: a certificate that is missing in it could not be revoked.
+        # The index is written first: a certificate that is missing from it could not be revoked.
         self._write("index.json", index.to_json())
         self._write(f"{name}.key", _private_bytes(key))
         self._write(f"{name}.crt", certificate.public_bytes(serialization.Encoding.PEM))
--- a/onyxhead/keys/credentials.py
+++ b/onyxhead/keys/credentials.py
@@ -137,7 +137,7 @@
     """Return a server or a client context. Raises ssl.SSLError, OSError."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
-    # Callers check the peer's role and name instead of its address.
+    # The peer's host name is not checked, since callers check the role and name in its certificate.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     context.load_verify_locations(cadata=files.authorities.decode())
