--- a/onyxhead/intake/__init__.py
+++ b/onyxhead/intake/__init__.py
@@ -1,4 +1,5 @@
-"""Estimates of the load of backends from their reports and from what proxies observe: late, noisy, incomplete or false.
+"""Load estimation for backends, from their own load reports and from what proxies observe.
 
-No I/O and no clock: callers pass the time, in ticks (`onyxhead.time_units`).
+Reports may be late, noisy, incomplete or false. The package does no I/O and reads no clock: callers pass the time, in
+ticks (`onyxhead.time_units`).
 """
--- a/onyxhead/intake/change_detection.py
+++ b/onyxhead/intake/change_detection.py
@@ -1,10 +1,10 @@
-"""Detects shifts of a series' mean against noise, with a stated rate of false alarms. No I/O.
+"""Detection of shifts in the mean of a noisy series, with a configured rate of false alarms. No I/O.
 
-Page's two-sided cumulative sums over samples that are standardised by a learnt mean and variance. Alternatives that
-were weighed: a fixed threshold on the last sample (slow on small shifts, or alarmed by each outlier) and Bayesian
-online detection (a table of run lengths for each of thousands of series). The threshold follows from the wanted mean
-number of samples between false alarms by Siegmund's approximation (D. Siegmund, Sequential Analysis, 1985, section
-2.5).
+The detector is Page's two-sided cumulative sum test (CUSUM) over samples that are standardised by a running estimate
+of the mean and the variance. Two alternatives were rejected: a fixed threshold on the last sample, which is slow on
+small shifts or raises an alarm on each outlier, and Bayesian online change detection, which keeps a table of run
+lengths for each of thousands of series. The threshold is computed from the wanted mean number of samples between false
+alarms by Siegmund's approximation (D. Siegmund, Sequential Analysis, 1985, section 2.5).
 """
 
 from __future__ import annotations
@@ -15,25 +15,29 @@
 from functools import lru_cache
 
 ALLOWANCE = 0.5
-"""Drift that each sum subtracts, in standard deviations; shifts of twice this are found soonest."""
+"""Subtracted from each sum at every sample, in standard deviations; shifts of twice this size are detected fastest."""
 CALIBRATION_SAMPLES = 24
-"""Samples after which the mean counts as known; before that nothing raises an alarm."""
+"""Number of first samples that only estimate the mean and the variance; no alarm is raised during these."""
 MAX_Z_SCORE = 4.0
-"""Bound on the influence of one sample: an outlier is not a shift."""
+"""Samples are clipped to this many standard deviations, so that a single outlier raises no alarm."""
 ADAPTATION_RATE = 1 / 64
+"""Smoothing factor of the running mean and variance after calibration."""
 RECENT_SAMPLES = 5
+"""Number of last samples in which the start of a detected shift is searched."""
 MIN_RELATIVE_DEVIATION = 1e-3
+"""Lower bound of the standard deviation, relative to the mean."""
 MIN_DEVIATION = 1e-9
+"""Absolute lower bound of the standard deviation; avoids a division by zero on a constant series."""
 CALIBRATION_MARGIN = 4
-"""A mean learnt from few samples is off by itself, which noise shows as shifts: the threshold allows for it."""
+"""Factor on the mean run length: the error of a mean that is estimated from few samples causes extra false alarms."""
 OVERSHOOT = 1.166
-"""Mean excess of the sum over the threshold on crossing, in Siegmund's approximation."""
+"""Mean amount by which a sum exceeds the threshold when it crosses it, in Siegmund's approximation."""
 MAX_THRESHOLD = 60.0
 BISECTION_STEPS = 60
 
 
 class Shift(IntEnum):
-    """The direction in which a mean has moved."""
+    """The direction in which the mean of a series shifted."""
 
     FALL = -1
     NONE = 0
@@ -42,23 +46,23 @@
 
 @lru_cache(maxsize=64)
 def cusum_threshold(mean_run_length: float, allowance: float = ALLOWANCE) -> float:
-    """Return the threshold that noise makes a one-sided sum cross once in `mean_run_length` samples on average."""
+    """Return the threshold that a one-sided sum crosses by noise alone once in `mean_run_length` samples on average."""
 
     def run_length(threshold: float) -> float:
-        b = threshold + OVERSHOOT
-        return (math.exp(2 * allowance * b) - 2 * allowance * b - 1) / (2 * allowance * allowance)
+        adjusted = threshold + OVERSHOOT
+        return (math.exp(2 * allowance * adjusted) - 2 * allowance * adjusted - 1) / (2 * allowance * allowance)
 
     low, high = 0.0, MAX_THRESHOLD
     for _ in range(BISECTION_STEPS):
-        middle = (low + high) / 2
-        low, high = (middle, high) if run_length(middle) < mean_run_length else (low, middle)
+        midpoint = (low + high) / 2
+        low, high = (midpoint, high) if run_length(midpoint) < mean_run_length else (low, midpoint)
     return high
 
 
 class CusumDetector:
-    """Change detection on one series.
+    """A two-sided CUSUM change detector for one series.
 
-    `mean_run_length`: noise raises one false alarm in as many samples on average, both directions together.
+    `mean_run_length` is the mean number of samples between false alarms, counting both directions.
     """
 
     __slots__ = (
@@ -81,10 +85,10 @@
         self.upper_sum = self.lower_sum = 0.0
 
     def add(self, sample: float) -> Shift:
-        """Take one sample and return the shift that it completes, if any.
+        """Add one sample and return the shift that is detected with it, or `Shift.NONE`.
 
-        After an alarm the mean is learnt anew from the samples since the shift. The variance stands, since a series
-        that moved is as noisy as before, and a second shift may follow soon.
+        After an alarm the mean is estimated again from the samples since the shift. The variance is kept: the series
+        is as noisy as before, and a second shift that follows soon must be detected without a new calibration.
         """
         self.recent.append(sample)
         self.count += 1
@@ -102,24 +106,24 @@
         return shift
 
     def restart(self) -> None:
-        """Learn the mean anew from the recent samples, which are those since the shift."""
+        """Reset the sums, and estimate the mean again from the samples in `recent`."""
         self.count, self.upper_sum, self.lower_sum = len(self.recent), 0.0, 0.0
         self.mean = sum(self.recent) / len(self.recent) if self.recent else 0.0
         self.variance = self.stable_variance
 
-    def _calibrate(self, sample: float, share: float) -> None:
+    def _calibrate(self, sample: float, weight: float) -> None:
         deviation = sample - self.mean
-        self.mean += share * deviation
-        self.variance = (1 - share) * (self.variance + share * deviation * deviation)
+        self.mean += weight * deviation
+        self.variance = (1 - weight) * (self.variance + weight * deviation * deviation)
 
     def _update(self, sample: float) -> None:
-        sd = max(math.sqrt(self.variance), MIN_RELATIVE_DEVIATION * abs(self.mean), MIN_DEVIATION)
-        # A mean of few samples is itself uncertain, by its own standard error.
-        z = (sample - self.mean) / sd / math.sqrt(1 + 1 / self.count)
+        standard_deviation = max(math.sqrt(self.variance), MIN_RELATIVE_DEVIATION * abs(self.mean), MIN_DEVIATION)
+        # The factor on the deviation accounts for the standard error of a mean of few samples.
+        z = (sample - self.mean) / standard_deviation / math.sqrt(1 + 1 / self.count)
         z = max(-MAX_Z_SCORE, min(MAX_Z_SCORE, z))
         self.upper_sum = max(0.0, self.upper_sum + z - ALLOWANCE)
         self.lower_sum = max(0.0, self.lower_sum - z - ALLOWANCE)
-        deviation = z * sd
+        deviation = z * standard_deviation
         self.mean += max(ADAPTATION_RATE, 1 / (self.count + 1)) * deviation
         self.variance = (1 - ADAPTATION_RATE) * (self.variance + ADAPTATION_RATE * deviation * deviation)
         if max(self.upper_sum, self.lower_sum) <= MAX_Z_SCORE:
@@ -127,14 +131,15 @@
 
 
 def _shift_index(samples: list[float]) -> int:
-    """Return where the new mean begins: the cut into two parts that leaves the least squared deviation.
+    """Return the index of the first sample after the shift.
 
-    The place where the sum left zero would be too early, as a slow drift lifts the sum before a jump does.
+    This is the split into two parts with the least sum of squared deviations from each part's mean. The sample at
+    which the cumulative sum left zero would be too early, because a slow drift raises the sum before the jump.
     """
 
-    def squared_deviation(place: int) -> float:
-        sides = (samples[:place], samples[place:])
-        means = [sum(side) / len(side) for side in sides]
-        return sum((each - mean) ** 2 for side, mean in zip(sides, means, strict=True) for each in side)
+    def squared_deviation(split: int) -> float:
+        parts = (samples[:split], samples[split:])
+        means = [sum(part) / len(part) for part in parts]
+        return sum((sample - mean) ** 2 for part, mean in zip(parts, means, strict=True) for sample in part)
 
     return min(range(1, len(samples)), key=squared_deviation, default=0)
--- a/onyxhead/intake/clock_offset.py
+++ b/onyxhead/intake/clock_offset.py
@@ -1,9 +1,10 @@
-"""The age of a report by its sender's clock, which may be off, drift and jump. No I/O.
+"""Computes the age of a load report whose sender's clock may be offset, drift or be set. No I/O.
 
-The difference between a report's arrival and its measurement is the offset of the sender's clock plus the transport
-delay. The least difference seen lately stands for the offset without delay; whatever exceeds it is the report's age.
-The least difference is raised slowly with time, which follows a clock that runs slow. A clock that is set back shows
-as a rise that all later reports share, which a single delayed report does not cause.
+The difference between the arrival time (receiver's clock) and the measurement time (sender's clock) is the clock
+offset plus the transport delay. The smallest recent difference is taken as the offset without delay, and the excess of
+a report over it as the report's age. The smallest difference is raised slowly over time, so that it follows a sender's
+clock that runs slow. When a clock is set back, the difference rises for all later reports; a single delayed report
+raises only its own.
 """
 
 from __future__ import annotations
@@ -13,14 +14,15 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 MAX_DRIFT = 0.001
-"""How much a sender's clock may drift against the receiver's: a tenth of a percent."""
+"""Largest assumed drift of a sender's clock against the receiver's, as a fraction of the elapsed time."""
 STEP_THRESHOLD = 5 * TICKS_PER_SECOND
+"""Smallest backward step of a sender's clock that is detected, in ticks."""
 STEP_REPORTS = 8
-"""As many reports in a row that exceed the least difference by `STEP_THRESHOLD` mean that the clock was set."""
+"""Number of consecutive reports that must exceed the smallest difference by `STEP_THRESHOLD` for a step."""
 
 
 class ClockOffsetEstimator:
-    """The clock of one sender against the receiver's."""
+    """Estimates the offset of one sender's clock against the receiver's; `steps` counts the times it was set back."""
 
     __slots__ = ("min_difference", "recent_differences", "steps", "updated_at")
 
@@ -31,9 +33,9 @@
         self.steps = 0
 
     def age(self, measured_at: int, arrived_at: int) -> int:
-        """Return how many ticks ago a report was measured, 0 or more.
+        """Return the age of a report at its arrival in ticks, at least 0.
 
-        `measured_at` is by the sender's clock, `arrived_at` by the receiver's.
+        `measured_at` is a time of the sender's clock, `arrived_at` one of the receiver's.
         """
         difference = arrived_at - measured_at
         self.recent_differences.append(difference)
--- a/onyxhead/intake/credibility.py
+++ b/onyxhead/intake/credibility.py
@@ -1,12 +1,13 @@
-"""Whether a backend's reports agree with what proxies observe there, and what to assume where they do not. No I/O.
+"""Credibility of load reports: compares a backend's reports with the response times that proxies observe. No I/O.
 
-Queues delay responses: at a utilization u, responses take about base / (1 - u), where base is the response time of an
-idle backend of the same type. The base is the median over a type, so a false reporter can't move it as long as most
-report truly. How far the observed response time is from the one that the report implies, in logarithms, is evidence:
-much slower speaks for a backend that hides load, much faster for one that claims too much. Evidence adds up as log
-odds, within bounds, and fades, so credibility is lost and regained by evidence.
+At utilization u, queueing makes responses take about base / (1 - u), where base is the response time of an idle backend
+of the same instance type. The base is estimated as the median over the backends of a type, so false reports can't move
+it while most backends report correctly. The logarithm of the ratio of the observed response time to the one implied by
+the report is the evidence: much slower responses suggest that the backend reports too little load, much faster ones
+that it reports too much. The evidence is accumulated as bounded log odds of a false report and decays, so a backend can
+lose its credibility and regain it.
 
-A report that never changes while the traffic does is no measurement at all, whatever it says.
+A report that stays constant while the traffic varies is not a measurement, and is ignored.
 """
 
 from __future__ import annotations
@@ -19,30 +20,35 @@
 from typing import NamedTuple
 
 LOG_DEVIATION = 0.35
-"""Standard deviation of the logarithm of response times among true reporters of one type."""
+"""Standard deviation of the log response time among correctly reporting backends of one instance type."""
 FALSE_REPORT_OFFSET = 1.2
-"""Distance, in logarithms, of response times from the reported ones that a false report is expected to give."""
+"""Expected absolute log ratio of observed to implied response time under a false report."""
 MAX_LOG_ODDS = 6.0
+"""Bound on the accumulated log odds, in both directions."""
 MAX_EVIDENCE = 2.0
-"""Bound on the log odds that one interval adds."""
+"""Bound on the log odds that one interval adds, in both directions."""
 PRIOR_LOG_ODDS = -2.5
-"""Log odds of a false report before any evidence: about one in twelve."""
+"""Log odds of a false report before any evidence: odds of about one to twelve."""
 EVIDENCE_DECAY = 0.85
-"""How much of the evidence is left after an interval."""
+"""Fraction of the accumulated evidence that is kept from one interval to the next."""
 MIN_ATTEMPTS = 20
+"""Successful attempts in an interval that are needed to use its mean response time."""
 MAX_UTILIZATION = 0.95
+"""Utilizations are capped at this in base / (1 - u), which has a pole at 1."""
 STUCK_REPORTS = 10
-"""As many equal reports in a row, while the traffic varies by more than `STUCK_TRAFFIC_CHANGE`, are no measurement."""
+"""Number of consecutive intervals with equal reports after which a backend's reports may count as stuck."""
 STUCK_TRAFFIC_CHANGE = 0.25
+"""Relative change of the traffic over these intervals from which equal reports count as stuck."""
 TRUSTED = 0.5
 """Credibility from which a backend's own reports outweigh what proxies observe."""
 MIN_BASE_SAMPLES = 3
-"""Backends of a type whose response times are needed to estimate that of an idle one."""
+"""Number of backends of one instance type that are needed to estimate the type's idle response time."""
 BASE_SMOOTHING = 0.2
+"""Weight of the newest interval in the exponentially smoothed idle response time."""
 
 
 class Doubt(Enum):
-    """Why a backend's reports are doubted; the values are the texts of the `why` field of `/v1/load`."""
+    """The reason why a backend's reports are doubted; the values are the texts of the `why` field of `/v1/load`."""
 
     NONE = ""
     NO_REPORT = "says nothing"
@@ -52,9 +58,9 @@
 
 
 class LoadObservation(NamedTuple):
-    """One backend over one interval: its reports, and what proxies observed.
+    """What a backend reported, and what proxies observed at it, over one interval.
 
-    `mean_latency_ms` is the mean response time of `attempts` successful attempts.
+    `attempts` counts successful attempts only; `mean_latency_ms` is their mean response time.
     """
 
     instance_type: str
@@ -65,9 +71,9 @@
 
 
 class Credibility(NamedTuple):
-    """The credibility of a backend's reports, 0 to 1, and the utilization to assume.
+    """The credibility of a backend's reports (`value`, 0 to 1) and the utilization to assume for the backend.
 
-    `observed_utilization` is the one that the observed response times imply by themselves.
+    `observed_utilization` is derived from the observed response times alone.
     """
 
     value: float
@@ -76,12 +82,12 @@
     doubt: Doubt
 
 
-UNTESTED = Credibility(1.0, None, None, Doubt.NONE)
-"""Of a backend of which nothing has been assessed yet."""
+UNASSESSED = Credibility(1.0, None, None, Doubt.NONE)
+"""The credibility of a backend that has not been assessed yet."""
 
 
 class _History:
-    """The evidence on one backend, and its last reports and traffic."""
+    """The accumulated evidence on one backend, with its reports and attempts of the last intervals."""
 
     def __init__(self) -> None:
         self.log_odds = PRIOR_LOG_ODDS
@@ -95,83 +101,83 @@
 
     @property
     def stuck(self) -> bool:
-        """Whether the reports stay equal while the traffic varies."""
+        """Return whether the reports have stayed equal while the traffic varied."""
         if len(self.reports) < STUCK_REPORTS or len(set(self.reports)) > 1:
             return False
         low, high = min(self.attempts), max(self.attempts)
         return high > 0 and (high - low) / high > STUCK_TRAFFIC_CHANGE
 
     def add_evidence(self, log_ratio: float) -> None:
-        """Take the logarithm of observed against implied response time."""
-        faded = EVIDENCE_DECAY * (self.log_odds - PRIOR_LOG_ODDS) + PRIOR_LOG_ODDS
-        self.log_odds = max(-MAX_LOG_ODDS, min(MAX_LOG_ODDS, faded + _evidence(log_ratio)))
+        """Add the evidence of one interval: the log ratio of the observed to the implied response time."""
+        decayed = EVIDENCE_DECAY * (self.log_odds - PRIOR_LOG_ODDS) + PRIOR_LOG_ODDS
+        self.log_odds = max(-MAX_LOG_ODDS, min(MAX_LOG_ODDS, decayed + _evidence(log_ratio)))
         self.doubt = Doubt.NONE
         if self.log_odds > 0:
             self.doubt = Doubt.SLOWER if log_ratio > 0 else Doubt.FASTER
 
 
 class CredibilityModel:
-    """All backends; `assess` is called once an interval."""
+    """Assesses the reports of all backends; `assess` is called once per interval."""
 
     def __init__(self) -> None:
         self.histories: dict[str, _History] = {}
         self.base_latencies_ms: dict[str, float] = {}
-        """Response time of an idle backend, by instance type."""
+        """Estimated response time of an idle backend, by instance type."""
 
     def forget(self, backend: str) -> None:
-        """Drop the evidence on a backend: a new incarnation under an old id has given no false report yet."""
+        """Drop the evidence on a backend, since it says nothing about a new incarnation with the same id."""
         self.histories.pop(backend, None)
 
     def assess(self, observations: Mapping[str, LoadObservation]) -> dict[str, Credibility]:
-        """Return the credibility of each backend after one more interval."""
+        """Return the credibility of each backend, with the evidence of one more interval."""
         self._update_bases(observations)
-        return {backend: self._assess(backend, each) for backend, each in observations.items()}
+        return {backend: self._assess(backend, observation) for backend, observation in observations.items()}
 
     def _update_bases(self, observations: Mapping[str, LoadObservation]) -> None:
         samples: dict[str, list[float]] = {}
-        for backend, each in observations.items():
+        for backend, observation in observations.items():
             history = self.histories.get(backend)
-            if each.utilization is None or each.attempts < MIN_ATTEMPTS:
+            if observation.utilization is None or observation.attempts < MIN_ATTEMPTS:
                 continue
             if history is None or history.credibility > TRUSTED:
-                idle_latency = each.mean_latency_ms * (1 - min(each.utilization, MAX_UTILIZATION))
-                samples.setdefault(each.instance_type, []).append(idle_latency)
+                idle_latency = observation.mean_latency_ms * (1 - min(observation.utilization, MAX_UTILIZATION))
+                samples.setdefault(observation.instance_type, []).append(idle_latency)
         for instance_type, latencies in samples.items():
             if len(latencies) >= MIN_BASE_SAMPLES:
                 self._update_base(instance_type, median(latencies))
 
     def _update_base(self, instance_type: str, latency: float) -> None:
-        before = self.base_latencies_ms.get(instance_type)
-        smoothed = latency if before is None else (1 - BASE_SMOOTHING) * before + BASE_SMOOTHING * latency
+        previous = self.base_latencies_ms.get(instance_type)
+        smoothed = latency if previous is None else (1 - BASE_SMOOTHING) * previous + BASE_SMOOTHING * latency
         self.base_latencies_ms[instance_type] = smoothed
 
-    def _assess(self, backend: str, each: LoadObservation) -> Credibility:
+    def _assess(self, backend: str, observation: LoadObservation) -> Credibility:
         history = self.histories.setdefault(backend, _History())
-        base = self.base_latencies_ms.get(each.instance_type)
+        base_latency = self.base_latencies_ms.get(observation.instance_type)
         observed = None
-        if base and each.attempts >= MIN_ATTEMPTS and each.mean_latency_ms > 0:
-            observed = max(0.0, min(MAX_UTILIZATION, 1 - base / each.mean_latency_ms))
-        if each.utilization is None:
+        if base_latency and observation.attempts >= MIN_ATTEMPTS and observation.mean_latency_ms > 0:
+            observed = max(0.0, min(MAX_UTILIZATION, 1 - base_latency / observation.mean_latency_ms))
+        if observation.utilization is None:
             return Credibility(0.0, observed, observed, Doubt.NO_REPORT)
-        history.reports.append((each.utilization, each.queue))
-        history.attempts.append(float(each.attempts))
+        history.reports.append((observation.utilization, observation.queue))
+        history.attempts.append(float(observation.attempts))
         if history.stuck:
             history.log_odds = MAX_LOG_ODDS
             history.doubt = Doubt.STUCK
             return Credibility(0.0, observed, observed, Doubt.STUCK)
         if history.doubt is Doubt.STUCK:
             history.log_odds, history.doubt = PRIOR_LOG_ODDS, Doubt.NONE
-        if observed is None or not base:
-            return Credibility(history.credibility, each.utilization, observed, history.doubt)
-        implied_latency = base / (1 - min(each.utilization, MAX_UTILIZATION))
-        history.add_evidence(math.log(each.mean_latency_ms / implied_latency))
+        if observed is None or not base_latency:
+            return Credibility(history.credibility, observation.utilization, observed, history.doubt)
+        implied_latency = base_latency / (1 - min(observation.utilization, MAX_UTILIZATION))
+        history.add_evidence(math.log(observation.mean_latency_ms / implied_latency))
         credibility = history.credibility
-        utilization = credibility * each.utilization + (1 - credibility) * observed
+        utilization = credibility * observation.utilization + (1 - credibility) * observed
         return Credibility(credibility, utilization, observed, history.doubt)
 
 
 def _evidence(log_ratio: float) -> float:
-    """Return the log likelihood ratio of a false report against a true one."""
+    """Return the bounded log likelihood ratio of a false report to a true one."""
     variance = LOG_DEVIATION * LOG_DEVIATION
     likelihood_true = -(log_ratio * log_ratio) / (2 * variance)
     excess = abs(log_ratio) - FALSE_REPORT_OFFSET
--- a/onyxhead/intake/load_estimator.py
+++ b/onyxhead/intake/load_estimator.py
@@ -15,7 +15,7 @@
 from onyxhead.intake.credibility import (
     MAX_UTILIZATION,
     TRUSTED,
-    UNTESTED,
+    UNASSESSED,
     Credibility,
     CredibilityModel,
     LoadObservation,
@@ -86,7 +86,7 @@
         self.observed_latency = DecayingMean(OBSERVATION_HALF_LIFE)
         self.latency_sum = 0.0
         self.successes = 0
-        self.credibility = UNTESTED
+        self.credibility = UNASSESSED
 
     def take_observation(self, now: int, instance_type: str) -> LoadObservation:
         """Return what was reported and observed since the last call."""
