--- a/onyxhead/intake/estimators.py
+++ b/onyxhead/intake/estimators.py
@@ -1,4 +1,4 @@
-"""Means, proportions and trends with confidence intervals, from samples whose weight decays with age. No I/O."""
+"""Estimators of means, proportions and trends whose samples lose weight with age, with confidence intervals. No I/O."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 CONFIDENCE_Z = 1.96
-"""Standard deviations on each side of an estimate that hold the true value nineteen times in twenty."""
+"""Half the width of a 95 % confidence interval, in standard errors."""
 SMALL_SAMPLE = 30
-"""Below as many trials a proportion is reported by the middle of its interval, not by the plain ratio."""
+"""Number of trials below which a proportion is estimated by the centre of its interval instead of the plain ratio."""
 MIN_TREND_WEIGHT = 0.3
-"""A sample that weighs less than this describes the past and can show no shift of the present rate."""
+"""Smallest weight of a sample that is used to detect shifts; a sample of less weight describes the past."""
 
 
 class Estimate(NamedTuple):
-    """A value and half the width of its 95 % confidence interval, from so many effective samples."""
+    """A value, half the width of its 95 % confidence interval (`error`), and the effective number of samples."""
 
     value: float
     error: float
@@ -26,7 +26,7 @@
 
 
 class DecayingMean:
-    """A weighted mean whose samples decay with a half-life, and which forgets what was before a shift."""
+    """A weighted mean whose samples decay with a half-life; samples from before a detected shift are dropped."""
 
     __slots__ = (
         "detector",
@@ -44,15 +44,15 @@
         self.updated_at = 0
 
     def add(self, now: int, value: float, weight: float = 1.0, fresh: bool = True) -> Shift:
-        """Take one sample and return the shift that it shows, if any; only a fresh sample can show one."""
+        """Add one sample and return the shift that is detected with it; only samples marked as fresh are checked."""
         self._decay(now)
         shift = self.detector.add(value) if fresh else Shift.NONE
         if shift:
-            # What was before says nothing of the present; the samples that showed the shift do.
+            # The mean starts again from the samples since the shift; older ones no longer describe the series.
             recent = list(self.detector.recent)
             self.total_weight = self.squared_weights = self.mean = self.squared_deviations = 0.0
-            for each in recent[:-1]:
-                self._count(each, weight)
+            for sample in recent[:-1]:
+                self._count(sample, weight)
         self._count(value, weight)
         return shift
 
@@ -84,9 +84,9 @@
 
 
 class DecayingProportion:
-    """A proportion of counts, such as failures of attempts, with Wilson's interval.
+    """The proportion of failures among trials, with Wilson's score interval.
 
-    That interval also holds where none or all of the trials failed.
+    Unlike the normal approximation, this interval is also valid if none or all of the trials failed.
     """
 
     __slots__ = ("failures", "half_life", "trials", "updated_at")
@@ -97,7 +97,7 @@
         self.updated_at = 0
 
     def add(self, now: int, trials: float, failures: float, age: int = 0) -> None:
-        """Count trials that ended `age` ticks ago, and how many of them failed."""
+        """Count trials that ended `age` ticks ago, and the failures among them."""
         factor = decay_weight(max(0, now - self.updated_at), self.half_life)
         weight = decay_weight(age, self.half_life)
         self.trials = self.trials * factor + trials * weight
@@ -109,14 +109,14 @@
         n = self.trials
         if n <= 0:
             return None
-        p, z2 = min(1.0, self.failures / n), CONFIDENCE_Z * CONFIDENCE_Z
-        middle = (p + z2 / (2 * n)) / (1 + z2 / n)
-        error = CONFIDENCE_Z / (1 + z2 / n) * math.sqrt(p * (1 - p) / n + z2 / (4 * n * n))
-        return Estimate(middle if n < SMALL_SAMPLE else p, error, n)
+        ratio, z_squared = min(1.0, self.failures / n), CONFIDENCE_Z * CONFIDENCE_Z
+        centre = (ratio + z_squared / (2 * n)) / (1 + z_squared / n)
+        error = CONFIDENCE_Z / (1 + z_squared / n) * math.sqrt(ratio * (1 - ratio) / n + z_squared / (4 * n * n))
+        return Estimate(centre if n < SMALL_SAMPLE else ratio, error, n)
 
 
 class LinearTrend:
-    """A rate and its slope (Holt's linear smoothing, for samples at uneven times), and whether the rate shifted."""
+    """A rate and its slope by Holt's linear smoothing for unevenly spaced samples, with detection of shifts."""
 
     __slots__ = ("last_rate", "measured_at", "rate", "slope")
 
@@ -125,24 +125,24 @@
     def __init__(self, half_life: int) -> None:
         self.rate = DecayingMean(half_life)
         self.slope = 0.0
-        """Change of the rate in a second."""
+        """Change of the rate per second."""
         self.measured_at = 0
         self.last_rate = 0.0
 
     def add(self, now: int, rate: float, age: int = 0) -> Shift:
-        """Take a rate that was measured `age` ticks ago, and return the shift that it shows, if any."""
+        """Add a rate that was measured `age` ticks ago, and return the shift that is detected with it."""
         weight = decay_weight(age, self.rate.half_life)
         shift = self.rate.add(now, rate, weight, weight > MIN_TREND_WEIGHT)
         measured_at = now - age
         if self.measured_at and measured_at > self.measured_at:
-            step = (rate - self.last_rate) / ((measured_at - self.measured_at) / TICKS_PER_SECOND)
-            smoothed = (1 - self.SLOPE_SMOOTHING) * self.slope + self.SLOPE_SMOOTHING * step
-            self.slope = step if shift else smoothed
+            latest_slope = (rate - self.last_rate) / ((measured_at - self.measured_at) / TICKS_PER_SECOND)
+            smoothed = (1 - self.SLOPE_SMOOTHING) * self.slope + self.SLOPE_SMOOTHING * latest_slope
+            self.slope = latest_slope if shift else smoothed
         if measured_at >= self.measured_at:
             self.measured_at, self.last_rate = measured_at, rate
         return shift
 
     def forecast(self, span: int) -> float:
-        """Return the rate after so many ticks if the trend goes on, 0 or more."""
+        """Return the rate expected after `span` ticks if the trend continues, at least 0."""
         estimate = self.rate.estimate()
         return max(0.0, (estimate.value if estimate else 0.0) + self.slope * span / TICKS_PER_SECOND)
--- a/onyxhead/intake/fair_sampling.py
+++ b/onyxhead/intake/fair_sampling.py
@@ -1,7 +1,8 @@
-"""Fair selection of senders when not all bodies can be decoded: within a budget, the longest unheard first. No I/O.
+"""Fair sampling of bodies by sender, for when not all bodies can be decoded. No I/O.
 
-Bodies wait undecoded, so one that is shed has cost next to nothing. Each sender has a small reservoir, its newest body
-always in it; a sender of nine tenths of all bodies crowds out only itself.
+Bodies wait undecoded, so shedding one costs almost nothing. Each sender has a small reservoir that always holds its
+newest body, so a sender of most of the bodies can only displace its own. Within a budget, senders are sampled in the
+order of their last sampling, the one sampled longest ago first.
 """
 
 from __future__ import annotations
@@ -13,11 +14,11 @@
 Item = TypeVar("Item")
 MAX_SENDERS = 20_000
 RESERVOIR_SIZE = 8
-"""Bodies of one sender that wait."""
+"""Maximum number of waiting items of one sender."""
 
 
 class Sample(NamedTuple, Generic[Item]):
-    """A selected item, which stands for so many items of its sender, itself included."""
+    """A sampled item; `stands_for` is the number of its sender's items that it represents, itself included."""
 
     sender: str
     item: Item
@@ -26,7 +27,7 @@
 
 
 class _Reservoir(Generic[Item]):
-    """The waiting items of one sender: a fair choice of all that it has sent, the newest last."""
+    """The waiting items of one sender: a uniform sample of those offered since its last sampling, the newest last."""
 
     __slots__ = ("arrived_at", "costs", "items", "offered")
 
@@ -41,25 +42,28 @@
         self.arrived_at.append(now)
         self.costs.append(cost)
 
-    def replace(self, place: int, item: Item, cost: int, now: int) -> None:
-        """Put the newest item at the end, and the one that was there at `place`."""
+    def replace(self, index: int, item: Item, cost: int, now: int) -> None:
+        """Put `item` at the end, and the previous last item at `index`, whose item is dropped.
+
+        If `index` is the last one or beyond, the previous last item itself is dropped.
+        """
         last = len(self.items) - 1
-        if place < last:
-            self.items[place] = self.items[last]
-            self.arrived_at[place], self.costs[place] = self.arrived_at[last], self.costs[last]
+        if index < last:
+            self.items[index] = self.items[last]
+            self.arrived_at[index], self.costs[index] = self.arrived_at[last], self.costs[last]
         self.items[last], self.arrived_at[last], self.costs[last] = item, now, cost
 
 
 class FairSampler(Generic[Item]):
-    """Reservoirs of at most `max_senders` senders.
+    """Keeps a reservoir of waiting items for each of at most `max_senders` senders, and samples them fairly.
 
-    Once a sender's reservoir is full, a further item replaces an older one by chance, so that the waiting ones stay a
-    fair choice.
+    When a sender's reservoir is full, a new item replaces a random older one (reservoir sampling), so that the waiting
+    items stay a uniform sample.
     """
 
     def __init__(self, seed: int, max_senders: int = MAX_SENDERS, reservoir_size: int = RESERVOIR_SIZE) -> None:
         self.random, self.max_senders, self.reservoir_size = Random(seed), max_senders, reservoir_size
-        # In the order in which the senders were last sampled, the one that has waited longest first.
+        # Known senders in the order of their last sampling, the one sampled longest ago first.
         self.senders: OrderedDict[str, None] = OrderedDict()
         self.never_sampled: set[str] = set()
         self.waiting: dict[str, _Reservoir[Item]] = {}
@@ -67,7 +71,10 @@
         self.rejected = 0
 
     def offer(self, sender: str, item: Item, cost: int, now: int) -> bool:
-        """Keep an item, or shed one of the same sender. Return False if there are too many senders to add this one."""
+        """Keep an item, shedding another one of the same sender if its reservoir is full.
+
+        Return False, and drop the item, if the sender is new and there are too many senders to add it.
+        """
         reservoir = self.waiting.get(sender)
         if reservoir is None:
             if not self._admit(sender):
@@ -79,7 +86,7 @@
             reservoir.append(item, cost, now)
             return True
         self._count_shed(sender, 1)
-        # Reservoir sampling over all places but the last, which is the newest item's.
+        # Reservoir sampling over all indexes but the last, which always holds the newest item.
         reservoir.replace(self.random.randrange(reservoir.offered - 1), item, cost, now)
         return True
 
@@ -93,7 +100,7 @@
         return True
 
     def _evict(self) -> bool:
-        """Forget the sender sampled longest ago, of those with nothing waiting. Return whether there was one."""
+        """Remove the sender sampled longest ago among those without waiting items. Return whether there was one."""
         evicted = next((sender for sender in self.senders if sender not in self.waiting), None)
         if evicted is not None:
             del self.senders[evicted]
@@ -101,60 +108,61 @@
         return evicted is not None
 
     def take(self, budget: int) -> list[Sample[Item]]:
-        """Return items until their costs use up the budget; the last one may exceed it.
+        """Return items until the sum of their costs reaches the budget; the last item may exceed it.
 
-        First comes the newest item of each sender, then one more of each, and so on. What is left of a sampled
-        sender is shed, since newer items are on their way.
+        The newest item of each sender is selected first, then the second newest of each, and so on. The remaining
+        items of a sampled sender are shed, since newer ones will follow.
         """
         senders = self._sampling_order()
         selected = self._select(senders, budget)
         samples: list[Sample[Item]] = []
         for sender in senders:
-            places = selected.get(sender)
-            if not places:
-                # The budget did not reach it: it stays, comes first next time, and still stands for all it sent.
+            indexes = selected.get(sender)
+            if not indexes:
+                # The budget was used up before this sender. Its items stay, still represent all that it sent, and are
+                # sampled earlier next time.
                 continue
             reservoir = self.waiting.pop(sender)
             self.senders.move_to_end(sender)
             self.never_sampled.discard(sender)
-            self._count_shed(sender, len(reservoir.items) - len(places))
-            stands_for = reservoir.offered / len(places)
+            self._count_shed(sender, len(reservoir.items) - len(indexes))
+            stands_for = reservoir.offered / len(indexes)
             samples += [
-                Sample(sender, reservoir.items[place], reservoir.arrived_at[place], stands_for)
-                for place in sorted(places)
+                Sample(sender, reservoir.items[index], reservoir.arrived_at[index], stands_for)
+                for index in sorted(indexes)
             ]
         return samples
 
     def _select(self, senders: list[str], budget: int) -> dict[str, list[int]]:
-        """Return the places in the senders' reservoirs that the budget allows."""
+        """Return the indexes into each sender's reservoir that are selected within the budget."""
         selected: dict[str, list[int]] = {}
         for depth in range(self.reservoir_size):
-            found = False
+            selected_any = False
             for sender in senders:
                 reservoir = self.waiting[sender]
-                place = len(reservoir.items) - 1 - depth
-                if place < 0:
+                index = len(reservoir.items) - 1 - depth
+                if index < 0:
                     continue
                 if budget <= 0:
                     break
-                budget -= reservoir.costs[place]
-                selected.setdefault(sender, []).append(place)
-                found = True
-            if not found or budget <= 0:
+                budget -= reservoir.costs[index]
+                selected.setdefault(sender, []).append(index)
+                selected_any = True
+            if not selected_any or budget <= 0:
                 break
         return selected
 
     def _sampling_order(self) -> list[str]:
-        """Return the senders with items waiting, alternating between those never sampled and the others.
+        """Return the senders with waiting items, alternating between those never sampled and the others.
 
-        Newcomers are heard soon, and a flood of new names can't crowd out the known senders.
+        New senders are sampled soon, and a flood of new sender names can't crowd out the known senders.
         """
         waiting = [sender for sender in self.senders if sender in self.waiting]
         new = [sender for sender in waiting if sender in self.never_sampled]
         known = [sender for sender in waiting if sender not in self.never_sampled]
-        both = min(len(new), len(known))
-        pairs = [sender for pair in zip(new[:both], known[:both], strict=True) for sender in pair]
-        return pairs + new[both:] + known[both:]
+        pair_count = min(len(new), len(known))
+        pairs = [sender for pair in zip(new[:pair_count], known[:pair_count], strict=True) for sender in pair]
+        return pairs + new[pair_count:] + known[pair_count:]
 
     def _count_shed(self, sender: str, count: int) -> None:
         self.shed[sender] = self.shed.get(sender, 0) + count
--- a/onyxhead/intake/load_estimate.py
+++ b/onyxhead/intake/load_estimate.py
@@ -1,4 +1,4 @@
-"""What is estimated of one backend, with its outer forms: the JSON of `/v1/load` and the names of time series."""
+"""The estimates of one backend's load, as shown by `/v1/load` and as stored in time series."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 RATIO_DIGITS = 3
 AGE_DIGITS = 2
 
-# Names in `/v1/load`, and of the time series on disk, of what the code calls otherwise.
+# External names of the estimates: keys in `/v1/load`, and the first parts of the names of time series on disk.
 RATE = "rate"
 UTILIZATION = "busy"
 REPORTED_UTILIZATION = "said"
@@ -28,11 +28,11 @@
 
 
 class LoadEstimate(NamedTuple):
-    """All that is estimated of a backend; None where nothing was reported or observed.
+    """All estimates of one backend; an estimate is None if nothing was reported or observed for it.
 
-    `utilization` weighs the backend's reports (`reported_utilization`) against what proxies observe. Rates are in a
-    second, latencies in milliseconds; `relative_speed` is against its instance type (0.5 is half as fast); `age` is
-    the time since its last report, in ticks.
+    `reported_utilization` follows from the backend's reports alone; `utilization` combines these with what proxies
+    observe. Rates are per second, latencies in milliseconds. `relative_speed` compares the backend with its instance
+    type (0.5 is half as fast). `age` is the time since its last report, in ticks.
     """
 
     request_rate: Estimate | None
@@ -49,7 +49,7 @@
     age: int
 
     def to_json(self) -> dict[str, object]:
-        """Return the members of the backend's object in `/v1/load`."""
+        """Return the backend's JSON object in `/v1/load`."""
         speed = self.relative_speed
         return {
             RATE: _to_json(self.request_rate),
@@ -67,7 +67,7 @@
         }
 
     def time_series(self) -> dict[str, float]:
-        """Return the values that are kept as time series, by the first part of the series' names."""
+        """Return the values to store as time series, by the first part of the series' names."""
         estimates = {
             RATE: self.request_rate,
             UTILIZATION: self.utilization,
--- a/onyxhead/intake/load_estimator.py
+++ b/onyxhead/intake/load_estimator.py
@@ -1,7 +1,7 @@
-"""Estimates of the load of each backend and the demand at each proxy, how certain they are, and how old. No I/O.
+"""Estimates the load of each backend and the demand at each proxy, with confidence intervals and ages. No I/O.
 
-Load reports arrive as sums over many reports, by `on_reports`; what proxies observe arrives by `on_attempts` and
-`on_demand`. `assess_credibility`, once an interval, sets the reports against the observations.
+`on_reports` takes load reports, as sums over many of them; `on_attempts` and `on_demand` take what proxies observe.
+`assess_credibility` is called once per interval and compares the reports with the observations.
 """
 
 from __future__ import annotations
@@ -28,28 +28,29 @@
 from onyxhead.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
 MIN_FRESH_WEIGHT = 0.3
-"""Reports that weigh less than this against fresh ones describe the past, and can show no shift."""
+"""Smallest mean weight of a sum's reports, relative to new ones, for which the sum is checked for a shift."""
 MAX_ACTIONABLE_AGE = 5 * TICKS_PER_SECOND
-"""Reports older than this are not acted on."""
+"""Age in ticks above which a backend's last report is too old to base decisions on."""
 OBSERVATION_WINDOW = 2 * TICKS_PER_SECOND
 OBSERVATION_HALF_LIFE = TICKS_PER_SECOND
 MAX_LATENCY_WEIGHT = 20.0
-"""Weight of one interval's mean latency, however many attempts it is of."""
+"""Upper bound on the weight of one interval's mean latency, which otherwise is its number of successful attempts."""
 MAX_TRACKED = 20_000
-"""Retired incarnations, and pairs of proxy and traffic group, that are remembered."""
+"""Maximum number of retired incarnations, and of pairs of proxy and traffic group, that are kept in memory."""
 MAX_PENDING_CHANGES = 1_000
 FULL_CREDIBILITY = 0.999
+"""Credibility from which the reports are used alone, without the observations."""
 UNREPORTED_ERROR = 0.1
-"""Half the width of the interval of a utilization that follows from observations alone."""
+"""Half the width of the confidence interval of a utilization that is derived from observations alone."""
 MAX_RELATIVE_SPEED = 2.0
 
-# Counters by the names that `/v1/load` shows.
+# Names of counters as shown by `/v1/load`.
 UNKNOWN_BACKEND_REPORTS = "reports on unknown backends"
 RETIRED_INCARNATION_REPORTS = "reports of earlier lives"
 
 
 class LoadSignal(Enum):
-    """What has changed, by the name in the log."""
+    """The quantity in which a shift was detected; the values are its names in the log."""
 
     UTILIZATION = "utilization"
     QUEUE = "queue"
@@ -63,7 +64,7 @@
 
 
 class LoadChange(NamedTuple):
-    """A shift that was detected at a backend, or at a proxy's traffic group (`proxy/group`)."""
+    """A shift detected at time `at`; `subject` is a backend's id, or `proxy/group` for a traffic group at a proxy."""
 
     at: int
     subject: str
@@ -72,7 +73,7 @@
 
 
 class BackendLoad:
-    """What is known of one incarnation of one backend. Times in ticks, latencies in milliseconds."""
+    """The load state of one incarnation of a backend. Times are in ticks, latencies in milliseconds."""
 
     def __init__(self, incarnation: str, now: int) -> None:
         self.incarnation, self.reported_at = incarnation, now
@@ -89,13 +90,13 @@
         self.credibility = UNASSESSED
 
     def take_observation(self, now: int, instance_type: str) -> LoadObservation:
-        """Return what was reported and observed since the last call."""
-        reported = now - self.reported_at < MAX_ACTIONABLE_AGE
+        """Return the current reported load and the observations since the last call, and reset the observations."""
+        recent = now - self.reported_at < MAX_ACTIONABLE_AGE
         utilization, queue = self.utilization.estimate(), self.queue.estimate()
         observation = LoadObservation(
             instance_type,
-            utilization=utilization.value if utilization and reported else None,
-            queue=queue.value if queue and reported else None,
+            utilization=utilization.value if utilization and recent else None,
+            queue=queue.value if queue and recent else None,
             attempts=self.successes,
             mean_latency_ms=self.latency_sum / self.successes if self.successes else 0.0,
         )
@@ -103,23 +104,24 @@
         return observation
 
     def assumed_utilization(self) -> Estimate | None:
-        """Return the utilization, the reported one weighed against what proxies observe."""
+        """Return the average of reported and observed utilization, weighted by the credibility of the reports."""
         reported, credibility = self.utilization.estimate(), self.credibility
         observed = credibility.observed_utilization
-        # Without observations there are only the reports, and the newest is better than that of an interval ago.
+        # Without observations only the reports count; `reported` is newer than `credibility.utilization`.
         if observed is None or credibility.value >= FULL_CREDIBILITY:
             return reported
-        doubt = 1 - credibility.value
+        distrust = 1 - credibility.value
         if reported is None:
-            return Estimate(observed, UNREPORTED_ERROR + doubt * UNREPORTED_ERROR, 0.0)
-        # Observations move once an interval, reports all the time; a doubted report is worth as much less.
-        value = credibility.value * reported.value + doubt * observed
-        error = reported.error + doubt * (UNREPORTED_ERROR + abs(reported.value - observed))
+            return Estimate(observed, UNREPORTED_ERROR + distrust * UNREPORTED_ERROR, 0.0)
+        # Observations change once per interval, reports all the time. The less credible the reports are, the less they
+        # count, and the wider the interval becomes.
+        value = credibility.value * reported.value + distrust * observed
+        error = reported.error + distrust * (UNREPORTED_ERROR + abs(reported.value - observed))
         return Estimate(value, error, reported.samples)
 
 
 class LoadEstimator:
-    """Backends by id. Reports on backends that discovery does not list are counted and otherwise ignored."""
+    """Estimates the load of all backends, by id. Reports on backends that discovery does not list are only counted."""
 
     def __init__(self) -> None:
         self.instance_types: dict[str, str] = {}
@@ -130,27 +132,27 @@
         self.changes: list[LoadChange] = []
         self.counts: Counter[str] = Counter()
 
-    # Events in
+    # Inputs
 
     def on_endpoint_list(self, instance_types: dict[str, str]) -> None:
-        """Take the backends that discovery lists, with the instance type of each."""
+        """Replace the set of backends by those that discovery lists, given with their instance types."""
         self.instance_types = dict(instance_types)
         for backend in [backend for backend in self.backends if backend not in instance_types]:
             del self.backends[backend]
             self.credibility.forget(backend)
 
     def on_reports(self, now: int, sums: Iterable[LoadSums]) -> None:
-        """Take the sums of load reports; those of one incarnation must be merged."""
-        for each in sums:
-            if each.backend not in self.instance_types:
-                self.counts[UNKNOWN_BACKEND_REPORTS] += round(each.reports)
+        """Add sums of load reports, already merged into one `LoadSums` per incarnation."""
+        for report_sums in sums:
+            if report_sums.backend not in self.instance_types:
+                self.counts[UNKNOWN_BACKEND_REPORTS] += round(report_sums.reports)
                 continue
-            load = self._incarnation(each.backend, each.incarnation, now)
+            load = self._incarnation(report_sums.backend, report_sums.incarnation, now)
             if load is None:
-                self.counts[RETIRED_INCARNATION_REPORTS] += round(each.reports)
+                self.counts[RETIRED_INCARNATION_REPORTS] += round(report_sums.reports)
                 continue
-            load.reported_at = max(load.reported_at, min(now, each.measured_at))
-            self._add_reports(now, load, each)
+            load.reported_at = max(load.reported_at, min(now, report_sums.measured_at))
+            self._add_reports(now, load, report_sums)
 
     def _add_reports(self, now: int, load: BackendLoad, sums: LoadSums) -> None:
         metrics = (
@@ -162,16 +164,16 @@
         for signal, mean, (weight, total) in metrics:
             if weight > 0:
                 fresh = weight > MIN_FRESH_WEIGHT * sums.reports
-                self._note(now, sums.backend, signal, mean.add(now, total / weight, weight, fresh))
+                self._record_shift(now, sums.backend, signal, mean.add(now, total / weight, weight, fresh))
         for latency, weight in sums.latencies:
             load.latency.add(now, latency, max(0, now - sums.measured_at), weight)
 
     def on_attempts(
         self, now: int, backend: str, attempts: int, failures: int, mean_latency_ms: float, span: int, age: int = 0
     ) -> None:
-        """Take the attempts of proxies at a backend over a span of ticks, which ended `age` ticks ago.
+        """Add the attempts that proxies made at a backend during `span` ticks that ended `age` ticks ago.
 
-        `mean_latency_ms` is the mean response time of the successful ones.
+        `mean_latency_ms` is the mean response time of the successful attempts.
         """
         if backend not in self.instance_types or attempts <= 0 or span <= 0:
             return
@@ -180,23 +182,23 @@
             return
         load.failure_rate.add(now, attempts, failures, age)
         shift = load.attempt_rate.add(now, attempts * TICKS_PER_SECOND / span, age)
-        self._note(now, backend, LoadSignal.ATTEMPT_RATE, shift)
+        self._record_shift(now, backend, LoadSignal.ATTEMPT_RATE, shift)
         successes = attempts - failures
         if successes > 0:
             load.latency_sum += successes * mean_latency_ms
             load.successes += successes
             weight = min(MAX_LATENCY_WEIGHT, successes) * decay_weight(age, OBSERVATION_HALF_LIFE)
             if load.observed_latency.add(now, mean_latency_ms, weight) is Shift.RISE:
-                self._note(now, backend, LoadSignal.LATENCY, Shift.RISE)
+                self._record_shift(now, backend, LoadSignal.LATENCY, Shift.RISE)
 
     def on_demand(self, now: int, proxy: str, group: str, rate: float, age: int = 0) -> None:
-        """Take the requests per second of a traffic group that arrived at a proxy."""
+        """Add the rate, in requests per second, at which a traffic group's requests arrived at a proxy."""
         trend = self.demand.get((proxy, group))
         if trend is None:
             if len(self.demand) >= MAX_TRACKED:
                 return
             trend = self.demand[proxy, group] = LinearTrend(OBSERVATION_HALF_LIFE)
-        self._note(now, f"{proxy}/{group}", LoadSignal.DEMAND, trend.add(now, rate, age))
+        self._record_shift(now, f"{proxy}/{group}", LoadSignal.DEMAND, trend.add(now, rate, age))
 
     def on_proxy_left(self, proxy: str) -> None:
         """Drop the demand at a proxy."""
@@ -204,19 +206,19 @@
             del self.demand[key]
 
     def _incarnation(self, backend: str, incarnation: str, now: int) -> BackendLoad | None:
-        """Return the state of an incarnation, new if it is the latest one; None for one that was replaced."""
+        """Return the state of an incarnation, created if it is a new one, or None if it was already replaced."""
         load = self.backends.get(backend)
         if load is not None and (load.incarnation == incarnation or not incarnation):
             return load
         if (backend, incarnation) in self.retired:
             return None
         if load is not None and not load.incarnation:
-            # Proxies used it before its first report.
+            # Proxies sent attempts to this incarnation before its first report told its name.
             load.incarnation = incarnation
             return load
         if load is not None:
             self._retire(backend, load.incarnation)
-            self._note(now, backend, LoadSignal.RESTART, Shift.RISE)
+            self._record_shift(now, backend, LoadSignal.RESTART, Shift.RISE)
         self.backends[backend] = load = BackendLoad(incarnation, now)
         return load
 
@@ -226,14 +228,14 @@
             self.retired.popitem(last=False)
         self.credibility.forget(backend)
 
-    def _note(self, now: int, subject: str, signal: LoadSignal, shift: Shift) -> None:
+    def _record_shift(self, now: int, subject: str, signal: LoadSignal, shift: Shift) -> None:
         if shift and len(self.changes) < MAX_PENDING_CHANGES:
             self.changes.append(LoadChange(now, subject, signal, shift))
 
-    # Estimates out
+    # Estimates
 
     def assess_credibility(self, now: int) -> dict[str, Credibility]:
-        """Set the reports against what proxies observed since the last call."""
+        """Update the credibility of all backends from their reports and the observations since the last call."""
         observations = {
             backend: load.take_observation(now, self.instance_types[backend]) for backend, load in self.backends.items()
         }
@@ -242,17 +244,17 @@
             load = self.backends[backend]
             trusted = credibility.value >= TRUSTED
             if trusted != (load.credibility.value >= TRUSTED):
-                self._note(now, backend, LoadSignal.CREDIBILITY, Shift.RISE if trusted else Shift.FALL)
+                self._record_shift(now, backend, LoadSignal.CREDIBILITY, Shift.RISE if trusted else Shift.FALL)
             load.credibility = credibility
         return assessed
 
     def assumed_utilization(self, backend: str) -> Estimate | None:
-        """Return a backend's utilization, its reports weighed against what proxies observe, however old."""
+        """Return a backend's utilization, weighted by credibility, whatever the age of its reports."""
         load = self.backends.get(backend)
         return load.assumed_utilization() if load is not None else None
 
     def estimate(self, now: int, backend: str) -> LoadEstimate | None:
-        """Return all estimates of a backend, None if nothing was ever reported or observed."""
+        """Return all estimates of a backend, or None if nothing was ever reported or observed."""
         load = self.backends.get(backend)
         if load is None:
             return None
@@ -280,26 +282,26 @@
         return min(MAX_RELATIVE_SPEED, base / (1 - min(reported.value, MAX_UTILIZATION)) / latency.value)
 
     def _actionable(self, now: int, backend: str) -> BackendLoad | None:
-        """Return a backend's state if its last report is recent enough to act on."""
+        """Return a backend's state, or None if its last report is older than `MAX_ACTIONABLE_AGE`."""
         load = self.backends.get(backend)
         return load if load and now - load.reported_at <= MAX_ACTIONABLE_AGE else None
 
     def utilization(self, now: int, backend: str) -> float | None:
-        """Return the utilization to act on, None if the last report is too old."""
+        """Return the utilization to base decisions on, or None if the last report is too old."""
         load = self._actionable(now, backend)
         estimate = load.assumed_utilization() if load else None
         return estimate.value if estimate else None
 
     def response_time(self, now: int, backend: str) -> int | None:
-        """Return the median response time of the last seconds by the backend's own reports, in ticks.
+        """Return the backend's own median response time over the last seconds, in ticks.
 
-        None if there are no recent reports, or they are less credible than what proxies observe.
+        The result is None if the last report is too old, or if the reports are not trusted.
         """
         load = self._actionable(now, backend)
         estimate = load.latency.estimate(now, 0.5) if load and load.credibility.value >= TRUSTED else None
         return max(1, round(estimate.value * TICKS_PER_MILLISECOND)) if estimate else None
 
     def drain_changes(self) -> list[LoadChange]:
-        """Return the shifts detected since the last call."""
+        """Return the shifts detected since the last call, and clear them."""
         changes, self.changes = self.changes, []
         return changes
--- a/onyxhead/intake/load_sums.py
+++ b/onyxhead/intake/load_sums.py
@@ -1,6 +1,7 @@
-"""Weighted sums over load reports of one incarnation of a backend; they add up the same in any order. No I/O.
+"""Weighted sums over the load reports of one incarnation of a backend. No I/O.
 
-A worker turns many reports into a few sums, and the sums of several workers are merged before they are used.
+Each worker reduces many reports to a few sums. The sums of all workers are merged before use; the result does not
+depend on the order of merging.
 """
 
 from __future__ import annotations
@@ -14,26 +15,27 @@
 REPORT_HALF_LIFE = TICKS_PER_SECOND // 8
 """Half-life of a report's weight, in ticks."""
 MAX_REPORT_AGE = 30 * TICKS_PER_SECOND
+"""Age in ticks above which a report is left out of the sums."""
 MAX_LATENCY_SAMPLES = 16
-"""Latencies of one incarnation that are passed on in one go; each then stands for several."""
+"""Maximum number of latencies in one `LoadSums`; of more, a subset is kept and its weights are raised."""
 
 IncarnationKey = tuple[str, str]
-"""A backend's id and the name of its incarnation."""
+"""A backend's id and the id of its incarnation."""
 
 
 class WeightedSum(NamedTuple):
-    """The total weight of some samples, and their weighted sum."""
+    """The total weight and the weighted sum of a set of samples."""
 
     weight: float
     total: float
 
 
 class LoadSums(NamedTuple):
-    """Sums over reports of one incarnation of a backend.
+    """Sums over the reports of one incarnation of a backend.
 
-    `measured_at` is the newest measurement by the receiver's clock, in ticks; `reports` counts those that the sums
-    stand for, undecayed; `latencies` are pairs of milliseconds and weight. Workers send these as arrays, so the order
-    of the fields is part of the message.
+    `measured_at` is the time of the newest measurement by the receiver's clock, in ticks. `reports` is the number of
+    reports that the sums represent, without decay. `latencies` are pairs of a latency in milliseconds and its weight.
+    Workers send these sums as arrays, so the order of the fields is part of the message format.
     """
 
     backend: str
@@ -48,7 +50,7 @@
 
 
 class _Accumulator:
-    """Sums in the making, for one incarnation."""
+    """Mutable sums over the reports of one incarnation."""
 
     __slots__ = (
         "error_rate",
@@ -103,23 +105,23 @@
             queue=WeightedSum(self.queue_weight, self.queue),
             request_rate=WeightedSum(self.request_rate_weight, self.request_rate),
             error_rate=WeightedSum(self.error_rate_weight, self.error_rate),
-            latencies=_thinned(self.latencies),
+            latencies=_subsample(self.latencies),
         )
 
 
 class LoadSumsBuilder:
-    """Adds up reports by backend and incarnation. One pass, since most of the work on reports is done here."""
+    """Sums up reports by backend and incarnation, in a single pass, since most of the cost of reports arises here."""
 
     def __init__(self) -> None:
         self.accumulators: dict[IncarnationKey, _Accumulator] = {}
 
     def add(self, reports: Iterable[BackendReport], clock_offset: int, stands_for: float, now: int) -> int:
-        """Take the reports of one body, and return how many were too old and left out.
+        """Add the reports of one body, and return how many of them were left out as too old.
 
-        `clock_offset` is how far the sender's clock is behind the receiver's, in ticks; each report counts as
-        `stands_for` reports.
+        `clock_offset`, in ticks, is added to times of the sender's clock to get times of the receiver's. Each report
+        is counted `stands_for` times.
         """
-        accumulators, last_key, too_old = self.accumulators, None, 0
+        accumulators, previous_key, too_old = self.accumulators, None, 0
         accumulator = _Accumulator(0)
         oldest = now - MAX_REPORT_AGE
         for report in reports:
@@ -128,15 +130,16 @@
                 too_old += 1
                 continue
             key = (report.backend, report.incarnation)
-            if key != last_key:
-                last_key = key
+            if key != previous_key:
+                previous_key = key
                 if key not in accumulators:
                     accumulators[key] = _Accumulator(measured_at)
                 accumulator = accumulators[key]
             if measured_at > accumulator.measured_at:
                 accumulator.measured_at = measured_at
             accumulator.reports += stands_for
-            # By the age of the measurement, not of the arrival: a late report describes the past.
+            # The weight decays with the age of the measurement, not of the arrival, since a late report describes the
+            # past.
             age = now - measured_at
             accumulator.add(report.load, stands_for * 0.5 ** (age / REPORT_HALF_LIFE) if age > 0 else stands_for)
         return too_old
@@ -146,7 +149,7 @@
         return [accumulator.sums(*key) for key, accumulator in self.accumulators.items()]
 
 
-def _thinned(latencies: list[tuple[float, float]]) -> tuple[tuple[float, float], ...]:
+def _subsample(latencies: list[tuple[float, float]]) -> tuple[tuple[float, float], ...]:
     step = -(-len(latencies) // MAX_LATENCY_SAMPLES)
     if step <= 1:
         return tuple(latencies)
@@ -154,28 +157,31 @@
 
 
 def merge_load_sums(parts: Iterable[LoadSums]) -> list[LoadSums]:
-    """Merge the sums of several workers: the same whatever their order, and whichever worker got which report."""
+    """Merge the sums of several workers into one per incarnation.
+
+    The result depends neither on their order nor on which worker received which report.
+    """
     merged: dict[IncarnationKey, LoadSums] = {}
     for part in parts:
         key = (part.backend, part.incarnation)
-        before = merged.get(key)
-        merged[key] = part if before is None else _merged_pair(before, part)
+        previous = merged.get(key)
+        merged[key] = part if previous is None else _merge_pair(previous, part)
     return [merged[key] for key in sorted(merged)]
 
 
-def _merged_pair(one: LoadSums, two: LoadSums) -> LoadSums:
+def _merge_pair(first: LoadSums, second: LoadSums) -> LoadSums:
     return LoadSums(
-        one.backend,
-        one.incarnation,
-        max(one.measured_at, two.measured_at),
-        one.reports + two.reports,
-        utilization=_plus(one.utilization, two.utilization),
-        queue=_plus(one.queue, two.queue),
-        request_rate=_plus(one.request_rate, two.request_rate),
-        error_rate=_plus(one.error_rate, two.error_rate),
-        latencies=tuple(sorted((*one.latencies, *two.latencies))),
+        first.backend,
+        first.incarnation,
+        max(first.measured_at, second.measured_at),
+        first.reports + second.reports,
+        utilization=_add_sums(first.utilization, second.utilization),
+        queue=_add_sums(first.queue, second.queue),
+        request_rate=_add_sums(first.request_rate, second.request_rate),
+        error_rate=_add_sums(first.error_rate, second.error_rate),
+        latencies=tuple(sorted((*first.latencies, *second.latencies))),
     )
 
 
-def _plus(one: WeightedSum, two: WeightedSum) -> WeightedSum:
-    return WeightedSum(one.weight + two.weight, one.total + two.total)
+def _add_sums(first: WeightedSum, second: WeightedSum) -> WeightedSum:
+    return WeightedSum(first.weight + second.weight, first.total + second.total)
--- a/onyxhead/intake/orca_reports.py
+++ b/onyxhead/intake/orca_reports.py
@@ -1,8 +1,7 @@
-"""Codec of load reports as backends send them, many to a body.
+"""Decoder of load reports, which backends send as a JSON list of many reports per body.
 
-Each carries a load report in the JSON mapping of `xds.data.orca.v3.OrcaLoadReport`; beside it stand the backend that
-reports, its incarnation, and the time of measurement by its own clock. A fault in one report costs that report and no
-other.
+Each report holds the backend's id, its incarnation, the time of measurement by the sender's clock, and the load in the
+JSON mapping of `xds.data.orca.v3.OrcaLoadReport`. An invalid report does not affect the others in the body.
 """
 
 from __future__ import annotations
@@ -16,13 +15,13 @@
 MAX_LATENCY_MS = 1e6
 MAX_RATE = 1e7
 MAX_UTILIZATION = 1.5
-"""A utilization above this is not one; up to it, it is capped at 1."""
+"""A utilization above this is rejected as invalid; one between 1 and this is capped at 1."""
 MAX_NAME_LENGTH = 200
 MAX_TIMESTAMP = 1e11
 
 
 class MalformedReportError(ValueError):
-    """A body that holds no list of reports; the text says why."""
+    """A body is not a JSON list of reports; the message is the decoder's error."""
 
 
 Utilization = Annotated[float, msgspec.Meta(ge=0, le=MAX_UTILIZATION)]
@@ -33,7 +32,7 @@
 
 
 class NamedMetrics(msgspec.Struct, gc=False, frozen=True):
-    """The named metrics that are read: requests waiting, and the response time in milliseconds."""
+    """The named metrics that are used: the number of waiting requests, and the response time in milliseconds."""
 
     queue: Annotated[float, msgspec.Meta(ge=0, le=MAX_QUEUE)] | None = None
     latency_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_LATENCY_MS)] | None = None
@@ -43,7 +42,7 @@
 
 
 class OrcaLoadReport(msgspec.Struct, gc=False):
-    """Fields by their names in the published mapping; others are ignored."""
+    """The used fields of `OrcaLoadReport`, by their names in its JSON mapping; other fields are ignored."""
 
     cpu_utilization: Utilization | None = None
     application_utilization: Utilization | None = None
@@ -53,7 +52,7 @@
 
 
 class BackendReport(msgspec.Struct, gc=False):
-    """One report; `measured_at` in seconds of the sender's own clock."""
+    """One load report; `measured_at` is in seconds of the sender's clock."""
 
     backend: BackendName
     incarnation: Incarnation = msgspec.field(name="boot")
@@ -62,7 +61,7 @@
 
 
 class _UncheckedReport(msgspec.Struct):
-    """A report whose load figures are yet to be checked one by one."""
+    """A report with a load whose values are not checked yet, for checking them one by one."""
 
     backend: BackendName
     incarnation: Incarnation = msgspec.field(name="boot")
@@ -70,63 +69,63 @@
     load: dict[str, object]
 
 
-_BODY = msgspec.json.Decoder(list[BackendReport])
-_PARTS = msgspec.json.Decoder(list[msgspec.Raw])
-_REPORT = msgspec.json.Decoder(BackendReport)
-_UNCHECKED = msgspec.json.Decoder(_UncheckedReport)
+_BODY_DECODER = msgspec.json.Decoder(list[BackendReport])
+_ELEMENTS_DECODER = msgspec.json.Decoder(list[msgspec.Raw])
+_REPORT_DECODER = msgspec.json.Decoder(BackendReport)
+_UNCHECKED_DECODER = msgspec.json.Decoder(_UncheckedReport)
 
 
 def decode_reports(body: bytes) -> tuple[list[BackendReport], int]:
-    """Return the reports of a body, and how many of its parts were faulty.
+    """Return the reports of a body, and how many elements of its list were faulty.
 
-    Figures out of bounds are left out of a faulty part; a part that is no report at all is dropped. Raises
-    MalformedReportError for a body that is no list.
+    Load values that are out of bounds are left out of a faulty report; an element that is not a report is dropped.
+    Raises MalformedReportError if the body is not a list.
     """
     try:
-        return _BODY.decode(body), 0
+        return _BODY_DECODER.decode(body), 0
     except msgspec.MsgspecError:
-        return _decode_each(body)
+        return _decode_one_by_one(body)
 
 
-def _decode_each(body: bytes) -> tuple[list[BackendReport], int]:
+def _decode_one_by_one(body: bytes) -> tuple[list[BackendReport], int]:
     try:
-        parts = _PARTS.decode(body)
+        elements = _ELEMENTS_DECODER.decode(body)
     except msgspec.MsgspecError as error:
         raise MalformedReportError(str(error)) from error
     reports, faulty = [], 0
-    for part in parts:
+    for element in elements:
         try:
-            reports.append(_REPORT.decode(part))
+            reports.append(_REPORT_DECODER.decode(element))
         except msgspec.MsgspecError:
             faulty += 1
-            if (repaired := _repaired(part)) is not None:
-                reports.append(repaired)
+            if (report := _without_invalid_values(element)) is not None:
+                reports.append(report)
     return reports, faulty
 
 
-def _repaired(part: msgspec.Raw) -> BackendReport | None:
-    """Return a report without its impossible figures, None if it is no report."""
+def _without_invalid_values(element: msgspec.Raw) -> BackendReport | None:
+    """Return a report without its invalid load values, or None if the element is not a report."""
     try:
-        unchecked = _UNCHECKED.decode(part)
+        unchecked = _UNCHECKED_DECODER.decode(element)
     except msgspec.MsgspecError:
         return None
     load, named = unchecked.load, unchecked.load.get("named_metrics")
     named = named if isinstance(named, dict) else {}
     checked = OrcaLoadReport(
-        cpu_utilization=_checked(load.get("cpu_utilization"), MAX_UTILIZATION),
-        application_utilization=_checked(load.get("application_utilization"), MAX_UTILIZATION),
-        rps_fractional=_checked(load.get("rps_fractional"), MAX_RATE),
-        eps=_checked(load.get("eps"), MAX_RATE),
+        cpu_utilization=_value_within(load.get("cpu_utilization"), MAX_UTILIZATION),
+        application_utilization=_value_within(load.get("application_utilization"), MAX_UTILIZATION),
+        rps_fractional=_value_within(load.get("rps_fractional"), MAX_RATE),
+        eps=_value_within(load.get("eps"), MAX_RATE),
         named_metrics=NamedMetrics(
-            queue=_checked(named.get("queue"), MAX_QUEUE),
-            latency_ms=_checked(named.get("latency_ms"), MAX_LATENCY_MS),
+            queue=_value_within(named.get("queue"), MAX_QUEUE),
+            latency_ms=_value_within(named.get("latency_ms"), MAX_LATENCY_MS),
         ),
     )
     return BackendReport(unchecked.backend, unchecked.incarnation, unchecked.measured_at, checked)
 
 
-def _checked(value: object, maximum: float) -> float | None:
-    # A figure out of all bounds shows that something is wrong, but not what is right: it is left out, not capped.
+def _value_within(value: object, maximum: float) -> float | None:
+    # A value out of bounds is left out instead of capped, since it does not tell what the true value is.
     if not isinstance(value, int | float) or isinstance(value, bool) or not math.isfinite(value):
         return None
     return float(value) if 0 <= value <= maximum else None
--- a/onyxhead/intake/report_decoder.py
+++ b/onyxhead/intake/report_decoder.py
@@ -1,4 +1,4 @@
-"""Bodies of load reports in, sums by backend and incarnation out. No I/O; each worker process has one decoder."""
+"""Turns bodies of load reports into sums by backend and incarnation; one decoder per worker process. No I/O."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 MAX_CLOCKS = 20_000
+"""Maximum number of senders whose clock offsets are kept."""
 
-# Counters by the names that `/v1/load` shows.
+# Names of counters as shown by `/v1/load`.
 BODIES = "bodies"
 MALFORMED_BODIES = "bodies that are none"
 BODIES_SHED = "bodies shed"
@@ -23,7 +24,7 @@
 
 
 class ReportDecoder:
-    """Keeps bodies undecoded as they come, and decodes a fair choice of them within a budget of bytes."""
+    """Keeps arriving bodies undecoded, and decodes a fair sample of them within a budget of bytes."""
 
     def __init__(self, seed: int) -> None:
         self.sampler: FairSampler[bytes] = FairSampler(seed)
@@ -32,14 +33,14 @@
         self.bytes_decoded = 0
 
     def offer(self, sender: str, body: bytes, now: int) -> bool:
-        """Keep a body until the next decoding. Return False if there are too many senders to add this one."""
+        """Keep a body until the next call of `decode`. Return False if there are too many senders to add this one."""
         self.counts[BODIES] += 1
         return self.sampler.offer(sender, body, len(body), now)
 
     def decode(self, now: int, budget: int) -> list[LoadSums]:
-        """Return the sums of as many bodies as the budget in bytes allows.
+        """Decode bodies until their size reaches `budget` bytes, and return the sums over their reports.
 
-        `bytes_decoded` is how many bytes these were.
+        Sets `bytes_decoded` to the size of the decoded bodies.
         """
         builder, self.bytes_decoded = LoadSumsBuilder(), 0
         for sample in self.sampler.take(budget):
@@ -60,7 +61,7 @@
         self.counts[REPORTS] += len(reports)
         if not reports:
             return
-        newest = int(max(each.measured_at for each in reports) * TICKS_PER_SECOND)
+        newest = int(max(report.measured_at for report in reports) * TICKS_PER_SECOND)
         age = self._clock(sample.sender).age(newest, sample.arrived_at)
         clock_offset = sample.arrived_at - age - newest
         self.counts[REPORTS_TOO_OLD] += builder.add(reports, clock_offset, sample.stands_for, now)
