--- a/onyxhead/series/__init__.py
+++ b/onyxhead/series/__init__.py
@@ -1,1 +1,1 @@
-"""Time series on disk, for looking back: bounded, coarser with age, gaps kept as gaps."""
+"""Time series on disk, for the analysis of past events: bounded in size, with a resolution that falls with age."""
--- a/onyxhead/series/time_series_store.py
+++ b/onyxhead/series/time_series_store.py
@@ -1,9 +1,10 @@
-"""Time series on disk: bounded in size and number, coarser with age, gaps kept as gaps.
+"""Time series on disk, bounded in size and in number.
 
-Each series is one Whisper file (the fixed-size format of Graphite's storage): ten seconds for an hour, a minute for a
-day, ten minutes for thirty days. A file's size never changes, and a time without a sample reads as None, never as zero.
+Each series is one file in Whisper format, the fixed-size storage format of Graphite. It holds steps of ten seconds for
+an hour, of a minute for a day, and of ten minutes for thirty days. A step without a sample reads as None, never as
+zero.
 
-Backends come and go, so the number of series is bounded too: the one written longest ago is evicted first.
+Backends come and go, so the number of series is bounded too; the series that was written least recently is evicted.
 """
 
 from __future__ import annotations
@@ -19,19 +20,19 @@
 import whisper
 
 RETENTIONS = [(10, 360), (60, 1440), (600, 4320)]
-"""Seconds of a step, and the number of steps that are kept."""
+"""Archives of a file: the length of a step in seconds, and the number of steps."""
 MAX_SERIES = 2_000
 FILE_SUFFIX = ".wsp"
 CORRUPT_SUFFIX = ".broken"
 PLAIN_NAME_PART = re.compile(r"[A-Za-z0-9_-]{1,60}")
 ENCODED_PREFIX = "~"
-"""Marks a part of a file's name that is the hexadecimal form of a part of the series' name."""
+"""Prefix of a part of a file name that is the UTF-8 form of that part of the series' name in hexadecimal digits."""
 MAX_ENCODED_PART = 80
 MAX_FILE_NAME = 180
 
 
 class UnknownSeriesError(KeyError):
-    """No such series is stored."""
+    """The series is not stored, or its file can't be read."""
 
     def __init__(self, name: str, cause: Exception) -> None:
         super().__init__(f"{name}: {cause}")
@@ -39,7 +40,7 @@
 
 
 class SeriesSamples(NamedTuple):
-    """Samples of a series at even steps of seconds from `since`, a Unix time; None where nothing was written."""
+    """Samples of a series from the Unix time `since`, `step` seconds apart; None for a step without a sample."""
 
     name: str
     since: int
@@ -47,18 +48,18 @@
     values: list[float | None]
 
     def to_json(self) -> dict[str, object]:
-        """Return the answer of `/v1/series`."""
+        """Return the samples as the answer of `/v1/series`."""
         return {"name": self.name, "since": self.since, "step": self.step, "figures": self.values}
 
 
 class TimeSeriesStore:
-    """The time series in `folder`, which holds nothing else and is written by one process."""
+    """Reads and writes the time series in `folder`, which holds nothing else and is written by one process only."""
 
     def __init__(self, folder: Path, max_series: int = MAX_SERIES) -> None:
         self.folder, self.max_series = folder, max_series
         folder.mkdir(parents=True, exist_ok=True)
         self.last_error = ""
-        """Why the last write was incomplete; empty if it was not."""
+        """The last error of the latest call of `write`, empty if all series were written."""
 
     def _path(self, name: str) -> Path:
         parts = name.split(".", 1)
@@ -68,7 +69,11 @@
         return self.folder / f"{file_name}{FILE_SUFFIX}"
 
     def names(self) -> list[str]:
-        """Return the names of all series that can be told from their files' names."""
+        """Return the names of all series, as decoded from their file names.
+
+        A series whose name is too long for a file name is listed by a shortened name or by a hash, which `read`
+        accepts too. File names that can't be decoded are left out.
+        """
         names = []
         for path in self.folder.glob(f"*{FILE_SUFFIX}"):
             with contextlib.suppress(ValueError, UnicodeDecodeError):
@@ -78,8 +83,8 @@
     def write(self, timestamp: float, values: Mapping[str, float]) -> None:
         """Write one value of each series at a Unix time.
 
-        What can't be written is told by `last_error` and leaves a gap: series are for looking back, and must stop
-        nothing.
+        A failed write sets `last_error` and leaves a gap in the series. It raises no exception, since time series
+        serve only later analysis and must not stop the controller.
         """
         self.last_error = ""
         for name, value in values.items():
@@ -91,7 +96,7 @@
                 whisper.update(str(path), float(value), int(timestamp))
             except (OSError, whisper.WhisperException, ValueError) as error:
                 self.last_error = f"{path.name}: {error}"
-                # A file that can't be read is put aside; the next write begins a new one.
+                # A corrupt file is renamed, so that the next write creates a new one.
                 if isinstance(error, whisper.CorruptWhisperFile):
                     with contextlib.suppress(OSError):
                         path.rename(path.with_suffix(CORRUPT_SUFFIX))
@@ -105,13 +110,13 @@
         """Return the samples between two Unix times. Raises UnknownSeriesError."""
         path = self._path(name)
         try:
-            found = whisper.fetch(str(path), int(since), int(until))
+            fetched = whisper.fetch(str(path), int(since), int(until))
         except (OSError, whisper.WhisperException, ValueError) as error:
             raise UnknownSeriesError(name, error) from error
-        if found is None:
+        if fetched is None:
             return SeriesSamples(name, int(since), RETENTIONS[0][0], [])
-        (begin, _, step), values = found
-        return SeriesSamples(name, begin, step, values)
+        (first_timestamp, _, step), values = fetched
+        return SeriesSamples(name, first_timestamp, step, values)
 
 
 def _encoded(part: str) -> str:
--- a/onyxhead/store/__init__.py
+++ b/onyxhead/store/__init__.py
@@ -1,1 +1,1 @@
-"""The durable state of a controller, in an embedded SQLite database."""
+"""The durable state of a controller, stored in an embedded SQLite database."""
--- a/onyxhead/store/database.py
+++ b/onyxhead/store/database.py
@@ -1,4 +1,4 @@
-"""Opening the database: checks it, brings its schema up to date, and puts a corrupt file aside."""
+"""Opens the database: checks its integrity, updates its schema, and renames a corrupt file."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from onyxhead.store.records import RecoveredState
 
 LOCK_TIMEOUT_S = 5.0
+"""How long a statement waits for a lock that another connection holds."""
 
 ENVIRONMENT_ERRORS = {
     sqlite3.SQLITE_CANTOPEN,
@@ -22,20 +23,21 @@
     sqlite3.SQLITE_PERM,
     sqlite3.SQLITE_NOMEM,
 }
-"""Errors of the disk or of another process, which say nothing against the file itself."""
+"""Errors caused by the disk or by another process; they don't show that the file is corrupt."""
 PRIMARY_ERROR_CODE = 0xFF
-"""The part of an extended SQLite error code that is the primary one."""
+"""Mask for the primary error code within an extended SQLite error code."""
 DATABASE_SUFFIXES = ("", "-wal", "-shm")
+"""Suffixes of the files of an SQLite database: the database, its write-ahead log and its shared memory."""
 
 
 class CorruptDatabaseError(sqlite3.DatabaseError):
-    """The file failed its integrity check. `sqlite_errorcode` is as if SQLite had raised it."""
+    """The file failed its integrity check. `sqlite_errorcode` is the code that SQLite uses for a corrupt file."""
 
     sqlite_errorcode = sqlite3.SQLITE_CORRUPT
 
 
 def connect(path: Path) -> sqlite3.Connection:
-    """A connection whose transactions are on disk when they are committed."""
+    """Open a connection whose transactions are flushed to disk on commit."""
     database = sqlite3.connect(path, timeout=LOCK_TIMEOUT_S)
     database.execute("pragma journal_mode = wal")
     database.execute("pragma synchronous = full")
@@ -43,9 +45,10 @@
 
 
 def open_database(path: Path, clock: Callable[[], float]) -> tuple[RecoveredState, list[str]]:
-    """Begins a new incarnation and returns what the last one left, with warnings.
+    """Begin a new incarnation, and return the state that the last one left, with warnings.
 
-    A corrupt file is renamed for whoever wants to examine it, and never used again. Raises sqlite3.Error, OSError.
+    A corrupt file is renamed, so that it can be examined, and an empty database is created in its place. Raises
+    sqlite3.Error and OSError.
     """
     try:
         return begin_incarnation(path, clock), []
@@ -53,12 +56,15 @@
         if error.sqlite_errorcode & PRIMARY_ERROR_CODE in ENVIRONMENT_ERRORS:
             raise
     quarantined = _quarantine(path, clock)
-    warning = f"the store was broken and is now {quarantined.name}; starting with nothing remembered"
+    warning = f"the database was corrupt and was renamed to {quarantined.name}; starting without stored state"
     return begin_incarnation(path, clock), [warning]
 
 
 def begin_incarnation(path: Path, clock: Callable[[], float]) -> RecoveredState:
-    """Raises sqlite3.Error; CorruptDatabaseError for a file that fails its check."""
+    """Store a new epoch, and return the state that the last incarnation left.
+
+    Raises sqlite3.Error, and its subclass CorruptDatabaseError if the file fails its integrity check.
+    """
     with contextlib.closing(connect(path)) as database:
         _check_integrity(database)
         _update_schema(database)
--- a/onyxhead/store/decision_format.py
+++ b/onyxhead/store/decision_format.py
@@ -1,6 +1,6 @@
-"""How decisions are written in the stored records of decision rounds, in the log and in the answers of `/v1/orders`.
+"""Encoding of decisions in stored records of decision rounds, in the log and in answers of `/v1/orders`.
 
-A decision is a list: its kind, then
+A decision is a list that begins with its kind, followed by:
 
     withdraw, readmit: backend
     lines:             table, {backend: weight}
@@ -21,7 +21,7 @@
 
 
 class DecisionKind(StrEnum):
-    """The first value of a stored decision."""
+    """The kind of a decision, as its first element names it."""
 
     WITHDRAW = "withdraw"
     READMIT = "readmit"
@@ -31,7 +31,7 @@
 
 
 def encode_decisions(decisions: Iterable[Decision]) -> list[list[Any]]:
-    """The decisions that concern proxies, as JSON values; the others are left out."""
+    """Return the decisions that concern proxies as JSON values; other decisions are left out."""
     encoded = (_encode(decision) for decision in decisions)
     return [values for values in encoded if values is not None]
 
--- a/onyxhead/store/errors.py
+++ b/onyxhead/store/errors.py
@@ -8,4 +8,4 @@
 
 
 class StoreUnavailableError(StoreError, OSError):
-    """The database can't be opened, read or written; the message says why."""
+    """The database can't be opened, read or written; the message holds the path and the cause."""
--- a/onyxhead/store/period.py
+++ b/onyxhead/store/period.py
@@ -1,4 +1,4 @@
-"""Reading a period of a store that may be in use by a controller, without changing it."""
+"""Reads a period of a store in read-only mode, so that a running controller may be using the store."""
 
 from __future__ import annotations
 
@@ -14,10 +14,13 @@
 
 
 def read_period(path: Path, name: str, since: float, until: float) -> StoredPeriod:
-    """What the store of the controller `name` holds between two times. Raises StoreUnavailableError."""
-    read_only = f"file:{quote(str(path))}?mode=ro"
+    """Return what the store of the controller `name` holds from `since` to `until`, in Unix time.
+
+    Decisions before `since` are included too. Raises StoreUnavailableError.
+    """
+    read_only_uri = f"file:{quote(str(path))}?mode=ro"
     try:
-        with contextlib.closing(sqlite3.connect(read_only, uri=True, timeout=LOCK_TIMEOUT_S)) as database:
+        with contextlib.closing(sqlite3.connect(read_only_uri, uri=True, timeout=LOCK_TIMEOUT_S)) as database:
             decisions = database.execute(schema.SELECT_DECISIONS_UNTIL, (until,)).fetchall()
             incarnations = database.execute(schema.SELECT_INCARNATIONS).fetchall()
             endpoint_lists = database.execute(schema.SELECT_ENDPOINT_LISTS_BETWEEN, (since, until)).fetchall()
--- a/onyxhead/store/records.py
+++ b/onyxhead/store/records.py
@@ -1,4 +1,4 @@
-"""Values that are read from the store, and how they are read from rows and written as columns."""
+"""Records of the store, and their conversion from rows and to columns."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 class RecoveredState(NamedTuple):
-    """What the last incarnation left. Times are seconds of the wall clock.
+    """The state that the last incarnation left, with the epoch of the new one. Times are Unix times in seconds.
 
-    `endpoint_list` is the body as it was received at `list_received_at`; None if there is none.
+    `endpoint_list` is the body of the last endpoint list as received at `list_received_at`, or None if none is stored.
+    `withdrawn_at` maps each withdrawn backend to the time of its withdrawal.
     """
 
     epoch: int
@@ -26,10 +27,10 @@
 
 
 class DecisionRecord(NamedTuple):
-    """The decisions of one round, with what caused them.
+    """The decisions of one round and their causes.
 
-    `intact` is False if the row does not match its digest; causes and decisions are then left empty. It is None for a
-    row of version 0.1, which stored no digests.
+    `intact` is False if the row does not match its digest; `causes` and `decisions` are then empty. It is None for a
+    row that was written by version 0.1, which stored no digests.
     """
 
     number: int
@@ -42,7 +43,7 @@
 
     @classmethod
     def from_row(cls, row: Row) -> DecisionRecord:
-        """Raises ValueError for a row without a digest that is not JSON."""
+        """Return the record of a row. Raises ValueError if a row without a digest holds invalid JSON."""
         number, at, epoch, round_number, causes, decisions, digest = row
         intact = None if digest is None else digest == row_digest(*row[1:-1])
         if intact is False:
@@ -50,7 +51,7 @@
         return cls(number, at, epoch, round_number, json.loads(causes), json.loads(decisions), intact)
 
     def to_json(self) -> dict[str, Any]:
-        """The record as `/v1/orders` shows it."""
+        """Return the record as `/v1/orders` shows it."""
         return {
             "number": self.number,
             "at": self.at,
@@ -63,22 +64,23 @@
 
 
 class CommitRecord(NamedTuple):
-    """One configuration commit.
+    """A stored configuration commit.
 
-    It is taken back at `until` if nobody confirms it, 0 for never; `back` is the commit that holds then.
+    An unconfirmed commit is rolled back at the Unix time `confirm_by` to the commit number `rollback_to`; a
+    `confirm_by` of 0 means never. `persist_id` lets another NETCONF session confirm the commit.
     """
 
     number: int
     tree: Any
     user: str
-    what: str
-    until: float
-    back: int
-    persist: str
+    kind: str
+    confirm_by: float
+    rollback_to: int
+    persist_id: str
 
 
 class IncarnationRecord(NamedTuple):
-    """One run of a controller, from its start to its last heartbeat."""
+    """One incarnation of a controller: its epoch, its start (`began`) and its last heartbeat (`seen`), in Unix time."""
 
     epoch: int
     began: float
@@ -86,14 +88,14 @@
 
 
 class EndpointListRecord(NamedTuple):
-    """When an endpoint list was received."""
+    """The version of an endpoint list and the Unix time at which it was received."""
 
     received_at: float
     version: int
 
 
 class AuditRecord(NamedTuple):
-    """A command of an operator and its result."""
+    """An operator's command (`what`) and its result."""
 
     at: float
     user: str
@@ -102,7 +104,11 @@
 
 
 class StoredPeriod(NamedTuple):
-    """What one controller's store holds of a period; the decisions of all rounds up to its end, oldest first."""
+    """The records of one controller's store for a period, oldest first.
+
+    `decisions` also holds all rounds before the period, from which the state at its start is derived; `incarnations`
+    holds all incarnations of the controller.
+    """
 
     name: str
     decisions: list[DecisionRecord]
@@ -112,13 +118,13 @@
 
 
 def version_columns(record: VersionRecord) -> Row:
-    """The columns of a table version; its digest finds flipped bytes when it is read."""
+    """Return the columns of a table version, with a digest that reveals corruption when the row is read."""
     columns = (*record[:-1], encode_changes(record.changes))
     return (*columns, row_digest(*columns))
 
 
-def version_of(row: Row) -> VersionRecord | None:
-    """The table version of a row, None if the row does not match its digest."""
+def version_from_row(row: Row) -> VersionRecord | None:
+    """Return the table version of a row, or None if the row does not match its digest."""
     *columns, digest = row
     if digest != row_digest(*columns):
         return None
@@ -127,11 +133,11 @@
 
 
 def encode_changes(changes: Mapping[tuple[int, str], int]) -> str:
-    """Changed lines as stored: a list of [table, backend, weight]."""
+    """Return changed lines as JSON text: a list of [table, backend, weight]."""
     lines = [[table, backend, weight] for (table, backend), weight in sorted(changes.items())]
     return json.dumps(lines, separators=(",", ":"))
 
 
 def decode_changes(text: str) -> dict[tuple[int, str], int]:
-    """The reverse of `encode_changes`."""
+    """Return the changed lines that `encode_changes` encoded."""
     return {(int(table), str(backend)): int(weight) for table, backend, weight in json.loads(text)}
--- a/onyxhead/store/schema.py
+++ b/onyxhead/store/schema.py
@@ -1,19 +1,20 @@
-"""The database as it is stored: its tables, statements and the digest of a row.
+"""The schema of the database, its SQL statements, and the digest of a row.
 
-Stored names are part of the format and stay as earlier versions wrote them. In the code they are called:
+Names of tables and columns are part of the stored format and never change. The code uses other names for some of them:
 
 ============================  =========================================================
-stored                        in the code
+stored                        meaning in the code
 ============================  =========================================================
-`lists`, `heard`              endpoint lists, the time at which one was received
-`proxies.turn`                the last decision round that a proxy acknowledged
-`orders`, `turn`              records of decision rounds, the number of the round
-`lives`, `began`, `seen`      incarnations of the controller, start and last heartbeat
-`commits.what`, `back`        operation of a commit, number of the commit to return to
-`versions.at`                 time of the controller's clock, in ticks
+`lists`, `heard`              endpoint lists, time at which one was received
+`proxies.turn`                last decision round that a proxy acknowledged
+`orders`, `turn`              records of decision rounds, number of the round
+`lives`, `began`, `seen`      incarnations of the controller, their start and last heartbeat
+`commits.what`, `until`       kind of a commit, time by which it must be confirmed
+`commits.back`, `persist`     number of the commit to roll back to, persist id
+`versions.at`                 time at which a table version was made, in ticks of the controller's clock
 ============================  =========================================================
 
-All other times are seconds since the epoch by the wall clock.
+All other times are Unix times in seconds.
 """
 
 from __future__ import annotations
@@ -45,7 +46,7 @@
 ) strict;
 """
 
-# Version 0.1 stored no digests of decision rounds.
+# Databases of version 0.1 have no digest column in `orders`; it is added when they are opened.
 DECISION_COLUMNS = "pragma table_info(orders)"
 DECISION_DIGEST_COLUMN = "digest"
 ADD_DECISION_DIGEST = "alter table orders add column digest text"
@@ -93,5 +94,5 @@
 
 
 def row_digest(*columns: object) -> str:
-    """The digest that is stored with a row, over the columns that its record is read from."""
+    """Return the digest to store with a row, computed over the columns that its record is read from."""
     return hashlib.blake2b(json.dumps(columns).encode(), digest_size=16).hexdigest()
--- a/onyxhead/store/value_names.py
+++ b/onyxhead/store/value_names.py
@@ -1,16 +1,16 @@
-"""Names of the values that a store keeps by name (`Store.put`, `Store.get`), as earlier versions wrote them."""
+"""Names of the values in the table `meta` (`Store.put`, `Store.get`); they are part of the stored format."""
 
 from __future__ import annotations
 
 SETTINGS_TREE = "settings tree"
-"""The configuration that the settings file had at the last start."""
+"""The configuration tree of the settings file at the last start."""
 STARTUP_DATASTORE = "startup"
 """The NETCONF startup datastore."""
 TABLE_LABELS = "table labels"
-"""Version numbers of the tables by label."""
+"""Numbers of labelled table versions, by label."""
 OPERATOR_STATE = "operators' orders"
-"""Drains, cordons and the commands that operators gave."""
+"""Drained and cordoned backends, and the operator commands that were answered."""
 FLEET_MEMBERS = "fleet members"
-"""Members put in or removed by command; null for one that was removed."""
+"""Fleet members that were added or removed by command; null for a removed one."""
 BUDGET_GRANTS = "fleet loans"
-"""Slow-start budget that this controller granted to others."""
+"""Slow-start budget that this controller granted to other members."""
--- a/onyxhead/store/writer.py
+++ b/onyxhead/store/writer.py
@@ -1,7 +1,7 @@
-"""A thread that writes statements to the database in batches.
+"""A thread that writes SQL statements to the database in batches.
 
-Each batch is one transaction that is flushed before it counts. Whoever submits a statement never waits for the disk. A
-batch that fails is retried, since a full disk may have room again; what waits meanwhile is bounded.
+Each batch is one transaction, flushed to disk on commit. Submitting a statement never waits for the disk. A failed
+batch is retried, since a full disk may get free space again; the number of statements that wait is bounded.
 """
 
 from __future__ import annotations
@@ -15,20 +15,23 @@
 from typing import Any, NamedTuple
 
 MAX_PENDING = 10_000
-"""Statements that may wait for the disk."""
+"""Maximum number of statements that wait for the disk; further ones are dropped."""
 RETRY_DELAY_S = 1.0
 CLOSE_TIMEOUT_S = 10.0
 
 
 class Statement(NamedTuple):
-    """One SQL statement with the values of its parameters."""
+    """An SQL statement with the values of its parameters."""
 
     sql: str
     values: tuple[Any, ...]
 
 
 class BatchWriter:
-    """`error` is why the last batch failed, empty if it did not; `dropped` counts statements that were given up."""
+    """Writes submitted statements in a thread of its own.
+
+    `error` is the error of the last batch, empty if it succeeded; `dropped` counts dropped statements.
+    """
 
     def __init__(self, connect: Callable[[], sqlite3.Connection]) -> None:
         self.connect = connect
@@ -39,14 +42,14 @@
         self._thread.start()
 
     def submit(self, sql: str, values: tuple[Any, ...]) -> None:
-        """Hands over a statement; drops it if too many wait already."""
+        """Queue a statement for writing, or drop it if too many are waiting already."""
         if self._queue.qsize() > MAX_PENDING:
             self.dropped += 1
             return
         self._queue.put(Statement(sql, values))
 
     def close(self) -> None:
-        """Everything handed over is on disk when this returns, if the disk takes it."""
+        """Write all queued statements, and stop the thread. What can't be written is lost."""
         self._queue.put(None)
         self._thread.join(CLOSE_TIMEOUT_S)
 
@@ -64,7 +67,10 @@
                 time.sleep(0 if closing else RETRY_DELAY_S)
 
     def _collect(self, batch: list[Statement]) -> bool:
-        """Adds all that waits to the batch, at least one statement; whether the writer is to close."""
+        """Move all queued statements to the batch, waiting for one if the batch is empty.
+
+        Return whether the writer is closing.
+        """
         if not batch:
             statement = self._queue.get()
             if statement is None:
