--- a/onyxhead/intake/fair_sampling.py
+++ b/onyxhead/intake/fair_sampling.py
@@ -18,12 +18,12 @@
 
 
 class Sample(NamedTuple, Generic[Item]):
-    """A sampled item; `stands_for` is the number of its sender's items that it represents, itself included."""
+    """A sampled item; `sampling_weight` is the number of its sender's items that it represents."""
 
     sender: str
     item: Item
     arrived_at: int
-    stands_for: float
+    sampling_weight: float
 
 
 class _Reservoir(Generic[Item]):
@@ -126,9 +126,9 @@
             self.senders.move_to_end(sender)
             self.never_sampled.discard(sender)
             self._count_shed(sender, len(reservoir.items) - len(indexes))
-            stands_for = reservoir.offered / len(indexes)
+            sampling_weight = reservoir.offered / len(indexes)
             samples += [
-                Sample(sender, reservoir.items[index], reservoir.arrived_at[index], stands_for)
+                Sample(sender, reservoir.items[index], reservoir.arrived_at[index], sampling_weight)
                 for index in sorted(indexes)
             ]
         return samples
--- a/onyxhead/intake/load_sums.py
+++ b/onyxhead/intake/load_sums.py
@@ -115,11 +115,11 @@
     def __init__(self) -> None:
         self.accumulators: dict[IncarnationKey, _Accumulator] = {}
 
-    def add(self, reports: Iterable[BackendReport], clock_offset: int, stands_for: float, now: int) -> int:
+    def add(self, reports: Iterable[BackendReport], clock_offset: int, sampling_weight: float, now: int) -> int:
         """Add the reports of one body, and return how many of them were left out as too old.
 
         `clock_offset`, in ticks, is added to times of the sender's clock to get times of the receiver's. Each report
-        is counted `stands_for` times.
+        is counted `sampling_weight` times.
         """
         accumulators, previous_key, too_old = self.accumulators, None, 0
         accumulator = _Accumulator(0)
@@ -137,11 +137,13 @@
                 accumulator = accumulators[key]
             if measured_at > accumulator.measured_at:
                 accumulator.measured_at = measured_at
-            accumulator.reports += stands_for
+            accumulator.reports += sampling_weight
             # The weight decays with the age of the measurement, not of the arrival, since a late report describes the
             # past.
             age = now - measured_at
-            accumulator.add(report.load, stands_for * 0.5 ** (age / REPORT_HALF_LIFE) if age > 0 else stands_for)
+            accumulator.add(
+                report.load, sampling_weight * 0.5 ** (age / REPORT_HALF_LIFE) if age > 0 else sampling_weight
+            )
         return too_old
 
     def sums(self) -> list[LoadSums]:
--- a/onyxhead/intake/report_decoder.py
+++ b/onyxhead/intake/report_decoder.py
@@ -64,7 +64,7 @@
         newest = int(max(report.measured_at for report in reports) * TICKS_PER_SECOND)
         age = self._clock(sample.sender).age(newest, sample.arrived_at)
         clock_offset = sample.arrived_at - age - newest
-        self.counts[REPORTS_TOO_OLD] += builder.add(reports, clock_offset, sample.stands_for, now)
+        self.counts[REPORTS_TOO_OLD] += builder.add(reports, clock_offset, sample.sampling_weight, now)
 
     def _clock(self, sender: str) -> ClockOffsetEstimator:
         clock = self.clocks.get(sender)
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""Load estimation against generated loads whose true values are known."""
+"""Tests of load estimation with generated reports whose true loads are known."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from onyxhead.time_units import TICKS_PER_SECOND as SECOND
 
 START = 1_000 * SECOND
-NONE = WeightedSum(0.0, 0.0)
+NO_SAMPLES = WeightedSum(0.0, 0.0)
 
 
-def body(*reports: dict[str, Any]) -> bytes:
+def encode_body(*reports: dict[str, Any]) -> bytes:
     return json.dumps(reports).encode()
 
 
-def report(
+def make_report(
     backend: str, at: int, boot: str = "1", queue: float | None = 2.0, latency: float | None = 20.0, **load: Any
 ) -> dict[str, Any]:
     named = {name: value for name, value in (("queue", queue), ("latency_ms", latency)) if value is not None}
     return {"backend": backend, "boot": boot, "at": at / SECOND, "load": load | {"named_metrics": named}}
 
 
-# Decoding of reports
+# Decoding
 
 
 @pytest.mark.parametrize(
@@ -50,25 +50,25 @@
     ],
 )
 def test_impossible_figures_are_left_out_and_the_rest_of_the_report_is_used(load: dict[str, Any]) -> None:
-    faulty_report = report("b1", START, cpu_utilization=0.5, rps_fractional=10.0)
+    faulty_report = make_report("b1", START, cpu_utilization=0.5, rps_fractional=10.0)
     faulty_report["load"] |= load
-    reports, faulty = decode_reports(body(faulty_report, report("b2", START, cpu_utilization=0.4)))
-    assert faulty == 1 and [each.backend for each in reports] == ["b1", "b2"]
-    load_read = reports[0].load
+    reports, faulty = decode_reports(encode_body(faulty_report, make_report("b2", START, cpu_utilization=0.4)))
+    assert faulty == 1 and [decoded.backend for decoded in reports] == ["b1", "b2"]
+    decoded_load = reports[0].load
     for value in (
-        load_read.cpu_utilization,
-        load_read.rps_fractional,
-        load_read.eps,
-        load_read.named_metrics.queue,
-        load_read.named_metrics.latency_ms,
+        decoded_load.cpu_utilization,
+        decoded_load.rps_fractional,
+        decoded_load.eps,
+        decoded_load.named_metrics.queue,
+        decoded_load.named_metrics.latency_ms,
     ):
         assert value is None or (math.isfinite(value) and 0 <= value < 1e6)
 
 
-@pytest.mark.parametrize("text", [b"", b"{}", b"nan", b"[1, 2", b'"x"', b"\xff"])
-def test_a_body_that_is_no_list_is_rejected(text: bytes) -> None:
+@pytest.mark.parametrize("body", [b"", b"{}", b"nan", b"[1, 2", b'"x"', b"\xff"])
+def test_a_body_that_is_no_list_is_rejected(body: bytes) -> None:
     with pytest.raises(MalformedReportError):
-        decode_reports(text)
+        decode_reports(body)
 
 
 @pytest.mark.parametrize(
@@ -82,24 +82,24 @@
     ],
 )
 def test_a_malformed_report_is_dropped_and_the_others_are_used(part: str) -> None:
-    reports, faulty = decode_reports(b"[" + part.encode() + b"," + body(report("b1", START))[1:])
-    assert [each.backend for each in reports] == ["b1"] and faulty == 1
+    reports, faulty = decode_reports(b"[" + part.encode() + b"," + encode_body(make_report("b1", START))[1:])
+    assert [decoded.backend for decoded in reports] == ["b1"] and faulty == 1
     with pytest.raises(MalformedReportError):
         decode_reports(b'[{"backend": "b", "boot": "1", "at": NaN, "load": {}}]')
 
 
 def test_unknown_fields_are_ignored() -> None:
     reports, faulty = decode_reports(
-        body(report("b1", START, mem_utilization=3.0, request_cost={"a": 1}) | {"more": [1]})
+        encode_body(make_report("b1", START, mem_utilization=3.0, request_cost={"a": 1}) | {"more": [1]})
     )
     assert len(reports) == 1 and not faulty
 
 
-# The estimator as a whole
+# Decoder and estimator together
 
 
-class Day:
-    """Backends send a body each tenth of a second, by clocks of their own, through a decoder with a budget."""
+class SimulatedBackends:
+    """Backends that each send a body per tenth of a second, timed by clocks of their own, to a decoder with a budget."""
 
     def __init__(self, seed: int = 1, count: int = 20, budget: int = 10_000_000) -> None:
         self.random, self.now, self.budget = Random(seed), START, budget
@@ -117,7 +117,7 @@
                 continue
             at = self.now + self.clock_offset[name]
             reports = [
-                report(
+                make_report(
                     name,
                     at - 90 * n,
                     self.incarnations[name],
@@ -127,7 +127,7 @@
                 )
                 for n in range(per_body)
             ]
-            self.decoder.offer(name, body(*reports), self.now)
+            self.decoder.offer(name, encode_body(*reports), self.now)
         self.estimator.on_reports(self.now, self.decoder.decode(self.now, self.budget))
 
     def run(self, seconds: float) -> None:
@@ -144,95 +144,112 @@
 
 
 def test_a_reported_shift_without_observations_is_followed_between_two_assessments() -> None:
-    # Must not keep a part of the value reported before the last assessment for up to a second.
-    day = Day()
-    day.run(2)
-    day.estimator.assess_credibility(day.now)
-    day.true_utilization = dict.fromkeys(day.true_utilization, 0.15)
-    day.run(0.8)
-    assert day.error() < 0.06
+    # Guards against estimates that keep a share of the value reported before the last assessment, which is up to a
+    # second old.
+    simulation = SimulatedBackends()
+    simulation.run(2)
+    simulation.estimator.assess_credibility(simulation.now)
+    simulation.true_utilization = dict.fromkeys(simulation.true_utilization, 0.15)
+    simulation.run(0.8)
+    assert simulation.error() < 0.06
 
 
 @pytest.mark.parametrize(("share", "delay"), [(1.0, 1.0), (0.2, 2.5)])
 def test_the_estimation_error_and_delay_stay_within_their_bounds(share: float, delay: float) -> None:
-    day = Day()
-    day.run(0.1)
-    day.budget = round(
+    simulation = SimulatedBackends()
+    simulation.run(0.1)
+    simulation.budget = round(
         1.3
         * share
         * 20
-        * len(body(*[report("b1", START, "1", latency=12.345678, rps_fractional=444.4, cpu_utilization=0.512345)] * 10))
+        * len(
+            encode_body(
+                *[make_report("b1", START, "1", latency=12.345678, rps_fractional=444.4, cpu_utilization=0.512345)] * 10
+            )
+        )
     )
-    day.run(4)
-    assert day.error() < 0.05
-    # All change at once: the estimate follows within a second if all bodies are decoded, later if a fifth is.
-    day.true_utilization = {name: 0.9 - 0.8 * utilization for name, utilization in day.true_utilization.items()}
-    day.run(delay)
-    assert day.error() < 0.05
-    shed = day.decoder.counts["bodies shed"] / day.decoder.counts["bodies"]
+    simulation.run(4)
+    assert simulation.error() < 0.05
+    # All loads change at once. The estimate follows within a second if all bodies are decoded, and later if only a
+    # fifth of them is.
+    simulation.true_utilization = {
+        name: 0.9 - 0.8 * utilization for name, utilization in simulation.true_utilization.items()
+    }
+    simulation.run(delay)
+    assert simulation.error() < 0.05
+    shed = simulation.decoder.counts["bodies shed"] / simulation.decoder.counts["bodies"]
     assert shed == pytest.approx(max(0.0, 1 - 1.3 * share), abs=0.1)
 
 
 def test_late_reports_of_a_replaced_incarnation_are_ignored() -> None:
-    day = Day(count=3)
-    day.run(3)
-    late = body(*[report("b1", day.now + day.clock_offset["b1"], "1", cpu_utilization=0.99)] * 50)
-    day.incarnations["b1"], day.true_utilization["b1"] = "2", 0.1
-    day.run(0.5)
-    assert day.estimator.utilization(day.now, "b1") == pytest.approx(0.1, abs=0.05)
-    day.decoder.offer("b1", late, day.now)
-    day.run(0.3)
+    simulation = SimulatedBackends(count=3)
+    simulation.run(3)
+    late_body = encode_body(
+        *[make_report("b1", simulation.now + simulation.clock_offset["b1"], "1", cpu_utilization=0.99)] * 50
+    )
+    simulation.incarnations["b1"], simulation.true_utilization["b1"] = "2", 0.1
+    simulation.run(0.5)
+    assert simulation.estimator.utilization(simulation.now, "b1") == pytest.approx(0.1, abs=0.05)
+    simulation.decoder.offer("b1", late_body, simulation.now)
+    simulation.run(0.3)
     assert (
-        day.estimator.utilization(day.now, "b1") == pytest.approx(0.1, abs=0.05)
-        and day.estimator.counts["reports of earlier lives"] >= 50
+        simulation.estimator.utilization(simulation.now, "b1") == pytest.approx(0.1, abs=0.05)
+        and simulation.estimator.counts["reports of earlier lives"] >= 50
+    )
+    assert any(
+        change.signal is LoadSignal.RESTART and change.subject == "b1" for change in simulation.estimator.changes
     )
-    assert any(change.signal is LoadSignal.RESTART and change.subject == "b1" for change in day.estimator.changes)
 
 
 def test_reports_on_unknown_backends_are_counted_and_not_stored() -> None:
-    day = Day(count=3)
+    simulation = SimulatedBackends(count=3)
     for n in range(3_000):
-        day.decoder.offer(f"x{n % 40}", body(report(f"x{n}", START)), day.now)
+        simulation.decoder.offer(f"x{n % 40}", encode_body(make_report(f"x{n}", START)), simulation.now)
         if n % 100 == 0:
-            day.tick(1)
+            simulation.tick(1)
     assert (
-        set(day.estimator.backends) <= set(day.true_utilization)
-        and day.estimator.counts["reports on unknown backends"] > 300
+        set(simulation.estimator.backends) <= set(simulation.true_utilization)
+        and simulation.estimator.counts["reports on unknown backends"] > 300
     )
 
 
 def test_a_burst_reported_after_its_end_does_not_move_the_present_estimate() -> None:
-    day = Day(count=2)
-    day.run(4)
-    before = day.true_utilization["b0"]
-    # Half a second of full load, reported two seconds late, when all is over.
+    simulation = SimulatedBackends(count=2)
+    simulation.run(4)
+    before = simulation.true_utilization["b0"]
+    # Half a second of full load, reported two seconds after its end.
     late_bodies = []
     for n in range(5):
-        late_bodies.append(body(*[report("b0", day.now + day.clock_offset["b0"] + n * 1000, cpu_utilization=1.0)] * 10))
-    day.run(2.5)
-    for each in late_bodies:
-        day.decoder.offer("b0", each, day.now)
-    day.run(0.4)
-    assert day.estimator.utilization(day.now, "b0") == pytest.approx(before, abs=0.1)
-
-
-def test_a_recovery_during_missing_reports_shows_with_the_first_new_report() -> None:
-    day = Day(count=2)
-    day.true_utilization["b0"] = 0.95
-    day.run(4)
-    day.silent.add("b0")
-    day.run(3)
-    estimate = day.estimator.estimate(day.now, "b0")
+        late_bodies.append(
+            encode_body(
+                *[make_report("b0", simulation.now + simulation.clock_offset["b0"] + n * 1000, cpu_utilization=1.0)]
+                * 10
+            )
+        )
+    simulation.run(2.5)
+    for late_body in late_bodies:
+        simulation.decoder.offer("b0", late_body, simulation.now)
+    simulation.run(0.4)
+    assert simulation.estimator.utilization(simulation.now, "b0") == pytest.approx(before, abs=0.1)
+
+
+def test_a_recovery_while_reports_are_missing_shows_with_the_first_new_reports() -> None:
+    simulation = SimulatedBackends(count=2)
+    simulation.true_utilization["b0"] = 0.95
+    simulation.run(4)
+    simulation.silent.add("b0")
+    simulation.run(3)
+    estimate = simulation.estimator.estimate(simulation.now, "b0")
     assert estimate is not None and estimate.age >= 3 * SECOND
-    day.run(3)
-    assert day.estimator.utilization(day.now, "b0") is None  # too old to act on
-    day.silent.clear()
-    day.true_utilization["b0"] = 0.2
-    day.run(0.3)
-    assert day.estimator.utilization(day.now, "b0") == pytest.approx(0.2, abs=0.12)
+    simulation.run(3)
+    assert simulation.estimator.utilization(simulation.now, "b0") is None  # the last report is too old to act on
+    simulation.silent.clear()
+    simulation.true_utilization["b0"] = 0.2
+    simulation.run(0.3)
+    assert simulation.estimator.utilization(simulation.now, "b0") == pytest.approx(0.2, abs=0.12)
 
 
-def test_observations_by_proxies_count_before_a_backends_first_report() -> None:
+def test_observations_by_proxies_are_used_before_a_backends_first_report() -> None:
     estimator = LoadEstimator()
     estimator.on_endpoint_list({"b1": "std"})
     for n in range(40):
@@ -251,7 +268,7 @@
     )
     estimator.on_reports(
         START + 40 * SECOND,
-        [LoadSums("b1", "7", START + 40 * SECOND, 3.0, WeightedSum(3.0, 1.5), NONE, NONE, NONE, ())],
+        [LoadSums("b1", "7", START + 40 * SECOND, 3.0, WeightedSum(3.0, 1.5), NO_SAMPLES, NO_SAMPLES, NO_SAMPLES, ())],
     )
     assert (
         estimator.backends["b1"].incarnation == "7"
@@ -269,12 +286,20 @@
 def test_merged_sums_do_not_depend_on_order_or_worker(rows: list[Any], random: Any) -> None:
     parts = [
         LoadSums(
-            name, "1", at, float(n), WeightedSum(n, n / 2), NONE, WeightedSum(n, 3.0 * n), NONE, ((float(at), 1.0),)
+            name,
+            "1",
+            at,
+            float(n),
+            WeightedSum(n, n / 2),
+            NO_SAMPLES,
+            WeightedSum(n, 3.0 * n),
+            NO_SAMPLES,
+            ((float(at), 1.0),),
         )
         for name, at, n in rows
     ]
     shuffled = parts[:]
     random.shuffle(shuffled)
-    place = random.randint(0, len(shuffled))
-    two = merge_load_sums([*merge_load_sums(shuffled[:place]), *merge_load_sums(shuffled[place:])])
-    assert two == merge_load_sums(parts)
+    split = random.randint(0, len(shuffled))
+    merged_in_steps = merge_load_sums([*merge_load_sums(shuffled[:split]), *merge_load_sums(shuffled[split:])])
+    assert merged_in_steps == merge_load_sums(parts)
--- a/tests/test_intake_statistics.py
+++ b/tests/test_intake_statistics.py
@@ -1,4 +1,4 @@
-"""The statistics of load estimation: fair sampling, clock offsets, change detection, estimates, credibility."""
+"""Tests of the statistics behind load estimation: sampling, clock offsets, shifts, estimates and credibility."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
     for n in range(100):
         sampler.offer(f"p{n}", n, 10, START)
     samples = sampler.take(1010)
-    assert {each.sender for each in samples} == {"loud", *(f"p{n}" for n in range(100))}
-    assert sum(each.stands_for for each in samples) == 1000 and sampler.drain_shed()["loud"] >= 890
+    assert {sample.sender for sample in samples} == {"loud", *(f"p{n}" for n in range(100))}
+    assert sum(sample.sampling_weight for sample in samples) == 1000 and sampler.drain_shed()["loud"] >= 890
 
 
-def test_senders_are_sampled_in_turn_the_longest_unheard_first() -> None:
+def test_senders_are_sampled_in_turn_those_sampled_longest_ago_first() -> None:
     sampler: FairSampler[int] = FairSampler(1)
     first_sampled: dict[str, int] = {}
     last_sampled: dict[str, int] = {}
@@ -42,12 +42,12 @@
             sampler.offer(f"p{n}", step, 10, START + step)
         samples = sampler.take(200)
         assert len(samples) == 20
-        for each in samples:
-            first_sampled.setdefault(each.sender, step)
-            assert each.item == step  # the newest of each
-            assert step < 15 or step - last_sampled[each.sender] == 5
-            last_sampled[each.sender] = step
-    # Half of the budget is for newcomers while there are any.
+        for sample in samples:
+            first_sampled.setdefault(sample.sender, step)
+            assert sample.item == step  # the newest item of each sender
+            assert step < 15 or step - last_sampled[sample.sender] == 5
+            last_sampled[sample.sender] = step
+    # Half of the budget goes to senders that were never sampled, as long as there are any.
     assert len(first_sampled) == 100 and max(first_sampled.values()) == 8
 
 
@@ -62,19 +62,19 @@
             sampler.offer(f"x{step}.{n}", step, 10, START + step)
         for n in range(20):
             sampler.offer(f"p{n}", step, 10, START + step)
-        samples = [each.sender for each in sampler.take(200)]
+        samples = [sample.sender for sample in sampler.take(200)]
         assert sum(sender.startswith("p") for sender in samples) == 10
         sampled |= {sender for sender in samples if sender.startswith("p")}
     assert len(sampled) == 20
 
 
-def test_a_reservoir_is_a_fair_sample_and_holds_the_newest_item() -> None:
+def test_a_reservoir_is_a_uniform_sample_and_holds_the_newest_item() -> None:
     counts = [0] * 100
     for seed in range(600):
         sampler: FairSampler[int] = FairSampler(seed)
         for n in range(100):
             sampler.offer("p", n, 1, START)
-        items = [each.item for each in sampler.take(1000)]
+        items = [sample.item for sample in sampler.take(1000)]
         assert len(items) == RESERVOIR_SIZE and items[-1] == 99
         for item in items[:-1]:
             counts[item] += 1
@@ -102,7 +102,7 @@
         assert abs(clock.age(measured - 77 * SECOND, measured + delay) - delay) < 250
 
 
-def test_a_clock_step_is_detected_and_a_delayed_report_is_not_taken_for_one() -> None:
+def test_a_clock_step_is_detected_and_a_delayed_report_is_not_mistaken_for_one() -> None:
     clock = ClockOffsetEstimator()
     for n in range(20):
         clock.age(START + n * SECOND, START + n * SECOND)
@@ -136,7 +136,7 @@
 
 
 def test_a_second_shift_soon_after_the_first_is_detected_as_soon() -> None:
-    # A detector that calibrated anew after each alarm would miss the end of a short burst.
+    # A detector that was calibrated again after each alarm would miss the end of a short burst.
     for seed in range(40):
         random, detector = Random(seed), CusumDetector(2_000)
         for _ in range(80):
@@ -200,9 +200,9 @@
     few, many = DecayingProportion(SECOND), DecayingProportion(SECOND)
     few.add(START, 5, 0)
     many.add(START, 5_000, 250)
-    one, two = few.estimate(), many.estimate()
-    assert one is not None and two is not None
-    assert one.value + one.error > 0.3 and two.value == pytest.approx(0.05) and two.error < 0.01
+    of_few, of_many = few.estimate(), many.estimate()
+    assert of_few is not None and of_many is not None
+    assert of_few.value + of_few.error > 0.3 and of_many.value == pytest.approx(0.05) and of_many.error < 0.01
 
 
 def test_quantiles_are_within_their_intervals_and_forget_old_windows() -> None:
@@ -218,7 +218,7 @@
     assert estimate is not None and estimate.value == pytest.approx(200, rel=0.02) and len(quantiles.sketches) <= 4
 
 
-def test_a_trend_tells_a_rising_from_a_falling_rate() -> None:
+def test_a_trend_distinguishes_a_rising_from_a_falling_rate() -> None:
     rising, falling = LinearTrend(SECOND), LinearTrend(SECOND)
     for n in range(30):
         rising.add(START + n * SECOND, 100.0 + 5 * n)
@@ -234,8 +234,8 @@
 # Credibility of reports
 
 
-class Fleet:
-    """Backends of one type with a true utilization; responses take 20 ms / (1 - utilization), with noise."""
+class SimulatedReporters:
+    """Backends of one instance type with known utilizations; responses take 20 ms / (1 - utilization), with noise."""
 
     def __init__(self, seed: int = 1, count: int = 12) -> None:
         self.random, self.credibility = Random(seed), CredibilityModel()
@@ -247,7 +247,7 @@
         observations = {}
         for name, utilization in self.true_utilization.items():
             attempts = round(self.random.gauss(self.traffic[name], 10))
-            report = self.reported.get(name, lambda b: b + self.random.gauss(0, 0.02))(utilization)
+            report = self.reported.get(name, lambda true: true + self.random.gauss(0, 0.02))(utilization)
             latency = 20 / (1 - utilization) * math.exp(self.random.gauss(0, 0.1))
             queue = None if name not in self.reported else 1.0
             observations[name] = LoadObservation(
@@ -257,51 +257,54 @@
 
 
 def test_a_slow_backend_that_underreports_is_doubted_and_estimated_by_observations() -> None:
-    fleet = Fleet()
+    reporters = SimulatedReporters()
     for _ in range(5):
-        fleet.step()
-    fleet.true_utilization["b3"], fleet.reported["b3"] = 0.92, lambda b: 0.2 * b + fleet.random.gauss(0, 0.01)
+        reporters.step()
+    reporters.true_utilization["b3"], reporters.reported["b3"] = (
+        0.92,
+        lambda true: 0.2 * true + reporters.random.gauss(0, 0.01),
+    )
     for _ in range(4):
-        assessed = fleet.step()
+        assessed = reporters.step()
     assert assessed["b3"].value < 0.2 and assessed["b3"].utilization > 0.75 and "later" in assessed["b3"].doubt.value
-    assert all(each.value > 0.8 for name, each in assessed.items() if name != "b3")
+    assert all(credibility.value > 0.8 for name, credibility in assessed.items() if name != "b3")
 
 
-def test_an_idle_backend_that_reports_full_load_is_doubted_until_evidence_clears_it() -> None:
-    fleet = Fleet()
-    fleet.true_utilization["b5"], fleet.reported["b5"] = 0.15, lambda _: 0.97 + fleet.random.gauss(0, 0.005)
+def test_an_idle_backend_that_reports_full_load_is_doubted_until_its_reports_agree_again() -> None:
+    reporters = SimulatedReporters()
+    reporters.true_utilization["b5"], reporters.reported["b5"] = 0.15, lambda _: 0.97 + reporters.random.gauss(0, 0.005)
     for _ in range(6):
-        assessed = fleet.step()
+        assessed = reporters.step()
     assert assessed["b5"].value < 0.2 and assessed["b5"].utilization < 0.45
-    del fleet.reported["b5"]
-    values = [fleet.step()["b5"].value for _ in range(12)]
+    del reporters.reported["b5"]
+    values = [reporters.step()["b5"].value for _ in range(12)]
     assert values[0] < 0.7 < values[-1]
 
 
 def test_stuck_reports_are_ignored_until_they_change_again() -> None:
-    fleet = Fleet()
-    fleet.reported["b2"] = lambda _: 0.41
+    reporters = SimulatedReporters()
+    reporters.reported["b2"] = lambda _: 0.41
     for n in range(14):
-        fleet.traffic["b2"] = 100.0 + 40 * (n % 5)
-        assessed = fleet.step()
+        reporters.traffic["b2"] = 100.0 + 40 * (n % 5)
+        assessed = reporters.step()
     assert assessed["b2"].value == 0 and "not changed" in assessed["b2"].doubt.value
-    assert assessed["b2"].utilization == pytest.approx(fleet.true_utilization["b2"], abs=0.25)
-    del fleet.reported["b2"]
-    assert fleet.step()["b2"].value > 0.5
+    assert assessed["b2"].utilization == pytest.approx(reporters.true_utilization["b2"], abs=0.25)
+    del reporters.reported["b2"]
+    assert reporters.step()["b2"].value > 0.5
 
 
 def test_constant_reports_under_constant_traffic_are_credible() -> None:
-    fleet = Fleet()
-    fleet.reported["b2"] = lambda _: round(fleet.true_utilization["b2"], 2)
+    reporters = SimulatedReporters()
+    reporters.reported["b2"] = lambda _: round(reporters.true_utilization["b2"], 2)
     for _ in range(14):
-        assessed = fleet.step()
+        assessed = reporters.step()
     assert assessed["b2"].value > 0.8
 
 
 def test_truthful_reporters_are_rarely_doubted() -> None:
     doubts = 0
     for seed in range(20):
-        fleet = Fleet(seed)
+        reporters = SimulatedReporters(seed)
         for _ in range(50):
-            doubts += sum(each.value < 0.5 for each in fleet.step().values())
+            doubts += sum(credibility.value < 0.5 for credibility in reporters.step().values())
     assert doubts < 0.005 * 20 * 50 * 12
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: what is recovered after a kill, from a corrupt file, with a full disk."""
+"""Tests of the durable store: recovery after a kill, from a corrupt file, and with a full disk."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-from onyxhead.store import store as module
+from onyxhead.store import store as store_module
 from onyxhead.store import writer
 from onyxhead.store.errors import StoreUnavailableError
 from onyxhead.store.store import Store
@@ -32,34 +32,34 @@
     filled_store(tmp_path).close()
     store = Store(tmp_path)
     assert store.recovered == (2, b"list", 100.0, {"p1": 3}, {"b1": 100.0})
-    (order,) = store.recent_decisions(5)
-    assert (order.round_number, order.causes, order.decisions) == (9, ["list: 2 changes"], [["withdraw", "b1"]])
+    (record,) = store.recent_decisions(5)
+    assert (record.round_number, record.causes, record.decisions) == (9, ["list: 2 changes"], [["withdraw", "b1"]])
     store.close()
 
 
-def test_every_incarnation_has_an_epoch_of_its_own_also_after_a_kill(tmp_path: Path) -> None:
-    text = (
+def test_every_incarnation_has_its_own_epoch_even_after_a_kill(tmp_path: Path) -> None:
+    program = (
         "import os, sys; from pathlib import Path; from onyxhead.store.store import Store\n"
         "print(Store(Path(sys.argv[1])).recovered.epoch, flush=True); os.kill(os.getpid(), 9)"
     )
     epochs = [
-        int(subprocess.run([sys.executable, "-c", text, str(tmp_path)], capture_output=True, check=False).stdout)
+        int(subprocess.run([sys.executable, "-c", program, str(tmp_path)], capture_output=True, check=False).stdout)
         for _ in range(3)
     ]
     assert epochs == [1, 2, 3]
 
 
-@pytest.mark.parametrize("place", [0, 30, 4096])
-def test_a_corrupt_file_is_put_aside_and_never_used(place: int, tmp_path: Path) -> None:
+@pytest.mark.parametrize("offset", [0, 30, 4096])
+def test_a_corrupt_file_is_renamed_and_never_used(offset: int, tmp_path: Path) -> None:
     filled_store(tmp_path).close()
     path = tmp_path / "onyxhead.db"
     with sqlite3.connect(path) as db:
         db.execute("pragma wal_checkpoint(truncate)")
-    body = bytearray(path.read_bytes())
-    body[place : place + 600] = b"\xa5" * 600
-    path.write_bytes(bytes(body))
-    for end in ("-wal", "-shm"):
-        path.with_name(path.name + end).unlink(missing_ok=True)
+    content = bytearray(path.read_bytes())
+    content[offset : offset + 600] = b"\xa5" * 600
+    path.write_bytes(bytes(content))
+    for suffix in ("-wal", "-shm"):
+        path.with_name(path.name + suffix).unlink(missing_ok=True)
     store = Store(tmp_path)
     assert store.recovered.endpoint_list is None and store.warnings and list(tmp_path.glob("*.broken-*"))
     store.close()
@@ -70,25 +70,25 @@
 ) -> None:
     store = Store(tmp_path)
     monkeypatch.setattr(writer, "RETRY_DELAY_S", 0.01)
-    real = store.writer.connect
+    connect = store.writer.connect
 
-    def full() -> sqlite3.Connection:
+    def fail_with_full_disk() -> sqlite3.Connection:
         raise sqlite3.OperationalError("database or disk is full")
 
-    store.writer.connect = full
+    store.writer.connect = fail_with_full_disk
     store.save_endpoint_list(8, b"kept")
-    until = time.monotonic() + 5
-    while not store.write_error and time.monotonic() < until:
+    deadline = time.monotonic() + 5
+    while not store.write_error and time.monotonic() < deadline:
         time.sleep(0.01)
     assert "full" in store.write_error
-    store.writer.connect = real
+    store.writer.connect = connect
     store.close()
-    again = Store(tmp_path)
-    assert again.recovered.endpoint_list == b"kept"
-    again.close()
+    reopened = Store(tmp_path)
+    assert reopened.recovered.endpoint_list == b"kept"
+    reopened.close()
 
 
-def test_a_folder_that_can_not_be_made_is_one_store_error(tmp_path: Path) -> None:
+def test_a_folder_that_can_not_be_created_raises_a_store_error(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
     with pytest.raises(StoreUnavailableError, match="file"):
         Store(tmp_path / "file" / "state")
@@ -105,36 +105,37 @@
     store.close()
 
 
-def test_a_file_of_a_version_before_decision_digests_gets_them(tmp_path: Path) -> None:
+def test_a_file_from_before_decision_digests_gets_a_digest_column(tmp_path: Path) -> None:
     filled_store(tmp_path).close()
     with sqlite3.connect(tmp_path / "onyxhead.db") as db:
         db.execute("alter table orders drop column digest")
     store = Store(tmp_path)
     store.append_decisions(2, 10, ["time"], [])
     store.close()
-    assert [each.intact for each in Store(tmp_path).recent_decisions(5)] == [True, None]
+    assert [record.intact for record in Store(tmp_path).recent_decisions(5)] == [True, None]
 
 
-PAGE, FRAME, HEAD = 4096, 4096 + 24, 32
+PAGE_BYTES, WAL_FRAME_BYTES, WAL_HEADER_BYTES = 4096, 4096 + 24, 32
 
 
-def test_a_kill_at_any_write_also_of_pruning_leaves_what_was_committed(
+def test_a_kill_at_any_write_even_of_pruning_keeps_committed_versions(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "PRUNE_INTERVAL", 4)
-    monkeypatch.setattr(module, "MAX_VERSIONS", 3)
+    monkeypatch.setattr(store_module, "PRUNE_INTERVAL", 4)
+    monkeypatch.setattr(store_module, "MAX_VERSIONS", 3)
     folder = tmp_path / "store"
     store = Store(folder, lambda: 100.0)
-    # While this connection is open nothing is copied from the log to the file, so the log holds every write.
+    # An open reader prevents checkpoints: nothing is copied from the write-ahead log to the database file, so the log
+    # holds every write.
     reader = sqlite3.connect(folder / "onyxhead.db")
     reader.execute("select count(*) from versions").fetchall()
     states: list[list[int]] = [[]]
     for number in range(1, 15):
         store.append_version(VersionRecord(number, 1, number, "time", {(0, f"b{number}"): 1}))
-        until = time.monotonic() + 5
+        deadline = time.monotonic() + 5
         while (rows := [record.number for record in store.load_versions()])[-1:] != [
             number
-        ] and time.monotonic() < until:
+        ] and time.monotonic() < deadline:
             time.sleep(0.002)
         time.sleep(0.02)
         states.append([record.number for record in store.load_versions()])
@@ -143,26 +144,28 @@
     reader.close()
     store.close()
     after = (folder / "onyxhead.db").read_bytes()
-    ends = [HEAD + FRAME * n for n in range((len(log) - HEAD) // FRAME + 1)]
-    last = -1
-    for end in sorted({0, 7, *ends, *(end + FRAME // 3 for end in ends[:-1])}):
-        found = recovered(tmp_path / f"log{end}", before, log[:end])
-        place = max(n for n, state in enumerate(states) if state == found)
-        assert place >= last, end
-        last = place
-    assert last == len(states) - 1
-    # Killed while the log is copied into the file: some pages are new, and the log is still whole.
-    for pages in range(0, len(after) // PAGE + 1):
-        mixed = after[: pages * PAGE] + before[pages * PAGE :]
-        assert recovered(tmp_path / f"copy{pages}", mixed, log) == states[-1]
-
-
-def recovered(folder: Path, body: bytes, log: bytes) -> list[int]:
+    frame_ends = [
+        WAL_HEADER_BYTES + WAL_FRAME_BYTES * n for n in range((len(log) - WAL_HEADER_BYTES) // WAL_FRAME_BYTES + 1)
+    ]
+    last_index = -1
+    for log_size in sorted({0, 7, *frame_ends, *(end + WAL_FRAME_BYTES // 3 for end in frame_ends[:-1])}):
+        numbers = recovered_versions(tmp_path / f"log{log_size}", before, log[:log_size])
+        state_index = max(n for n, state in enumerate(states) if state == numbers)
+        assert state_index >= last_index, log_size
+        last_index = state_index
+    assert last_index == len(states) - 1
+    # A kill during a checkpoint: some pages of the database file are new, and the log is still complete.
+    for pages in range(0, len(after) // PAGE_BYTES + 1):
+        mixed = after[: pages * PAGE_BYTES] + before[pages * PAGE_BYTES :]
+        assert recovered_versions(tmp_path / f"copy{pages}", mixed, log) == states[-1]
+
+
+def recovered_versions(folder: Path, database: bytes, log: bytes) -> list[int]:
     folder.mkdir()
-    (folder / "onyxhead.db").write_bytes(body)
+    (folder / "onyxhead.db").write_bytes(database)
     (folder / "onyxhead.db-wal").write_bytes(log)
-    again = Store(folder)
-    found = [record.number for record in again.load_versions()]
-    assert not again.warnings, again.warnings
-    again.close()
-    return found
+    reopened = Store(folder)
+    numbers = [record.number for record in reopened.load_versions()]
+    assert not reopened.warnings, reopened.warnings
+    reopened.close()
+    return numbers
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,8 +1,10 @@
-"""Stored data: a state folder written by version 0.2.0 (commit 37b6fef) is read and carried on by this version.
+"""Compatibility tests: this version reads, and continues to use, a state folder written by version 0.2.0.
 
-`tests/data/stored` holds what that version wrote. One controller and one agent are started on it as processes, asked,
-changed and ended; the tests compare their answers, and the rows and files that they left, with literal values. They
-fail if the name of a table, a column, a key or a file, or the form of a value, has changed."""
+`tests/data/stored` holds the state that version 0.2.0 (commit 37b6fef) wrote. One controller and one agent are started
+as processes on this state, queried, changed and stopped. The tests compare their answers, and the rows and files that
+they leave, with literal values: they fail if the name of a table, column, key or file, or the format of a value, has
+changed.
+"""
 
 from __future__ import annotations
 
@@ -30,26 +32,26 @@
 from onyxhead.series.time_series_store import TimeSeriesStore
 from tests.programs import COMMAND, Program, ask, until
 
-# The names of the code that are used here; all else is programs, files and rows.
+# Only these two functions use internal names of the code; everything else uses programs, files and rows.
 
 
-def write_series(folder: Path, at: float, figures: dict[str, float]) -> None:
-    TimeSeriesStore(folder).write(at, figures)
+def write_series(folder: Path, timestamp: float, values: dict[str, float]) -> None:
+    TimeSeriesStore(folder).write(timestamp, values)
 
 
-def lend(keep: Callable[[list[list[Any]]], None]) -> None:
-    """Controller c1 lends c2 a part of what it leaves of the cold backend b3, and has it written by `keep`."""
+def grant_budget(save_grants: Callable[[list[list[Any]]], None]) -> None:
+    """Let controller c1 grant c2 a part of its own unused budget for the cold backend b3, stored by `save_grants`."""
     stored = decode_grants([["c1", 3, "c2", "b3", 9_000_000, 2.5]])
-    budget = SlowStartBudget("c1", 0, stored, lambda grants: keep(encode_grants(grants)))
-    life = Incarnation("b3", 9_000_000)
-    budget.on_loads({life: IncarnationLoad(10.0, 2.0)})
-    budget.shortfalls["c2"] = {life: 1.0}
+    budget = SlowStartBudget("c1", 0, stored, lambda grants: save_grants(encode_grants(grants)))
+    incarnation = Incarnation("b3", 9_000_000)
+    budget.on_loads({incarnation: IncarnationLoad(10.0, 2.0)})
+    budget.shortfalls["c2"] = {incarnation: 1.0}
     budget.grant()
 
 
-STORED = Path(__file__).parent / "data" / "stored"
-JUST_NOW = "1796220100"
-"""The second of the stored list and of the withdrawal, in the place of which the current one is put."""
+STORED_DATA = Path(__file__).parent / "data" / "stored"
+STORED_TIME = "1796220100"
+"""Unix time of the stored endpoint list and withdrawal; `prepare_state` replaces it by the current time."""
 CONTROLLER = """
 name: "c1", zone: "north", zones: ["north"], listen: "127.0.0.1:0", state: "state"
 groups: {read: {prefix: "/r", latency_budget: 500ms, expiry: 1s, repeats: "retriable"}}
@@ -92,7 +94,7 @@
 
 @dataclass
 class Run:
-    """What one run on the stored state showed. `answers` by question; `rows` by table and `files` as they were left."""
+    """The results of one run on the stored state: answers by request, and the rows and files that were left."""
 
     answers: dict[str, Any] = field(default_factory=dict)
     rows: dict[str, list[tuple[Any, ...]]] = field(default_factory=dict)
@@ -100,23 +102,23 @@
     log: list[dict[str, Any]] = field(default_factory=list)
     files: dict[str, str] = field(default_factory=dict)
 
-    def kept(self, name: str) -> str:
-        """The value in the table meta."""
+    def meta_value(self, name: str) -> str:
+        """Return a value of the table `meta` as text."""
         return str(dict(self.rows["meta"])[name])
 
 
-def lay_out(folder: Path) -> None:
-    """The state folders of a controller and an agent that have ended, and the controller's settings."""
+def prepare_state(folder: Path) -> None:
+    """Create the state folders of a stopped controller and a stopped agent, and the controller's settings file."""
     for name in ("state", "state/series", "agent"):
         (folder / name).mkdir()
     with sqlite3.connect(folder / "state" / "onyxhead.db") as db:
-        db.executescript((STORED / "controller.sql").read_text().replace(JUST_NOW, str(int(time.time()))))
+        db.executescript((STORED_DATA / "controller.sql").read_text().replace(STORED_TIME, str(int(time.time()))))
     db.close()
     for name in ("busy.b1", "flows.~70312f72656164"):
         path = str(folder / "state" / "series" / f"{name}.wsp")
         whisper.create(path, [(10, 360), (60, 1440), (600, 4320)], xFilesFactor=0.0, aggregationMethod="average")
         whisper.update(path, 0.5, int(time.time()) - 20)
-    shutil.copy(STORED / "view.json", folder / "agent" / "view.json")
+    shutil.copy(STORED_DATA / "view.json", folder / "agent" / "view.json")
     (folder / "agent" / ".swap-view.json").write_text("left by a kill in the middle of a swap")
     user = asyncssh.generate_private_key("ssh-ed25519")
     user.write_private_key(folder / "user")
@@ -124,8 +126,8 @@
     (folder / "controller.rec").write_text(CONTROLLER % user.export_public_key("openssh").decode().strip())
 
 
-def netconf(folder: Path, port: int) -> dict[str, str]:
-    """Reads the startup datastore, cancels the commit that waits to be confirmed, and edits the startup datastore."""
+def use_netconf(folder: Path, port: int) -> dict[str, str]:
+    """Read the startup datastore, cancel the unconfirmed commit, and edit the startup datastore; return the answers."""
     with manager.connect(
         host="127.0.0.1",
         port=port,
@@ -136,20 +138,20 @@
         look_for_keys=False,
         timeout=10,
     ) as session:
-        told = {"startup": str(session.get_config("startup").xml)}
+        answers = {"startup": str(session.get_config("startup").xml)}
         base, fleet = "urn:ietf:params:xml:ns:netconf:base:1.0", "urn:onyxhead:fleet"
         cancel = f'<cancel-commit xmlns="{base}"><persist-id>key</persist-id></cancel-commit>'
-        told["cancelled"] = str(session.dispatch(etree.fromstring(cancel)).xml)
+        answers["cancelled"] = str(session.dispatch(etree.fromstring(cancel)).xml)
         entry = "<backend><id>b4</id><weight>0.75</weight></backend>"
         config = f'<config xmlns="{base}"><fleet xmlns="{fleet}">{entry}</fleet></config>'
         session.edit_config(config, target="startup")
-    return told
+    return answers
 
 
 @pytest.fixture(scope="module")
 def run(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Run]:
-    folder, made = tmp_path_factory.mktemp("stored"), Run()
-    lay_out(folder)
+    folder, result = tmp_path_factory.mktemp("stored"), Run()
+    prepare_state(folder)
     controller = Program(folder, *COMMAND, "serve", "controller.rec")
     agent: Program | None = None
     try:
@@ -157,56 +159,58 @@
         until(lambda: ask(port, "GET", "/v1/state").json()["version"] >= 5)
         until(lambda: ask(port, "GET", "/v1/fleet").json()["budget"])
         for target in ("state", "fleet", "orders", "tables/log", "config", "series", "series/busy.b1"):
-            made.answers[target] = ask(port, "GET", f"/v1/{target}").json()
-        made.answers["labelled"] = ask(port, "POST", "/v1/tables/show", {"version": "good"}).json()
+            result.answers[target] = ask(port, "GET", f"/v1/{target}").json()
+        result.answers["labelled"] = ask(port, "POST", "/v1/tables/show", {"version": "good"}).json()
         packet = {"to": "c1", "sender": "c2", "boot": "1", "kind": "ping", "number": 1, "about": "c1", "updates": []}
-        made.answers["gossip"] = ask(port, "POST", "/v1/fleet", {"packet": packet | {"version": 1}}).json()
-        made.answers["repeated"] = ask(
+        result.answers["gossip"] = ask(port, "POST", "/v1/fleet", {"packet": packet | {"version": 1}}).json()
+        result.answers["repeated"] = ask(
             port, "POST", "/v1/operate", {"id": "n1", "verb": "drain", "names": ["b1"]}
         ).json()
-        made.answers |= netconf(folder, controller.logged("netconf over ssh")["port"])
-        made.answers["uncordoned"] = ask(
+        result.answers |= use_netconf(folder, controller.logged("netconf over ssh")["port"])
+        result.answers["uncordoned"] = ask(
             port, "POST", "/v1/operate", {"id": "n3", "verb": "uncordon", "names": ["b4"], "by": "bob"}
         ).json()
         ask(port, "POST", "/v1/tables/label", {"version": 3, "label": "better"})
         ask(port, "POST", "/v1/fleet/members", {"name": "c9", "member": None})
         (folder / "agent.rec").write_text(AGENT % port)
         agent = Program(folder, *COMMAND, "agent", "agent.rec")
-        made.answers["agent started"] = agent.logged("agent started")
-        made.answers["agent joined"] = agent.logged("controller joined")
+        result.answers["agent started"] = agent.logged("agent started")
+        result.answers["agent joined"] = agent.logged("controller joined")
         agent.logged("table update applied", round=1)
         (folder / "list.tmp").write_text(LIST_9)
         (folder / "list.tmp").rename(folder / "list.json")
         until(lambda: '"withdrawn":{"b6":true}' in (folder / "agent" / "view.json").read_text())
         assert agent.end() == 0
         assert controller.end() == 0
-        made.log = controller.lines
+        result.log = controller.lines
         with sqlite3.connect(folder / "state" / "onyxhead.db") as db:
             for name, sql in db.execute("select name, sql from sqlite_master where type = 'table'").fetchall():
-                made.schema[name] = " ".join(sql[sql.index("(") + 1 : sql.rindex(")")].split())
-                made.rows[name] = db.execute(f"select * from {name} order by 1").fetchall()
+                result.schema[name] = " ".join(sql[sql.index("(") + 1 : sql.rindex(")")].split())
+                result.rows[name] = db.execute(f"select * from {name} order by 1").fetchall()
         db.close()
         for path in (*(folder / "agent").iterdir(), *(folder / "files").iterdir()):
-            made.files[path.name] = path.read_text()
-        yield made
+            result.files[path.name] = path.read_text()
+        yield result
     finally:
         for program in (agent, controller):
             if program is not None:
                 program.end()
 
 
-# The store, as it is read
+# Reading the store
 
 
 def test_a_new_incarnation_has_the_epoch_after_the_stored_one(run: Run) -> None:
     assert run.answers["state"]["epoch"] == 42
 
 
-def test_the_stored_endpoint_list_is_followed_under_stored_drains(run: Run) -> None:
+def test_the_stored_endpoint_list_and_drains_are_in_effect(run: Run) -> None:
     state = run.answers["state"]
     assert state["list"]["version"] == 8
-    told = {name: (own["address"], own["zone"], own["ready"]) for name, own in state["backends"].items()}
-    assert told == {
+    endpoints = {
+        name: (backend["address"], backend["zone"], backend["ready"]) for name, backend in state["backends"].items()
+    }
+    assert endpoints == {
         "b1": ("127.0.0.1:9001", "north", False),
         "b2": ("127.0.0.1:9002", "north", False),
         "b3": ("127.0.0.1:9003", "north", True),
@@ -214,11 +218,11 @@
     }
 
 
-def test_a_stored_withdrawal_of_an_endpoint_that_is_no_longer_listed_holds(run: Run) -> None:
+def test_a_stored_withdrawal_of_an_endpoint_that_is_no_longer_listed_stays_in_effect(run: Run) -> None:
     assert run.answers["gossip"]["news"]["withdrawn"] == ["b1", "b2", "b5"]
 
 
-def test_stored_operators_drains_and_cordons_hold(run: Run) -> None:
+def test_stored_drains_and_cordons_by_operators_stay_in_effect(run: Run) -> None:
     assert run.answers["state"]["operators"] == {"drained": ["b1"], "cordoned": ["b4"]}
 
 
@@ -236,7 +240,7 @@
     }
 
 
-def test_stored_orders_are_told_newest_first_and_found_undamaged(run: Run) -> None:
+def test_stored_decision_rounds_are_listed_newest_first_and_intact(run: Run) -> None:
     assert run.answers["orders"] == [
         {
             "number": 8,
@@ -277,10 +281,10 @@
     ]
 
 
-def test_a_stored_label_finds_the_lines_of_its_table_version(run: Run) -> None:
-    told = run.answers["labelled"]
-    assert told["version"] == 1
-    assert told["tables"] == {"0": {"b1": 1_000_000, "b2": 1_000_000, "b3": 100_000, "b4": 1_000_000}}
+def test_a_stored_label_selects_its_table_version(run: Run) -> None:
+    labelled = run.answers["labelled"]
+    assert labelled["version"] == 1
+    assert labelled["tables"] == {"0": {"b1": 1_000_000, "b2": 1_000_000, "b3": 100_000, "b4": 1_000_000}}
 
 
 def test_the_configuration_of_the_last_stored_commit_is_running(run: Run) -> None:
@@ -326,12 +330,12 @@
 
 def test_a_stored_unconfirmed_commit_is_cancelled_by_its_persist_id(run: Run) -> None:
     assert "<ok/>" in run.answers["cancelled"]
-    _, _, tree, user, what, until, back, persist = run.rows["commits"][-1]
-    assert (tree, user, what) == (f'{{"backend": [{{"drained": true, "id": "b2"}}], {TREE}', "op", "roll back")
-    assert (until, back, persist) == (0.0, 0, "")
+    _, _, tree, user, kind, confirm_by, rollback_to, persist_id = run.rows["commits"][-1]
+    assert (tree, user, kind) == (f'{{"backend": [{{"drained": true, "id": "b2"}}], {TREE}', "op", "roll back")
+    assert (confirm_by, rollback_to, persist_id) == (0.0, 0, "")
 
 
-def test_settings_that_are_as_stored_are_no_new_commit(run: Run) -> None:
+def test_unchanged_settings_make_no_new_commit(run: Run) -> None:
     assert [(row[0], row[4]) for row in run.rows["commits"]] == [
         (1, "settings"),
         (2, "commit"),
@@ -340,14 +344,14 @@
     ]
 
 
-def test_a_stored_fleet_member_is_known_beside_those_of_the_settings(run: Run) -> None:
+def test_a_stored_fleet_member_is_added_to_those_of_the_settings(run: Run) -> None:
     assert sorted(run.answers["fleet"]["members"]) == ["c1", "c2", "c9"]
 
 
-def test_a_stored_loan_is_still_lent_and_told_to_other_members(run: Run) -> None:
+def test_a_stored_budget_grant_stays_in_effect_and_is_sent_to_other_members(run: Run) -> None:
     assert run.answers["fleet"]["budget"] == {"b3": {"share": 0.5, "lent": {"c2": 2.5}, "borrowed": {}}}
-    (loan,) = run.answers["gossip"]["news"]["budget"]["loans"]
-    assert loan[:4] + loan[5:] == ["c1", 3, "c2", "b3", 2.5]
+    (grant,) = run.answers["gossip"]["news"]["budget"]["loans"]
+    assert grant[:4] + grant[5:] == ["c1", 3, "c2", "b3", 2.5]
 
 
 def test_a_proxy_keeps_its_stored_number(run: Run) -> None:
@@ -356,17 +360,17 @@
     assert ["assign", 5, 0, []] in next(line["decisions"] for line in run.log if line["event"] == "decision round sent")
 
 
-# The store, as it is written
+# Writing the store
 
 
 def test_the_store_has_the_tables_and_columns_of_the_stored_one(run: Run) -> None:
     assert run.schema == SCHEMA
 
 
-def test_a_heard_endpoint_list_is_written_with_all_its_fields(run: Run) -> None:
-    number, heard, version, body = run.rows["lists"][-1]
+def test_a_received_endpoint_list_is_written_with_all_its_fields(run: Run) -> None:
+    number, received_at, version, body = run.rows["lists"][-1]
     assert (number, version) == (3, 9)
-    assert abs(heard - time.time()) < 600
+    assert abs(received_at - time.time()) < 600
     assert body == (
         b'{"version": 9, "backends": [{"id": "b3", "address": "127.0.0.1:9003", "zone": "north", "kind": "std", '
         b'"state": "ready", "weight": 1.0, "started": 5.0}, {"id": "b6", "address": "127.0.0.1:9006", '
@@ -375,54 +379,54 @@
 
 
 def test_a_withdrawal_is_written_with_its_time(run: Run) -> None:
-    at = dict(run.rows["withdrawn"])["b6"]
-    assert abs(at - time.time()) < 600
+    withdrawn_at = dict(run.rows["withdrawn"])["b6"]
+    assert abs(withdrawn_at - time.time()) < 600
 
 
-def test_orders_are_written_under_the_new_epoch(run: Run) -> None:
+def test_decision_rounds_are_written_with_the_new_epoch(run: Run) -> None:
     written = [row for row in run.rows["orders"] if row[2] == 42]
-    number, _, _, turn, causes, decisions, digest = written[0]
-    assert (number, turn, len(digest)) == (9, 1, 32)
+    number, _, _, round_number, causes, decisions, digest = written[0]
+    assert (number, round_number, len(digest)) == (9, 1, 32)
     assert json.loads(causes)[-1] == "p1 joined"
     assert '["assign", 5, 0, []]' in decisions
     assert any('["withdraw", "b6"]' in row[5] for row in written)
 
 
 def test_table_versions_are_written_after_the_stored_ones(run: Run) -> None:
-    number, epoch, at, cause, changes, digest = run.rows["versions"][3]
+    number, epoch, created_at, cause, changes, digest = run.rows["versions"][3]
     assert (number, epoch, cause, changes) == (4, 42, "restart", '[[0,"b2",0],[0,"b3",0],[0,"b4",0]]')
-    assert abs(at / 10_000 - time.time()) < 600
+    assert abs(created_at / 10_000 - time.time()) < 600
     assert len(digest) == 32
 
 
 def test_an_incarnation_is_written_with_its_heartbeat(run: Run) -> None:
-    epoch, began, seen = run.rows["lives"][-1]
+    epoch, started_at, last_heartbeat_at = run.rows["lives"][-1]
     assert epoch == 42
-    assert 0 < seen - began < 600
+    assert 0 < last_heartbeat_at - started_at < 600
     assert dict(run.rows["meta"])["epoch"] == 42
 
 
-def test_a_label_is_written_beside_the_stored_one(run: Run) -> None:
-    assert run.kept("table labels") == '{"better": 3, "good": 1}'
+def test_a_new_label_is_written_with_the_stored_one(run: Run) -> None:
+    assert run.meta_value("table labels") == '{"better": 3, "good": 1}'
 
 
 def test_a_removed_fleet_member_is_written_as_null(run: Run) -> None:
-    assert run.kept("fleet members") == '{"c9": null}'
+    assert run.meta_value("fleet members") == '{"c9": null}'
 
 
 def test_an_edit_of_the_startup_datastore_is_written(run: Run) -> None:
-    assert run.kept("startup") == f'{{"backend": [{{"id": "b4", "weight": "0.75"}}], {TREE}'
+    assert run.meta_value("startup") == f'{{"backend": [{{"id": "b4", "weight": "0.75"}}], {TREE}'
 
 
-def test_the_tree_of_the_settings_is_written(run: Run) -> None:
-    assert run.kept("settings tree") == f"{{{TREE}"
+def test_the_configuration_tree_of_the_settings_is_written(run: Run) -> None:
+    assert run.meta_value("settings tree") == f"{{{TREE}"
 
 
 def test_operators_commands_are_written_after_the_stored_ones(run: Run) -> None:
-    kept = json.loads(run.kept("operators' orders"))
-    assert (kept["drained"], kept["cordoned"]) == (["b1"], [])
-    assert [number for number, _ in kept["done"]] == ["n1", "n2", "n3"]
-    assert kept["done"][-1][1] == {
+    operator_state = json.loads(run.meta_value("operators' orders"))
+    assert (operator_state["drained"], operator_state["cordoned"]) == (["b1"], [])
+    assert [number for number, _ in operator_state["done"]] == ["n1", "n2", "n3"]
+    assert operator_state["done"][-1][1] == {
         "asked": ["uncordon", ["b4"]],
         "backends": ["b4"],
         "by": "bob",
@@ -444,13 +448,13 @@
     ]
 
 
-def test_a_loan_is_written_before_it_is_made() -> None:
+def test_a_budget_grant_is_written_before_it_takes_effect() -> None:
     written: list[list[list[Any]]] = []
-    lend(written.append)
+    grant_budget(written.append)
     assert written == [[["c1", 3, "c2", "b3", 9_000_000, 2.5], ["c1", 4, "c2", "b3", 9_000_000, 1.0]]]
 
 
-# What else is on disk
+# Other files
 
 
 def test_an_agent_starts_from_its_stored_view_and_fencing_token(run: Run) -> None:
@@ -469,15 +473,15 @@
     )
 
 
-def test_an_agents_files_keep_their_names_and_what_a_killed_swap_left_is_cleared(run: Run) -> None:
+def test_an_agents_files_keep_their_names_and_temporary_files_of_a_killed_agent_are_removed(run: Run) -> None:
     assert sorted(run.files) == ["eds.json", "location-read.conf", "rds.json", "upstreams.conf", "view.json"]
 
 
-def test_stored_time_series_are_found_by_their_file_names(run: Run) -> None:
+def test_stored_time_series_are_listed_by_their_file_names(run: Run) -> None:
     assert run.answers["series"] == ["busy.b1", "flows.p1/read"]
-    course = run.answers["series/busy.b1"]
-    assert (course["name"], course["step"]) == ("busy.b1", 10)
-    assert [figure for figure in course["figures"] if figure is not None] == [0.5]
+    samples = run.answers["series/busy.b1"]
+    assert (samples["name"], samples["step"]) == ("busy.b1", 10)
+    assert [value for value in samples["figures"] if value is not None] == [0.5]
 
 
 def test_a_new_time_series_is_written_with_the_same_archives(tmp_path: Path) -> None:
@@ -485,15 +489,15 @@
     assert sorted(path.name for path in tmp_path.iterdir()) == ["busy.b1.wsp", "flows.~70312f72656164.wsp"]
     header = whisper.info(str(tmp_path / "busy.b1.wsp"))
     assert (header["aggregationMethod"], header["xFilesFactor"]) == ("average", 0.0)
-    archives = [(each["secondsPerPoint"], each["points"]) for each in header["archives"]]
+    archives = [(archive["secondsPerPoint"], archive["points"]) for archive in header["archives"]]
     assert archives == [(10, 360), (60, 1440), (600, 4320)]
 
 
 def test_a_stored_authority_lists_what_it_issued() -> None:
-    """The index of a folder in which one certificate was issued, renewed and revoked, and another issued."""
-    told = CliRunner().invoke(command, ["keys", "show", str(STORED / "keys"), "--json"])
-    assert told.exit_code == 0, told.output
-    assert json.loads(told.output) == [
+    """Check the index of a folder with one certificate that was renewed, and another that was revoked."""
+    result = CliRunner().invoke(command, ["keys", "show", str(STORED_DATA / "keys"), "--json"])
+    assert result.exit_code == 0, result.output
+    assert json.loads(result.output) == [
         {
             "name": "c1",
             "hosts": ["127.0.0.1"],
@@ -523,12 +527,12 @@
 
 def test_an_authority_writes_its_index_and_files(tmp_path: Path) -> None:
     folder = str(tmp_path)
-    for words in (
+    for arguments in (
         ["init", folder],
         ["issue", folder, "c1", "--role", "controller", "--host", "127.0.0.1"],
         ["revoke", folder, "c1"],
     ):
-        assert CliRunner().invoke(command, ["keys", *words]).exit_code == 0
+        assert CliRunner().invoke(command, ["keys", *arguments]).exit_code == 0
     assert sorted(path.name for path in tmp_path.iterdir()) == [
         "authorities.pem",
         "authority.crt",
@@ -545,9 +549,9 @@
     assert list(issued) == ["hosts", "role", "serial", "until"] and list(index["revoked"]) == [issued["serial"]]
 
 
-def test_a_certificate_names_the_role_in_its_unit_and_the_peer_in_its_common_name(tmp_path: Path) -> None:
-    for words in (["init", str(tmp_path)], ["issue", str(tmp_path), "p1", "--role", "agent"]):
-        assert CliRunner().invoke(command, ["keys", *words]).exit_code == 0
+def test_a_certificate_holds_the_role_as_its_unit_and_the_peer_as_its_common_name(tmp_path: Path) -> None:
+    for arguments in (["init", str(tmp_path)], ["issue", str(tmp_path), "p1", "--role", "agent"]):
+        assert CliRunner().invoke(command, ["keys", *arguments]).exit_code == 0
     certificate = x509.load_pem_x509_certificate((tmp_path / "p1.crt").read_bytes())
     assert certificate.subject.rfc4514_string() == "CN=p1,OU=agent"
     authority = x509.load_pem_x509_certificate((tmp_path / "authorities.pem").read_bytes())
