--- a/onyxhead/intake/change_detection.py
+++ b/onyxhead/intake/change_detection.py
@@ -33,6 +33,7 @@
 OVERSHOOT = 1.166
 """Mean amount by which a sum exceeds the threshold when it crosses it, in Siegmund's approximation."""
 MAX_THRESHOLD = 60.0
+"""Upper bound of the search for the threshold."""
 BISECTION_STEPS = 60
 
 
--- a/onyxhead/intake/credibility.py
+++ b/onyxhead/intake/credibility.py
@@ -24,9 +24,9 @@
 FALSE_REPORT_OFFSET = 1.2
 """Expected absolute log ratio of observed to implied response time under a false report."""
 MAX_LOG_ODDS = 6.0
-"""Bound on the accumulated log odds, in both directions."""
+"""Bound on the absolute value of the accumulated log odds."""
 MAX_EVIDENCE = 2.0
-"""Bound on the log odds that one interval adds, in both directions."""
+"""Bound on the absolute value of the log odds that one interval adds."""
 PRIOR_LOG_ODDS = -2.5
 """Log odds of a false report before any evidence: odds of about one to twelve."""
 EVIDENCE_DECAY = 0.85
@@ -125,7 +125,7 @@
         """Estimated response time of an idle backend, by instance type."""
 
     def forget(self, backend: str) -> None:
-        """Drop the evidence on a backend, since it says nothing about a new incarnation with the same id."""
+        """Drop the evidence on a backend, since it does not apply to a new incarnation with the same id."""
         self.histories.pop(backend, None)
 
     def assess(self, observations: Mapping[str, LoadObservation]) -> dict[str, Credibility]:
--- a/onyxhead/intake/load_estimator.py
+++ b/onyxhead/intake/load_estimator.py
@@ -127,8 +127,10 @@
         self.instance_types: dict[str, str] = {}
         self.backends: dict[str, BackendLoad] = {}
         self.retired: OrderedDict[tuple[str, str], None] = OrderedDict()
+        """Replaced incarnations, whose late reports are ignored, the one replaced longest ago first."""
         self.credibility = CredibilityModel()
         self.demand: dict[tuple[str, str], LinearTrend] = {}
+        """Request rates by proxy and traffic group."""
         self.changes: list[LoadChange] = []
         self.counts: Counter[str] = Counter()
 
--- a/onyxhead/store/decision_format.py
+++ b/onyxhead/store/decision_format.py
@@ -21,7 +21,7 @@
 
 
 class DecisionKind(StrEnum):
-    """The kind of a decision, as its first element names it."""
+    """The kind of an encoded decision, which is the first element of its list."""
 
     WITHDRAW = "withdraw"
     READMIT = "readmit"
--- a/onyxhead/store/schema.py
+++ b/onyxhead/store/schema.py
@@ -2,9 +2,9 @@
 
 Names of tables and columns are part of the stored format and never change. The code uses other names for some of them:
 
-============================  =========================================================
+============================  ========================================================================
 stored                        meaning in the code
-============================  =========================================================
+============================  ========================================================================
 `lists`, `heard`              endpoint lists, time at which one was received
 `proxies.turn`                last decision round that a proxy acknowledged
 `orders`, `turn`              records of decision rounds, number of the round
@@ -12,7 +12,7 @@
 `commits.what`, `until`       kind of a commit, time by which it must be confirmed
 `commits.back`, `persist`     number of the commit to roll back to, persist id
 `versions.at`                 time at which a table version was made, in ticks of the controller's clock
-============================  =========================================================
+============================  ========================================================================
 
 All other times are Unix times in seconds.
 """
--- a/onyxhead/store/store.py
+++ b/onyxhead/store/store.py
@@ -56,7 +56,7 @@
         return self.writer.dropped
 
     def close(self) -> None:
-        """Write all pending statements, and stop the writer thread. What can't be written is later."""
+        """Write all pending statements, and stop the writer thread. Statements that can't be written are lost."""
         self.writer.close()
 
     # Written in the background
@@ -90,9 +90,9 @@
         if record.number % PRUNE_INTERVAL == 0:
             self._submit(schema.PRUNE_VERSIONS, record.number - 2 * MAX_VERSIONS)
 
-    def append_audit_entry(self, user: str, session: int, what: str, result: str) -> None:
-        """Append an operator's command (`what`) and its result to the audit log."""
-        self._submit(schema.INSERT_AUDIT_ENTRY, self.clock(), user, session, what, result)
+    def append_audit_entry(self, user: str, session: int, action: str, result: str) -> None:
+        """Append an operator's action and its result to the audit log; `session` 0 means no session."""
+        self._submit(schema.INSERT_AUDIT_ENTRY, self.clock(), user, session, action, result)
 
     def record_heartbeat(self, epoch: int) -> None:
         """Record that this incarnation is running; incident reports show a period without heartbeats as a gap."""
--- a/onyxhead/store/writer.py
+++ b/onyxhead/store/writer.py
@@ -17,7 +17,9 @@
 MAX_PENDING = 10_000
 """Maximum number of statements that wait for the disk; further ones are dropped."""
 RETRY_DELAY_S = 1.0
+"""Delay before a failed batch is written again."""
 CLOSE_TIMEOUT_S = 10.0
+"""How long `close` waits for the thread to write the queued statements."""
 
 
 class Statement(NamedTuple):
@@ -49,7 +51,7 @@
         self._queue.put(Statement(sql, values))
 
     def close(self) -> None:
-        """Write all queued statements, and stop the thread. What can't be written is lost."""
+        """Write all queued statements, and stop the thread. Statements that can't be written are lost."""
         self._queue.put(None)
         self._thread.join(CLOSE_TIMEOUT_S)
 
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -22,13 +22,15 @@
 NO_SAMPLES = WeightedSum(0.0, 0.0)
 
 
-def encode_body(*reports: dict[str, Any]) -> bytes:
+def body(*reports: dict[str, Any]) -> bytes:
+    """Return the body with which a backend sends these reports."""
     return json.dumps(reports).encode()
 
 
-def make_report(
+def report(
     backend: str, at: int, boot: str = "1", queue: float | None = 2.0, latency: float | None = 20.0, **load: Any
 ) -> dict[str, Any]:
+    """Return a load report; `at` is the time of measurement in ticks, `load` its further load values."""
     named = {name: value for name, value in (("queue", queue), ("latency_ms", latency)) if value is not None}
     return {"backend": backend, "boot": boot, "at": at / SECOND, "load": load | {"named_metrics": named}}
 
@@ -50,9 +52,9 @@
     ],
 )
 def test_impossible_figures_are_left_out_and_the_rest_of_the_report_is_used(load: dict[str, Any]) -> None:
-    faulty_report = make_report("b1", START, cpu_utilization=0.5, rps_fractional=10.0)
+    faulty_report = report("b1", START, cpu_utilization=0.5, rps_fractional=10.0)
     faulty_report["load"] |= load
-    reports, faulty = decode_reports(encode_body(faulty_report, make_report("b2", START, cpu_utilization=0.4)))
+    reports, faulty = decode_reports(body(faulty_report, report("b2", START, cpu_utilization=0.4)))
     assert faulty == 1 and [decoded.backend for decoded in reports] == ["b1", "b2"]
     decoded_load = reports[0].load
     for value in (
@@ -65,10 +67,10 @@
         assert value is None or (math.isfinite(value) and 0 <= value < 1e6)
 
 
-@pytest.mark.parametrize("body", [b"", b"{}", b"nan", b"[1, 2", b'"x"', b"\xff"])
-def test_a_body_that_is_no_list_is_rejected(body: bytes) -> None:
+@pytest.mark.parametrize("text", [b"", b"{}", b"nan", b"[1, 2", b'"x"', b"\xff"])
+def test_a_body_that_is_no_list_is_rejected(text: bytes) -> None:
     with pytest.raises(MalformedReportError):
-        decode_reports(body)
+        decode_reports(text)
 
 
 @pytest.mark.parametrize(
@@ -82,7 +84,7 @@
     ],
 )
 def test_a_malformed_report_is_dropped_and_the_others_are_used(part: str) -> None:
-    reports, faulty = decode_reports(b"[" + part.encode() + b"," + encode_body(make_report("b1", START))[1:])
+    reports, faulty = decode_reports(b"[" + part.encode() + b"," + body(report("b1", START))[1:])
     assert [decoded.backend for decoded in reports] == ["b1"] and faulty == 1
     with pytest.raises(MalformedReportError):
         decode_reports(b'[{"backend": "b", "boot": "1", "at": NaN, "load": {}}]')
@@ -90,7 +92,7 @@
 
 def test_unknown_fields_are_ignored() -> None:
     reports, faulty = decode_reports(
-        encode_body(make_report("b1", START, mem_utilization=3.0, request_cost={"a": 1}) | {"more": [1]})
+        body(report("b1", START, mem_utilization=3.0, request_cost={"a": 1}) | {"more": [1]})
     )
     assert len(reports) == 1 and not faulty
 
@@ -117,7 +119,7 @@
                 continue
             at = self.now + self.clock_offset[name]
             reports = [
-                make_report(
+                report(
                     name,
                     at - 90 * n,
                     self.incarnations[name],
@@ -127,7 +129,7 @@
                 )
                 for n in range(per_body)
             ]
-            self.decoder.offer(name, encode_body(*reports), self.now)
+            self.decoder.offer(name, body(*reports), self.now)
         self.estimator.on_reports(self.now, self.decoder.decode(self.now, self.budget))
 
     def run(self, seconds: float) -> None:
@@ -162,11 +164,7 @@
         1.3
         * share
         * 20
-        * len(
-            encode_body(
-                *[make_report("b1", START, "1", latency=12.345678, rps_fractional=444.4, cpu_utilization=0.512345)] * 10
-            )
-        )
+        * len(body(*[report("b1", START, "1", latency=12.345678, rps_fractional=444.4, cpu_utilization=0.512345)] * 10))
     )
     simulation.run(4)
     assert simulation.error() < 0.05
@@ -184,9 +182,7 @@
 def test_late_reports_of_a_replaced_incarnation_are_ignored() -> None:
     simulation = SimulatedBackends(count=3)
     simulation.run(3)
-    late_body = encode_body(
-        *[make_report("b1", simulation.now + simulation.clock_offset["b1"], "1", cpu_utilization=0.99)] * 50
-    )
+    late_body = body(*[report("b1", simulation.now + simulation.clock_offset["b1"], "1", cpu_utilization=0.99)] * 50)
     simulation.incarnations["b1"], simulation.true_utilization["b1"] = "2", 0.1
     simulation.run(0.5)
     assert simulation.estimator.utilization(simulation.now, "b1") == pytest.approx(0.1, abs=0.05)
@@ -204,7 +200,7 @@
 def test_reports_on_unknown_backends_are_counted_and_not_stored() -> None:
     simulation = SimulatedBackends(count=3)
     for n in range(3_000):
-        simulation.decoder.offer(f"x{n % 40}", encode_body(make_report(f"x{n}", START)), simulation.now)
+        simulation.decoder.offer(f"x{n % 40}", body(report(f"x{n}", START)), simulation.now)
         if n % 100 == 0:
             simulation.tick(1)
     assert (
@@ -221,10 +217,7 @@
     late_bodies = []
     for n in range(5):
         late_bodies.append(
-            encode_body(
-                *[make_report("b0", simulation.now + simulation.clock_offset["b0"] + n * 1000, cpu_utilization=1.0)]
-                * 10
-            )
+            body(*[report("b0", simulation.now + simulation.clock_offset["b0"] + n * 1000, cpu_utilization=1.0)] * 10)
         )
     simulation.run(2.5)
     for late_body in late_bodies:
