--- a/onyxhead/configuration_language/evaluator.py
+++ b/onyxhead/configuration_language/evaluator.py
@@ -1,4 +1,4 @@
-"""Evaluates terms to plain values: resolves names, unifies, applies defaults, and reports all errors at once."""
+"""Evaluates terms to plain values: resolves references, unifies values, applies defaults and reports all errors."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 class Scope:
-    """The members of a record and of those around it, in which a name is looked up."""
+    """The members that a reference can name: those of a record and, through `enclosing`, of the records around it."""
 
     def __init__(self, members: Mapping[str, list[tuple[Term, Scope]]], enclosing: Scope | None) -> None:
         self.members, self.enclosing = members, enclosing
 
     def find(self, name: str) -> list[tuple[Term, Scope]] | None:
-        """The terms of the innermost member of this name, each with its own scope."""
+        """Return the terms of the innermost member of this name with the scope of each, None if there is none."""
         scope: Scope | None = self
         while scope is not None:
             if name in scope.members:
@@ -53,12 +53,12 @@
         return None
 
     def names(self) -> list[str]:
-        """All names that can be looked up here, the innermost first."""
+        """Return all names that `find` knows, those of the innermost record first."""
         return [*self.members, *(self.enclosing.names() if self.enclosing else ())]
 
 
 class PlainRecord(dict[str, Any]):
-    """A record's plain values by name, and the position of each."""
+    """The plain values of a record by name, with their source positions."""
 
     def __init__(self, position: SourcePosition) -> None:
         super().__init__()
@@ -66,7 +66,7 @@
         self.positions: dict[str, SourcePosition] = {}
 
     def position_of(self, *path: str) -> SourcePosition:
-        """The position of a value below this record, or of the nearest record that contains it."""
+        """Return the position of the value at a path below this record, or else of the nearest enclosing record."""
         value: Any = self
         position = self.position
         for part in path:
@@ -77,7 +77,7 @@
 
 
 class Evaluator:
-    """Evaluates terms and collects the diagnostics."""
+    """Evaluates terms and collects the diagnostics of errors in them."""
 
     def __init__(self) -> None:
         self.unifier = Unifier()
@@ -85,11 +85,11 @@
 
     @property
     def diagnostics(self) -> list[Diagnostic]:
-        """All errors found so far."""
+        """Return all errors found so far."""
         return self.unifier.diagnostics
 
     def evaluate(self, term: Term, scope: Scope, closed: bool) -> Value:
-        """The value of a term; `closed` is whether records in it take no further fields."""
+        """Return the value of a term. With `closed`, records in the term allow no fields but those they list."""
         match term:
             case Literal():
                 return Scalar(term.position, term.kind, literal=term)
@@ -108,7 +108,7 @@
                 return Disjunction(term.position, choices)
             case ListTerm():
                 items = tuple(self.evaluate(item, scope, closed) for item in term.items)
-                item_type = self._lazily(term.item_type, scope, closed) if term.item_type else None
+                item_type = self._deferred(term.item_type, scope, closed) if term.item_type else None
                 return ListValue(term.position, items, item_type)
             case Reference():
                 return self._resolve(term, scope)
@@ -117,14 +117,14 @@
         raise AssertionError(term)
 
     def evaluate_struct(self, struct: StructTerm, enclosing: Scope | None, closed: bool) -> Value:
-        """The value of a record; members of the same name are unified."""
+        """Return the value of a record, with members of the same name unified."""
         terms: dict[str, list[tuple[Term, Scope]]] = {}
         scope = Scope(terms, enclosing)
         for member in struct.members:
             terms.setdefault(member.name, []).append((member.value, scope))
         members: dict[str, Field] = {}
         for member in struct.members:
-            value = self._evaluate_once(member.value, scope, closed or member.name.startswith("#"))
+            value = self._evaluate_acyclic(member.value, scope, closed or member.name.startswith("#"))
             known = members.get(member.name)
             if known is not None:
                 value = self.unifier.unify(known.value, value, member.name)
@@ -134,23 +134,25 @@
         return Record(struct.position, members, pattern_value, closed and not struct.open)
 
     def evaluate_all(self, terms: list[tuple[Term, Scope]], name: str) -> Value:
-        """The unified value of all terms that a name stands for."""
+        """Return the unified value of the terms of all members that share a name."""
         closed = name.startswith("#")
-        value = self._evaluate_once(*terms[0], closed)
+        value = self._evaluate_acyclic(*terms[0], closed)
         for term, scope in terms[1:]:
-            value = self.unifier.unify(value, self._evaluate_once(term, scope, closed), name)
+            value = self.unifier.unify(value, self._evaluate_acyclic(term, scope, closed), name)
         return value
 
-    def _evaluate_once(self, term: Term, scope: Scope, closed: bool) -> Value:
+    def _evaluate_acyclic(self, term: Term, scope: Scope, closed: bool) -> Value:
+        """Return the value of a term; reports a term that refers to itself, which could not be evaluated."""
         if id(term) in self.evaluating:
-            return self.unifier.report(term.position, "is made of itself")
+            return self.unifier.report(term.position, "the value refers to itself")
         self.evaluating.append(id(term))
         try:
             return self.evaluate(term, scope, closed)
         finally:
             self.evaluating.pop()
 
-    def _lazily(self, term: Term, scope: Scope, closed: bool) -> Callable[[], Value]:
+    def _deferred(self, term: Term, scope: Scope, closed: bool) -> Callable[[], Value]:
+        """Return a function that evaluates the term when it is first called."""
         return cache(lambda: self.evaluate(term, scope, closed))
 
     def _resolve(self, reference: Reference, scope: Scope) -> Value:
@@ -160,7 +162,7 @@
             if len(reference.path) == 1 and name in KIND_DESCRIPTIONS:
                 return Scalar(reference.position, name)
             similar = suggest(name, [*scope.names(), *KIND_DESCRIPTIONS])
-            return self.unifier.report(reference.position, f"nothing is called {name!r} here{similar}")
+            return self.unifier.report(reference.position, f"unknown name {name!r}{similar}")
         value = self.evaluate_all(terms, name)
         for part in reference.path[1:]:
             if isinstance(value, Disjunction):
@@ -175,18 +177,18 @@
         if isinstance(value, Invalid):
             return value
         names = list(value.members) if isinstance(value, Record) else []
-        text = f"{'.'.join(reference.path)}: no {part!r} there{suggest(part, names)}"
+        text = f"{'.'.join(reference.path)}: there is no field {part!r}{suggest(part, names)}"
         return self.unifier.report(reference.position, text)
 
     def to_plain(self, value: Value, name: str, enclosing: SourcePosition) -> Any:  # noqa: ANN401  # any plain value
-        """The plain value once defaults are applied; reports what is then still missing at `enclosing`."""
+        """Return the plain value with defaults applied; a value that is still unknown is reported at `enclosing`."""
         if isinstance(value, Disjunction):
             value = _apply_default(value)
         match value:
             case Disjunction():
-                self.unifier.report(enclosing, f"{name!r} is missing: {describe_choices(value)}")
+                self.unifier.report(enclosing, f"{name!r} is missing; expected {describe_choices(value)}")
             case Scalar(literal=None):
-                self.unifier.report(enclosing, f"{name!r} is missing: {describe(value)}")
+                self.unifier.report(enclosing, f"{name!r} is missing; expected {describe(value)}")
             case Scalar(literal=literal) if literal is not None:
                 return float(literal.value) if value.kind in ("number", "rate") else literal.value
             case ListValue():
@@ -210,7 +212,7 @@
 
 
 def _apply_default(disjunction: Disjunction) -> Value:
-    """The default, or the only choice if that is a constant; else the disjunction stays."""
+    """Return the default, or the only choice if that is a constant; otherwise the disjunction itself."""
     defaults = [choice for default, choice in disjunction.choices if default]
     if defaults:
         return defaults[0]
--- a/onyxhead/configuration_language/loader.py
+++ b/onyxhead/configuration_language/loader.py
@@ -1,4 +1,4 @@
-"""Reads settings files and those that they include, and evaluates them under a definition."""
+"""Reads settings files with their includes, and evaluates them against a definition of the schema."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 @contextlib.contextmanager
 def _garbage_collection_paused() -> Iterator[None]:
-    """All terms live until the reading ends; the collector would walk those of a large file again and again."""
+    """Pause garbage collection while files are read.
+
+    All terms stay in use until then, so the collector would only walk the terms of a large file repeatedly.
+    """
     was_enabled = gc.isenabled()
     gc.disable()
     try:
@@ -37,7 +40,7 @@
 
 
 class _FileState(NamedTuple):
-    """What shows that a file was replaced or written."""
+    """File attributes that differ once a file was replaced or written to."""
 
     inode: int
     modified_ns: int
@@ -48,7 +51,7 @@
         status = path.stat()
         return cls(status.st_ino, status.st_mtime_ns, status.st_size)
 
-    def still_holds(self, path: Path) -> bool:
+    def is_unchanged(self, path: Path) -> bool:
         try:
             return _FileState.of(path) == self
         except OSError:
@@ -56,7 +59,7 @@
 
 
 class _Loader:
-    """Reads a file and its includes, each once."""
+    """Reads a file and all its includes, each file once."""
 
     def __init__(self) -> None:
         self.files: list[SourceFile] = []
@@ -69,7 +72,7 @@
         if resolved in includers:
             cycle = (*includers[includers.index(resolved) :], resolved)
             names = " -> ".join(file.name for file in cycle)
-            self.diagnostics.append(Diagnostic(included_at, f"includes go round: {names}"))
+            self.diagnostics.append(Diagnostic(included_at, f"circular include: {names}"))
             return
         if resolved in self.visited:
             return
@@ -85,7 +88,7 @@
         try:
             state = self.states[path] = _FileState.of(path)
             if state.size > MAX_FILE_BYTES:
-                raise OSError(f"over {MAX_FILE_BYTES} bytes")
+                raise OSError(f"larger than {MAX_FILE_BYTES} bytes")
             return parse(path.read_bytes().decode(), str(path))
         except OSError as error:
             reason = error.strerror or error
@@ -98,16 +101,19 @@
         return None
 
     def check_unchanged(self) -> None:
-        """Reports files that changed while others were read: nobody ever wrote them to be used together."""
+        """Report files that changed while others were read: the contents read might not belong together."""
         for path, state in self.states.items():
-            if not state.still_holds(path):
+            if not state.is_unchanged(path):
                 position = SourcePosition(str(path), 1, 1)
                 self.diagnostics.append(Diagnostic(position, "changed while it was read"))
 
 
 @_garbage_collection_paused()
 def load_files(path: Path) -> list[SourceFile]:
-    """The file and all that it includes, each once, the including one first. Raises InvalidConfigurationError."""
+    """Return the file and all files that it includes, each once; a file precedes its includes.
+
+    Raises InvalidConfigurationError.
+    """
     loader = _Loader()
     loader.load(path, SourcePosition(str(path), 1, 1), ())
     loader.check_unchanged()
@@ -118,15 +124,15 @@
 
 @_garbage_collection_paused()
 def evaluate_files(files: list[SourceFile], definitions: str, name: str) -> PlainRecord:
-    """The plain values of all files together, as the definition of this name wants them.
+    """Return the plain values of all files together, checked against the definition of this name.
 
-    Raises InvalidConfigurationError.
+    `definitions` is the text of the schema. Raises InvalidConfigurationError.
     """
     evaluator = Evaluator()
-    configuration = evaluator.evaluate_struct(_joined(files), None, False)
-    wanted = evaluator.evaluate_all(_terms_of(definitions)[name], name)
+    configuration = evaluator.evaluate_struct(_merge_files(files), None, False)
+    definition = evaluator.evaluate_all(_definition_terms(definitions)[name], name)
     assert isinstance(configuration, Record)
-    unified = evaluator.unifier.unify(wanted, configuration)
+    unified = evaluator.unifier.unify(definition, configuration)
     if evaluator.diagnostics:
         raise InvalidConfigurationError(evaluator.diagnostics)
     plain = evaluator.to_plain(unified, name, files[0].struct.position)
@@ -136,15 +142,15 @@
     return plain
 
 
-def _joined(files: list[SourceFile]) -> StructTerm:
-    """All files as one record."""
+def _merge_files(files: list[SourceFile]) -> StructTerm:
+    """Return one record with the members of all files."""
     members = tuple(member for file in files for member in file.struct.members)
     pattern_value = next((file.struct.pattern_value for file in files if file.struct.pattern_value), None)
     return StructTerm(files[0].struct.position, members, pattern_value)
 
 
-def _terms_of(definitions: str) -> dict[str, list[tuple[Term, Scope]]]:
-    """The built-in definitions by name, in a scope in which they can refer to each other."""
+def _definition_terms(definitions: str) -> dict[str, list[tuple[Term, Scope]]]:
+    """Return the terms of a schema's definitions by name, in a scope in which they can refer to each other."""
     terms: dict[str, list[tuple[Term, Scope]]] = {}
     scope = Scope(terms, None)
     for member in parse(definitions, BUILT_IN).struct.members:
--- a/onyxhead/configuration_language/terms.py
+++ b/onyxhead/configuration_language/terms.py
@@ -1,4 +1,4 @@
-"""The terms that a text in the configuration language consists of, each with its position, and the diagnostics."""
+"""The terms (syntax tree nodes) of the configuration language with their source positions, and the diagnostics."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 BUILT_IN = "(built in)"
-"""Stands in place of a file name in positions inside the program's own definitions."""
+"""The file name in positions inside the definitions that ship with the program."""
 
 
 class SourcePosition(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 class InvalidConfigurationError(Exception):
-    """The configuration has errors; holds all of them, in the order of their positions."""
+    """Raised for a configuration with errors; `diagnostics` holds all of them, ordered by position."""
 
     def __init__(self, diagnostics: list[Diagnostic]) -> None:
         self.diagnostics = sorted(set(diagnostics))
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Term:
-    """Anything that stands for a value."""
+    """Base class of all terms: expressions that evaluate to a value, and members of records."""
 
     position: SourcePosition
 
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True)
 class Alternatives(Term):
-    """One of several terms (`a | b`), each with whether it is the default (`*a`)."""
+    """A choice between terms (`a | b`). Each of `choices` is a flag, true for the default (`*a`), and a term."""
 
     choices: tuple[tuple[bool, Term], ...]
 
@@ -85,14 +85,14 @@
 
 @dataclass(frozen=True)
 class Reference(Term):
-    """A name of the enclosing records, or a path below one."""
+    """A name looked up in the enclosing records, optionally followed by the names of members below it (`a.b`)."""
 
     path: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class ListTerm(Term):
-    """A list: its first items, and what further items must be (None if there may be none)."""
+    """A list: its first items, and the term that further items must satisfy (None if no further items are allowed)."""
 
     items: tuple[Term, ...]
     item_type: Term | None
@@ -109,7 +109,10 @@
 
 @dataclass(frozen=True)
 class StructTerm(Term):
-    """A record. `pattern_value` is what members with any other name must be; `open` allows them unchecked."""
+    """A record.
+
+    Members with names that are not listed must satisfy `pattern_value`, if there is one; `open` allows them unchecked.
+    """
 
     members: tuple[Member, ...]
     pattern_value: Term | None = None
--- a/onyxhead/configuration_language/unification.py
+++ b/onyxhead/configuration_language/unification.py
@@ -1,6 +1,6 @@
-"""Unification: the value that satisfies two values at once.
+"""Unification: computes the value that satisfies the constraints of two values.
 
-Unifying never chooses: where two values disagree, the diagnostic names both positions.
+Neither value takes precedence: where they conflict, the diagnostic names the positions of both.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 
 
 class Unifier:
-    """Unifies values and collects the diagnostics."""
+    """Unifies values and collects the diagnostics of conflicts."""
 
     def __init__(self) -> None:
         self.diagnostics: list[Diagnostic] = []
 
     def report(self, position: SourcePosition, text: str) -> Invalid:
-        """Adds a diagnostic; the result takes the place of the value."""
+        """Add a diagnostic and return the value that replaces the faulty one."""
         self.diagnostics.append(Diagnostic(position, text))
         return Invalid(position)
 
     def unify(self, first: Value, second: Value, name: str = "") -> Value:
-        """The value that satisfies both; `name` is the field's, for diagnostics."""
+        """Return the value that satisfies both; diagnostics mention `name`, the name of the field."""
         if isinstance(first, Invalid) or isinstance(second, Invalid):
             return first if isinstance(first, Invalid) else second
         if isinstance(first, Disjunction):
@@ -60,27 +60,29 @@
         position = outside_definitions(first.position, second.position)
         if first.position == second.position:
             return self.report(position, "conflict")
-        text = f"{describe(second)} at {second.position} does not go with {describe(first)}"
+        text = f"{describe(second)} at {second.position} cannot be combined with {describe(first)}"
         return self.report(position, _prefix(name) + text)
 
     def _unify_scalars(self, first: Scalar, second: Scalar, name: str) -> Value:
         kind = _narrower_kind(first.kind, second.kind)
-        own, other = (second, first) if second.literal else (first, second)
+        subject, constraint = (second, first) if second.literal else (first, second)
         if kind is None:
-            found = own.literal.text if own.literal else KIND_DESCRIPTIONS[own.kind]
-            expected = KIND_DESCRIPTIONS[other.kind]
-            return self.report(own.position, f"{_prefix(name)}{found} where {expected} is wanted ({other.position})")
+            given = subject.literal.text if subject.literal else KIND_DESCRIPTIONS[subject.kind]
+            expected = KIND_DESCRIPTIONS[constraint.kind]
+            return self.report(
+                subject.position, f"{_prefix(name)}{given} where {expected} is expected ({constraint.position})"
+            )
         if first.literal and second.literal and first.literal.value != second.literal.value:
             text = f"{_prefix(name)}{second.literal.text} conflicts with {first.literal.text} at {first.position}"
             return self.report(second.position, text)
         literal = first.literal or second.literal
         if kind == "int" and literal is not None and literal.kind == "number":
             expected = KIND_DESCRIPTIONS["int"]
-            text = f"{_prefix(name)}{literal.text} where {expected} is wanted ({other.position})"
+            text = f"{_prefix(name)}{literal.text} where {expected} is expected ({constraint.position})"
             return self.report(literal.position, text)
         limits = (*first.limits, *(limit for limit in second.limits if limit not in first.limits))
         patterns = (*first.patterns, *(pattern for pattern in second.patterns if pattern not in first.patterns))
-        unified = Scalar(literal.position if literal else own.position, kind, limits, patterns, literal)
+        unified = Scalar(literal.position if literal else subject.position, kind, limits, patterns, literal)
         return self._check_constraints(unified, name) if literal else unified
 
     def _check_constraints(self, scalar: Scalar, name: str) -> Value:
@@ -105,8 +107,8 @@
                 continue
             field, other = (in_first, second) if in_first is not None else (in_second, first)
             assert field is not None
-            if (allowed := self._unify_with_pattern(field, name, other)) is not None:
-                members[name] = allowed
+            if (unified := self._unify_with_pattern(field, name, other)) is not None:
+                members[name] = unified
         pattern_value = first.pattern_value if second.pattern_value is None else second.pattern_value
         if first.pattern_value is not None and second.pattern_value is not None:
             pattern_value = self.unify(first.pattern_value, second.pattern_value)
@@ -119,7 +121,10 @@
         return Field(position, first.optional and second.optional, value)
 
     def _unify_with_pattern(self, field: Field, name: str, other: Record) -> Field | None:
-        """A field that the other record does not have, as that record allows it; None if it does not."""
+        """Return a field that only one record has, unified with the other record's pattern.
+
+        Reports the field and returns None if the other record allows no such field.
+        """
         is_definition = name.startswith("#")
         if other.pattern_value is not None and not is_definition:
             return Field(field.position, field.optional, self.unify(other.pattern_value, field.value, name))
@@ -132,11 +137,13 @@
         position = outside_definitions(first.position, second.position)
         items = []
         for index in range(max(len(first.items), len(second.items))):
-            one, other = _item(first, index), _item(second, index)
-            if one is None or other is None:
+            first_item, second_item = _item(first, index), _item(second, index)
+            if first_item is None or second_item is None:
                 fewer, more = sorted((len(first.items), len(second.items)))
-                return self.report(position, f"{_prefix(name)}{more} items do not go with {fewer}")
-            items.append(self.unify(one, other, name))
+                return self.report(
+                    position, f"{_prefix(name)}a list of {more} items cannot be combined with a list of {fewer}"
+                )
+            items.append(self.unify(first_item, second_item, name))
         item_type = None
         if first.item_type is not None and second.item_type is not None:
             first_type, second_type = first.item_type, second.item_type
@@ -146,7 +153,10 @@
     def _unify_disjunction(
         self, disjunction: Disjunction, other: Value, name: str, *, disjunction_first: bool
     ) -> Value:
-        """Keeps the choices that fit the other value; which of them holds is decided when all is known."""
+        """Return the choices that can be unified with the other value.
+
+        If several can, they stay a disjunction until defaults are applied at the end of evaluation.
+        """
         fitting: list[tuple[bool, Value]] = []
         failures: list[list[Diagnostic]] = []
         for default, choice in disjunction.choices:
@@ -156,14 +166,14 @@
             if not attempt.diagnostics:
                 fitting.append((default, unified))
             elif not (is_empty(choice) and type(choice) is type(other)):
-                # Whoever wrote something did not mean an empty default.
+                # An empty default is not what the author of a non-empty value had in mind, so its error is left out.
                 failures.append(attempt.diagnostics)
         if fitting:
             return Disjunction(other.position, tuple(fitting)) if len(fitting) > 1 else fitting[0][1]
         if len(failures) == 1 or isinstance(other, Record):
-            # Of several records that might be meant, the one with the fewest errors is the likeliest.
-            fewest = min(failures, key=len)
-            self.diagnostics += fewest
+            # Of several record types, the one with the fewest errors is most likely the intended one.
+            fewest_errors = min(failures, key=len)
+            self.diagnostics += fewest_errors
             return Invalid(other.position)
         similar = suggest(str(_literal(other)), [str(_literal(choice)) for _, choice in disjunction.choices])
         expected = f"{describe_choices(disjunction)}{similar} ({disjunction.position})"
@@ -171,13 +181,14 @@
 
 
 def _item(value: ListValue, index: int) -> Value | None:
+    """Return the item at an index, or the type of further items there; None if there can be no such item."""
     if index < len(value.items):
         return value.items[index]
     return value.item_type() if value.item_type else None
 
 
 def _narrower_kind(first: str, second: str) -> str | None:
-    """The kind of values that are of both kinds; None if there is none."""
+    """Return the kind that satisfies both kinds, None if no kind does."""
     if first == second or second == "any":
         return first
     if first == "any":
--- a/onyxhead/configuration_language/values.py
+++ b/onyxhead/configuration_language/values.py
@@ -18,14 +18,14 @@
     "bool": "true or false",
     "any": "a value",
 }
-"""The kinds of scalars, as diagnostics name them."""
+"""Descriptions of the scalar kinds for diagnostics."""
 
 MIN_NAME_SIMILARITY = 0.6
-"""Names at least this similar to a misspelt one are suggested in its place."""
+"""Least `difflib` similarity ratio (0 to 1) at which a known name is suggested for an unknown one."""
 
 
 class Scalar(NamedTuple):
-    """Constraints on one value, or the value itself once `literal` is known."""
+    """A scalar: its value if `literal` is set, otherwise the constraints on it."""
 
     position: SourcePosition
     kind: str = "any"
@@ -35,7 +35,7 @@
 
 
 class Field(NamedTuple):
-    """A member of a record."""
+    """A member of a record, with its value."""
 
     position: SourcePosition
     optional: bool
@@ -43,7 +43,10 @@
 
 
 class Record(NamedTuple):
-    """The members known so far. A closed record takes no names but its own and those that its pattern allows."""
+    """A record with the members known so far.
+
+    Members with other names must satisfy `pattern_value`, if there is one; without it, a closed record allows none.
+    """
 
     position: SourcePosition
     members: dict[str, Field]
@@ -52,8 +55,10 @@
 
 
 class ListValue(NamedTuple):
-    """A list. `item_type` makes what further items must be; it is evaluated only when there is such an item, so that
-    a definition may contain lists of its own kind."""
+    """A list. `item_type` returns the value that further items must satisfy, None if no further items are allowed.
+
+    It is a function that is called only when there is such an item, so that a definition may contain lists of itself.
+    """
 
     position: SourcePosition
     items: tuple[Value, ...]
@@ -61,14 +66,14 @@
 
 
 class Disjunction(NamedTuple):
-    """One of several values, each with whether it is the default."""
+    """A choice between values. Each of `choices` is a flag, true for the default, and a value."""
 
     position: SourcePosition
     choices: tuple[tuple[bool, Value], ...]
 
 
 class Invalid(NamedTuple):
-    """Stands where an error was reported, so that it is reported once."""
+    """Replaces a value for which an error was reported, so that later steps do not report it again."""
 
     position: SourcePosition
 
@@ -77,19 +82,19 @@
 
 
 def outside_definitions(first: SourcePosition, second: SourcePosition) -> SourcePosition:
-    """The first position, unless it lies in the built-in definitions."""
+    """Return the first position, or the second if the first lies in the built-in definitions."""
     return second if first.file == BUILT_IN else first
 
 
 def is_empty(value: Value) -> bool:
-    """Whether a value is an empty record or list that nothing can be added to."""
+    """Return whether a value is an empty record or list whose type allows no members or items."""
     if isinstance(value, Record):
         return not value.members and value.pattern_value is None
     return isinstance(value, ListValue) and not value.items and value.item_type is None
 
 
 def is_given(value: Value) -> bool:
-    """Whether the configuration states this value or it has a default, so that an optional field is present."""
+    """Return whether the configuration sets this value or it has a default. Optional fields are left out otherwise."""
     match value:
         case Scalar():
             return value.literal is not None
@@ -101,7 +106,7 @@
 
 
 def describe(value: Value) -> str:
-    """A value, or what would be one, for a diagnostic."""
+    """Return the text of a value, or of its constraints if the value is unknown, for a diagnostic."""
     match value:
         case Scalar(literal=literal) if literal is not None:
             return literal.text
@@ -119,11 +124,11 @@
 
 
 def describe_choices(disjunction: Disjunction) -> str:
-    """The choices of a disjunction, for a diagnostic."""
+    """Return the choices of a disjunction, for a diagnostic."""
     return " or ".join(describe(choice) for _, choice in disjunction.choices)
 
 
 def suggest(name: str, names: list[str]) -> str:
-    """The end of a diagnostic on an unknown name, with the most similar known one if there is any."""
-    close = difflib.get_close_matches(name, sorted({known for known in names if known}), 1, MIN_NAME_SIMILARITY)
-    return f"; did you mean {close[0]!r}?" if close else ""
+    """Return "; did you mean ..." with the known name most similar to an unknown one, or nothing if none is similar."""
+    matches = difflib.get_close_matches(name, sorted({known for known in names if known}), 1, MIN_NAME_SIMILARITY)
+    return f"; did you mean {matches[0]!r}?" if matches else ""
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -77,28 +77,28 @@
         (f"{GOOD}wait: 2", "f:2:7: wait: 2 is not 2s or a time such as 1500ms"),
         (f"{GOOD}wait: 2h", "wait"),
         (f"{GOOD}wait: 5ms", "wait"),
-        (f"{GOOD}pace: 3s", "f:2:7: pace: 3s where a rate such as 900/s is wanted"),
+        (f"{GOOD}pace: 3s", "f:2:7: pace: 3s where a rate such as 900/s is expected"),
         (f'{GOOD}mode: "sott"', "did you mean 'soft'?"),
         (f"{GOOD}moed: 1", "did you mean 'mode'?"),
         (f"{GOOD}share: 1.5", "f:2:8: share"),
         (f'{GOOD}name: "y"', 'name: "y" conflicts with "x" at f:1:7'),
-        (f"{GOOD}parts: 3", "does not go with"),
+        (f"{GOOD}parts: 3", "cannot be combined with a record"),
         (f"{GOOD}parts: {{a: {{count: 0}}}}", "count"),
         (f"{GOOD}parts: {{a: {{coutn: 1}}}}", "unknown field 'coutn'; did you mean 'count'?"),
-        (f"{GOOD}mode: hard", "nothing is called 'hard'"),
-        (f"{GOOD}a.b: 1", "does not fit"),
+        (f"{GOOD}mode: hard", "unknown name 'hard'"),
+        (f"{GOOD}a.b: 1", "unexpected '.'"),
         (GOOD.replace('name: "x"', 'name: "X"'), "does not match"),
         (GOOD.replace('name: "x", ', ""), "'name' is missing"),
         (GOOD.replace('["a"]', "[]"), "zones"),
         (GOOD.replace('["a"]', '["c"]'), 'zones: "c" is not'),
-        (f'{GOOD}name: "unended', "does not end on its line"),
-        (f"{GOOD}parts: {{", "the end of the file"),
-        (f"{GOOD}wait: 0.00001s", "no whole number of tenths"),
-        ("\x00", "does not fit"),
-        (f"{GOOD}#a: #b, #b: #a, wait: #a", "is made of itself"),
+        (f'{GOOD}name: "unended', "string is not closed on its line"),
+        (f"{GOOD}parts: {{", "unexpected end of file"),
+        (f"{GOOD}wait: 0.00001s", "not a whole number of tenths"),
+        ("\x00", "unexpected '\\x00'"),
+        (f"{GOOD}#a: #b, #b: #a, wait: #a", "the value refers to itself"),
         ("a: " + "[" * 500, "nested more than"),
         (f'{GOOD}mode: *"soft" | *"hard"', "more than one default"),
-        (f'{GOOD}name: =~"("', "no pattern"),
+        (f'{GOOD}name: =~"("', "invalid regular expression"),
     ],
 )
 def test_faults_name_their_place_and_what_was_wanted(text: str, wanted: str) -> None:
@@ -118,7 +118,7 @@
     assert evaluate_files(load_files(tmp_path / "a.rec"), SCHEMA, "#T")["zones"] == ["a"]
     (tmp_path / "c.rec").write_text('include "a.rec"\n')
     with pytest.raises(
-        InvalidConfigurationError, match=r"c.rec:1:9: includes go round: a.rec -> b.rec -> c.rec -> a.rec"
+        InvalidConfigurationError, match=r"c.rec:1:9: circular include: a.rec -> b.rec -> c.rec -> a.rec"
     ):
         load_files(tmp_path / "a.rec")
     (tmp_path / "c.rec").write_text('include "none.rec"\n')
