--- a/onyxhead/configuration_language/differences.py
+++ b/onyxhead/configuration_language/differences.py
@@ -1,4 +1,7 @@
-"""Finds how two configurations differ in meaning, and which of the five rules each difference affects. No I/O."""
+"""Finds the differences between two evaluated configurations, and the safety rules that each difference affects.
+
+The five rules are described in `docs/design.md`; `FIELDS_BY_RULE` lists the settings of each. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 from onyxhead.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
 IDENTIFYING_FIELDS = ("id", "name", "address", "pattern", "if", "key")
-"""Fields that identify a record in a list, the first that all have."""
+"""Fields whose value can identify a record in a list. The first of them that all records of the list have is used."""
 
 FIELDS_BY_RULE = {
     "1": {"unserved_limit", "zones", "drained", "servers", "target", "down", "home_zone_only"},
@@ -31,14 +34,17 @@
     "4": {"cold_share", "cold_time", "overload_factor", "fall_time", "slow_start", "max_connections"},
     "5": {"pace", "head", "most_waiting", "messages_cap", "messages_span"},
 }
-"""The settings that matter to each rule."""
+"""The settings that affect each rule, by the number of the rule."""
 
 Path = tuple[str, ...]
 
 
 class Difference(NamedTuple):
-    """One difference. `path` are the names down to it; a value is None where there was or is none; `rules` are the
-    numbers of the rules that it affects."""
+    """One difference between two configurations.
+
+    `path` holds the names of the fields and list items that lead to it. `before` or `after` is None where the value is
+    absent. `rules` holds the numbers of the affected rules, separated by spaces.
+    """
 
     path: Path
     before: Any
@@ -47,7 +53,7 @@
     rules: str
 
     def to_json(self) -> dict[str, Any]:
-        """The difference as the `--json` output shows it."""
+        """Return the difference in the form of the `--json` output."""
         return {
             "where": self.path,
             "before": self.before,
@@ -58,26 +64,27 @@
 
 
 def field_kinds(definitions: str) -> dict[str, str]:
-    """The kind of each field's value by the field's name; "any" where definitions disagree."""
+    """Return the kind of value of each field by its name; "any" if fields of the same name have different kinds."""
     kinds: dict[str, str] = {}
-    for name, kind in _fields(parse(definitions, BUILT_IN).struct):
+    for name, kind in _field_kinds(parse(definitions, BUILT_IN).struct):
         kinds[name] = kind if kinds.get(name, kind) == kind else "any"
     return kinds
 
 
-def _fields(term: Term) -> Iterator[tuple[str, str]]:
-    """The names of all fields in a term, each with a kind that its value may have."""
+def _field_kinds(term: Term) -> Iterator[tuple[str, str]]:
+    """Yield the name of each field in a term with each kind that its value may have."""
     match term:
         case StructTerm():
             for member in term.members:
                 yield from ((member.name, kind) for kind in sorted(_kinds(member.value)))
         case _:
             pass
-    for part in _parts(term):
-        yield from _fields(part)
+    for child in _child_terms(term):
+        yield from _field_kinds(child)
 
 
-def _parts(term: Term) -> tuple[Term, ...]:
+def _child_terms(term: Term) -> tuple[Term, ...]:
+    """Return the terms directly inside a term."""
     match term:
         case StructTerm(members=members, pattern_value=None):
             return members
@@ -95,6 +102,7 @@
 
 
 def _kinds(term: Term) -> set[str]:
+    """Return the kinds of scalar that a term allows, as far as they are known."""
     match term:
         case Literal():
             return {term.kind}
@@ -103,12 +111,12 @@
         case Reference():
             return {term.path[0]} & {"duration", "rate", "size"}
         case Alternatives() | Conjunction():
-            return set[str]().union(*(_kinds(part) for part in _parts(term)))
+            return set[str]().union(*(_kinds(child) for child in _child_terms(term)))
     return set()
 
 
 def find_differences(before: PlainRecord, after: PlainRecord, kinds: dict[str, str]) -> list[Difference]:
-    """All differences, in the order of the names; `kinds` as `field_kinds` gives them."""
+    """Return all differences, ordered by field name; `kinds` comes from `field_kinds`."""
     return list(_compare_records(before, after, (), kinds))
 
 
@@ -136,7 +144,7 @@
 
 
 def _compare_lists(before: list[Any], after: list[Any], path: Path, kinds: dict[str, str]) -> Iterator[Difference]:
-    before_by_name, after_by_name = _by_name(before), _by_name(after)
+    before_by_name, after_by_name = _items_by_name(before), _items_by_name(after)
     if before_by_name is None or after_by_name is None:
         yield _difference(before, after, path, kinds)
         return
@@ -148,8 +156,8 @@
         yield Difference(path, before, after, f"{_path_text(path)}: in another order", _affected_rules(path))
 
 
-def _by_name(items: list[Any]) -> dict[str, Any] | None:
-    """A list's items by what identifies each; None if nothing does."""
+def _items_by_name(items: list[Any]) -> dict[str, Any] | None:
+    """Return the items of a list by a name that identifies each, None if there are no such unique names."""
     if all(isinstance(item, str) for item in items):
         return {item: item for item in items} if len(set(items)) == len(items) else None
     for key in IDENTIFYING_FIELDS:
@@ -182,7 +190,7 @@
 
 
 def _is_item(value: Any, path: Path) -> bool:  # noqa: ANN401  # any plain value
-    """Whether a value is a record, or a list's string that stands under its own name."""
+    """Return whether a value is reported as gained or lost: a record, or a string in a list (named by its value)."""
     return isinstance(value, dict) or bool(path and str(value) == path[-1])
 
 
@@ -195,7 +203,7 @@
 
 
 def format_value(value: Any, kind: str) -> str:  # noqa: ANN401  # any plain value
-    """A plain value with its unit, for people."""
+    """Return a plain value with its unit as text."""
     if value is None:
         return "none"
     if isinstance(value, bool):
--- a/onyxhead/configuration_language/formatter.py
+++ b/onyxhead/configuration_language/formatter.py
@@ -1,7 +1,8 @@
-"""Formats a file in the configuration language: indentation by nesting, single spaces, comments kept.
+"""Formats a file in the configuration language: indents by nesting depth, uses single spaces and keeps comments.
 
-Only white space is changed, which has no meaning in this language; the tokens before and after are compared all the
-same. No I/O."""
+Formatting changes white space only, which has no meaning in this language. To be sure of that, the tokens before and
+after are compared. No I/O.
+"""
 
 from __future__ import annotations
 
@@ -17,38 +18,38 @@
 
 
 class FormattingError(AssertionError):
-    """Formatting would have changed more than white space."""
+    """Raised where formatting would change more than white space."""
 
 
 def tokens(text: str) -> list[str]:
-    """The text's tokens with its comments, without white space; line ends as they are."""
+    """Return the tokens of a text, with comments and line ends but without other white space."""
     return [token for token in TOKEN.findall(text) if not token.isspace() or token == "\n"]
 
 
 def format_text(text: str) -> str:
-    """The formatted text; formatting it again changes nothing."""
+    """Return the formatted text. Formatting is idempotent."""
     formatted: list[str] = []
     depth = 0
     after_blank_line = False
-    for line in _lines(text):
+    for line in _tokens_by_line(text):
         if not line:
             after_blank_line = True
             continue
         if formatted and after_blank_line and not formatted[-1].endswith(tuple(OPENING)) and line[0] not in CLOSING:
             formatted.append("")
         after_blank_line = False
-        # Closing brackets at the start of a line belong to the line that opened them.
-        closing = _leading_closing_brackets(line)
-        depth = _depth_after(depth, line[:closing])
+        # Closing brackets at the start of a line are indented like the line with the opening bracket.
+        closing_count = _count_leading_closing_brackets(line)
+        depth = _depth_after(depth, line[:closing_count])
         formatted.append(INDENT * max(0, depth) + _format_line(line))
-        depth = _depth_after(depth, line[closing:])
+        depth = _depth_after(depth, line[closing_count:])
     result = "\n".join(formatted) + "\n" if formatted else ""
-    if _without_line_ends(result) != _without_line_ends(text):
+    if _tokens_without_line_ends(result) != _tokens_without_line_ends(text):
         raise FormattingError("the tokens differ")
     return result
 
 
-def _lines(text: str) -> list[list[str]]:
+def _tokens_by_line(text: str) -> list[list[str]]:
     lines: list[list[str]] = [[]]
     for token in tokens(text):
         if token == "\n":
@@ -58,11 +59,11 @@
     return lines
 
 
-def _without_line_ends(text: str) -> list[str]:
+def _tokens_without_line_ends(text: str) -> list[str]:
     return [token for token in tokens(text) if token != "\n"]
 
 
-def _leading_closing_brackets(line: list[str]) -> int:
+def _count_leading_closing_brackets(line: list[str]) -> int:
     return next((index for index, token in enumerate(line) if token not in CLOSING), len(line))
 
 
--- a/onyxhead/configuration_language/json_schema.py
+++ b/onyxhead/configuration_language/json_schema.py
@@ -1,7 +1,8 @@
-"""Writes a JSON Schema (draft 2020-12) of the definitions, for editors that know it. No I/O.
+"""Translates definitions of the configuration language to JSON Schema (draft 2020-12), for use in editors. No I/O.
 
-It says as much as JSON Schema can: quantities are patterns of strings, references go to `$defs`, a closed record takes
-no further names. What only unification can tell is left to `onyxhead check`."""
+Quantities become strings with a pattern, references point to `$defs`, and closed records allow no additional
+properties. Constraints that JSON Schema cannot express are checked by `onyxhead check` only.
+"""
 
 from __future__ import annotations
 
@@ -30,12 +31,12 @@
 }
 TYPES = {"string": "string", "int": "integer", "number": "number", "bool": "boolean"}
 BOUNDS = {">=": "minimum", "<=": "maximum", ">": "exclusiveMinimum", "<": "exclusiveMaximum"}
-NEVER_EMPTY = ("#Address", "#Name", "#Path", "#Share")
-"""Definitions of scalars: a field of such a type is required; other definitions are of records that may be empty."""
+SCALAR_DEFINITIONS = ("#Address", "#Name", "#Path", "#Share")
+"""Definitions of scalars. A field of such a type is required; all other definitions are records that may be empty."""
 
 
 def json_schema(definitions: str, root: str) -> JsonSchema:
-    """The schema of a definition such as `#Controller`."""
+    """Return the schema of a definition such as `#Controller`; `definitions` is the text that contains it."""
     members = {member.name: member.value for member in parse(definitions, BUILT_IN).struct.members}
     return {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
@@ -49,14 +50,14 @@
         case Literal():
             return {"const": term.text if term.kind in QUANTITY_PATTERNS else term.value}
         case Limit():
-            # Bounds of quantities can't be said of the strings that they are written as.
+            # JSON Schema has no bounds for quantities, since they are written as strings.
             return {} if term.bound.kind in QUANTITY_PATTERNS else {BOUNDS[term.operator]: term.bound.value}
         case Pattern():
             return {"type": "string", "pattern": term.regex}
         case Reference():
             return _reference(term.path[0])
         case Conjunction():
-            return _merged([_schema_of(part) for part in term.parts])
+            return _merge_schemas([_schema_of(part) for part in term.parts])
         case Alternatives():
             return _alternatives(term)
         case ListTerm():
@@ -80,7 +81,7 @@
     if len(constants) == len(choices):
         schema: JsonSchema = {"enum": list(dict.fromkeys(constants))}
     else:
-        # A default that is of the other choice's type says nothing more.
+        # A constant default is usually of the same type as the other choice, so it adds nothing to the schema.
         empty_array = {"type": "array", "items": False}
         types = [choice for choice in choices if "const" not in choice and choice != empty_array]
         schema = types[0] if len(types) == 1 else {"anyOf": types or choices}
@@ -90,13 +91,13 @@
     return schema
 
 
-def _merged(parts: list[JsonSchema]) -> JsonSchema:
-    """One schema for all parts, or `allOf` where two say something different of the same keyword."""
+def _merge_schemas(parts: list[JsonSchema]) -> JsonSchema:
+    """Return one schema with the keywords of all parts, or `allOf` if two parts set the same keyword."""
     merged: JsonSchema = {}
     for part in parts:
-        repeated = merged.keys() & part.keys() - {"type"}
-        other_type = merged.get("type", part.get("type")) != part.get("type", merged.get("type"))
-        if repeated or other_type:
+        repeated_keywords = merged.keys() & part.keys() - {"type"}
+        types_differ = merged.get("type", part.get("type")) != part.get("type", merged.get("type"))
+        if repeated_keywords or types_differ:
             return {"allOf": parts}
         merged |= part
     return merged
@@ -123,7 +124,7 @@
 
 
 def _may_be_omitted(term: Term) -> bool:
-    """Whether a field has a default, or is a record or list that may be empty."""
+    """Return whether a field with this value has a default, or is a record or list that may be empty."""
     match term:
         case Alternatives():
             return any(is_default for is_default, _ in term.choices)
@@ -134,5 +135,5 @@
         case Conjunction():
             return any(_may_be_omitted(part) for part in term.parts)
         case Reference():
-            return term.path[0].startswith("#") and term.path[0] not in NEVER_EMPTY
+            return term.path[0].startswith("#") and term.path[0] not in SCALAR_DEFINITIONS
     return False
--- a/onyxhead/configuration_language/writer.py
+++ b/onyxhead/configuration_language/writer.py
@@ -12,20 +12,20 @@
 
 
 class Quantity(str):
-    """A number with its unit, written as it is."""
+    """A number with its unit such as `100ms`, which is written without quotes."""
 
 
 def write_fields(fields: dict[str, Any]) -> str:
-    """A file of these fields."""
-    return "".join(f"{_name(name)}: {write_value(value)}\n" for name, value in fields.items())
+    """Return the text of a file with these fields."""
+    return "".join(f"{_field_name(name)}: {write_value(value)}\n" for name, value in fields.items())
 
 
 def write_value(value: Any, depth: int = 0) -> str:  # noqa: ANN401  # any plain value
-    """A value at a depth of nesting; records and lists go on one line where they fit."""
+    """Return the text of a value at this nesting depth; a record or list is written on one line if it fits."""
     if isinstance(value, Quantity):
         return value
     if isinstance(value, dict):
-        items = [f"{_name(name)}: {write_value(item, depth + 1)}" for name, item in value.items()]
+        items = [f"{_field_name(name)}: {write_value(item, depth + 1)}" for name, item in value.items()]
         return _write_items(items, "{}", "", depth)
     if isinstance(value, list):
         return _write_items([write_value(item, depth + 1) for item in value], "[]", ",", depth)
@@ -41,5 +41,5 @@
     return f"{brackets[0]}\n{lines}{INDENT * depth}{brackets[1]}"
 
 
-def _name(name: str) -> str:
+def _field_name(name: str) -> str:
     return name if UNQUOTED_NAME.fullmatch(name) else json.dumps(name, ensure_ascii=False)
--- a/tests/test_configuration_language.py
+++ b/tests/test_configuration_language.py
@@ -1,4 +1,4 @@
-"""Tools of the language: an even layout that changes no meaning, changes of meaning told, JSON Schema, and faulty files."""
+"""Tools for the configuration language: formatter, differences, JSON Schema, and the diagnostics of invalid files."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from onyxhead.configuration_language.terms import InvalidConfigurationError
 from onyxhead.settings import load
 
-GOOD = """
+VALID = """
 name: "c1", zone: "north", zones: ["north", "south"], listen: "127.0.0.1:7000", state: "state"
 groups: {
     read: {prefix: "/r", latency_budget: 500ms, expiry: 1s, repeats: "retriable"}
@@ -34,38 +34,38 @@
 """
 
 
-def written(folder: Path, text: str, name: str = "a.rec") -> Path:
-    path = folder / name
+def write_file(directory: Path, text: str, name: str = "a.rec") -> Path:
+    path = directory / name
     path.write_text(text, encoding="utf-8")
     return path
 
 
-def run(*args: object) -> tuple[int, str]:
-    done = CliRunner().invoke(main, [str(each) for each in args])
-    return done.exit_code, done.output
+def run_command(*args: object) -> tuple[int, str]:
+    result = CliRunner().invoke(main, [str(argument) for argument in args])
+    return result.exit_code, result.output
 
 
-# Layout
+# Formatter
 
 
-def test_a_file_is_laid_out_with_its_comments(tmp_path: Path) -> None:
-    path = written(
+def test_fmt_formats_a_file_and_keeps_its_comments(tmp_path: Path) -> None:
+    path = write_file(
         tmp_path,
         '// top\n\n\nname : "c1" ,zone:"n"   // beside\ngroups:{\n a:{x:1,y:>=2&<=3}\n\n\n\n  // inside\n b  : *1|int\n   row:[ 1,2 ,...string ]\n}\n',
     )
-    assert run("fmt", path) == (0, f"{path}: laid out\n")
+    assert run_command("fmt", path) == (0, f"{path}: laid out\n")
     assert path.read_text() == (
         '// top\n\nname: "c1", zone: "n"  // beside\ngroups: {\n    a: {x: 1, y: >=2 & <=3}\n\n    // inside\n    b: *1 | int\n    row: [1, 2, ...string]\n}\n'
     )
-    assert run("fmt", path) == (0, "") and run("fmt", "--check", path)[0] == 0
-    bad = written(tmp_path, "a: {", "bad.rec")
-    code, told = run("fmt", bad, path)
-    assert code == 2 and "bad.rec:1:" in told and bad.read_text() == "a: {"
-    assert run("fmt", "--check", written(tmp_path, "a:1", "odd.rec"))[0] == 1
+    assert run_command("fmt", path) == (0, "") and run_command("fmt", "--check", path)[0] == 0
+    invalid = write_file(tmp_path, "a: {", "bad.rec")
+    exit_code, output = run_command("fmt", invalid, path)
+    assert exit_code == 2 and "bad.rec:1:" in output and invalid.read_text() == "a: {"
+    assert run_command("fmt", "--check", write_file(tmp_path, "a:1", "odd.rec"))[0] == 1
 
 
 names = st.from_regex(r"[a-z][a-z0-9_]{0,5}", fullmatch=True).filter(
-    lambda each: not each.startswith(("true", "false", "include"))
+    lambda name: not name.startswith(("true", "false", "include"))
 )
 scalars = st.sampled_from(
     [
@@ -90,11 +90,11 @@
 values = st.recursive(
     scalars,
     lambda inner: st.one_of(
-        st.lists(inner, max_size=3).map(lambda each: "[" + " , ".join(each) + "]"),
+        st.lists(inner, max_size=3).map(lambda items: "[" + " , ".join(items) + "]"),
         st.dictionaries(names, inner, max_size=3).map(
-            lambda each: "{" + "\n".join(f"{k}:{v}" for k, v in each.items()) + "}"
+            lambda members: "{" + "\n".join(f"{name}:{value}" for name, value in members.items()) + "}"
         ),
-        st.tuples(inner, inner).map(lambda each: f"*{each[0]}|({each[1]})"),
+        st.tuples(inner, inner).map(lambda choices: f"*{choices[0]}|({choices[1]})"),
     ),
     max_leaves=8,
 )
@@ -107,39 +107,39 @@
     st.randoms(use_true_random=False),
 )
 @settings(max_examples=300, deadline=None)
-def test_laying_out_changes_no_meaning_and_is_done_once(
-    members: dict[str, str], gaps: list[str], chance: random.Random
+def test_formatting_keeps_the_meaning_and_is_idempotent(
+    members: dict[str, str], separators: list[str], rng: random.Random
 ) -> None:
     text = "".join(
-        f"{name} :{value}{chance.choice(gaps) if chance.random() < 0.9 else ','}\n" for name, value in members.items()
+        f"{name} :{value}{rng.choice(separators) if rng.random() < 0.9 else ','}\n" for name, value in members.items()
     )
-    text = re.sub(r"(?<=[{\[,])(?![^\n]*\")", lambda _: chance.choice(["", " ", "\n"]), text)
+    text = re.sub(r"(?<=[{\[,])(?![^\n]*\")", lambda _: rng.choice(["", " ", "\n"]), text)
     try:
         before = parse(text, "a")
     except InvalidConfigurationError:
         return
-    made = format_text(text)
-    assert stripped(parse(made, "a")) == stripped(before) and format_text(made) == made
-    assert [word for word in tokens(made) if word.startswith("//")] == [
-        word for word in tokens(text) if word.startswith("//")
+    formatted = format_text(text)
+    assert without_positions(parse(formatted, "a")) == without_positions(before) and format_text(formatted) == formatted
+    assert [token for token in tokens(formatted) if token.startswith("//")] == [
+        token for token in tokens(text) if token.startswith("//")
     ]
 
 
-def stripped(term: Any) -> Any:
-    """A tree without its places."""
+def without_positions(term: Any) -> Any:
+    """Return the representation of a tree without source positions."""
     return re.sub(r"SourcePosition\(file='a', line=\d+, column=\d+\)", "", repr(term))
 
 
-def test_the_built_in_definitions_and_real_settings_keep_their_meaning() -> None:
-    for text in (load.schema(), GOOD):
-        assert stripped(parse(format_text(text), "a")) == stripped(parse(text, "a"))
+def test_formatting_the_schema_and_valid_settings_keeps_their_meaning() -> None:
+    for text in (load.schema(), VALID):
+        assert without_positions(parse(format_text(text), "a")) == without_positions(parse(text, "a"))
 
 
-# Changes of meaning
+# Differences
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "expected"),
     [
         ("drain_grace: 2s", "drain_grace: 1500ms", "guards drain grace: 2 s -> 1.5 s  (rule 3)"),
         ("drain_grace: 2s", "drain_grace: 2000ms", ""),
@@ -162,47 +162,48 @@
         ),
     ],
 )
-def test_changes_of_meaning_are_told_with_the_rules_they_press_on(
-    tmp_path: Path, old: str, new: str, told: str
-) -> None:
-    assert old in GOOD
-    one, two = written(tmp_path, GOOD), written(tmp_path, "// moved about\n" + GOOD.replace(old, new), "b.rec")
-    assert run("diff", one, two) == ((1, told + "\n") if told else (0, ""))
+def test_diff_reports_differences_with_the_rules_they_affect(tmp_path: Path, old: str, new: str, expected: str) -> None:
+    assert old in VALID
+    before, after = (
+        write_file(tmp_path, VALID),
+        write_file(tmp_path, "// a comment\n" + VALID.replace(old, new), "b.rec"),
+    )
+    assert run_command("diff", before, after) == ((1, expected + "\n") if expected else (0, ""))
 
 
-def test_pools_that_lose_a_backend_and_files_of_two_kinds(tmp_path: Path) -> None:
+def test_diff_of_routing_files_and_of_files_of_different_kinds(tmp_path: Path) -> None:
     text = 'pools: {reads: {servers: [{address: "a:1"}, {address: "b:2", weight: 3}]}}\nhosts: [{names: ["x"], locations: [{pattern: "/", target: {pool: "reads"}}]}]'
-    one = written(tmp_path, text)
-    two = written(
+    before = write_file(tmp_path, text)
+    after = write_file(
         tmp_path,
         text.replace(', {address: "b:2", weight: 3}', "").replace('address: "a:1"', 'address: "a:1", slow_start: 30s'),
         "b.rec",
     )
-    code, told = run("diff", one, two)
+    exit_code, output = run_command("diff", before, after)
     assert (
-        code == 1
-        and "pools reads servers loses b:2  (rule 1)" in told
-        and "pools reads servers a:1 slow start: 0 ms -> 30 s  (rule 1, 4)" in told
+        exit_code == 1
+        and "pools reads servers loses b:2  (rule 1)" in output
+        and "pools reads servers a:1 slow start: 0 ms -> 30 s  (rule 1, 4)" in output
     )
-    swapped = written(
+    reordered = write_file(
         tmp_path,
         text.replace('{address: "a:1"}, {address: "b:2", weight: 3}', '{address: "b:2", weight: 3}, {address: "a:1"}'),
         "c.rec",
     )
-    assert "in another order" in run("diff", one, swapped)[1]
+    assert "in another order" in run_command("diff", before, reordered)[1]
     assert (
-        run("diff", one, written(tmp_path, GOOD, "d.rec"))[0] == 2
-        and run("diff", one, written(tmp_path, "a: [", "e.rec"))[0] == 2
+        run_command("diff", before, write_file(tmp_path, VALID, "d.rec"))[0] == 2
+        and run_command("diff", before, write_file(tmp_path, "a: [", "e.rec"))[0] == 2
     )
-    assert json.loads(run("diff", one, two, "--json")[1])
+    assert json.loads(run_command("diff", before, after, "--json")[1])
 
 
 # JSON Schema
 
 
-def test_the_schema_says_what_the_definitions_say() -> None:
-    made = json_schema(load.schema(), "#Controller")
-    controller, guards, channel = made["$defs"]["Controller"], made["$defs"]["Guards"], made["$defs"]["Channel"]
+def test_json_schema_expresses_the_definitions() -> None:
+    schema = json_schema(load.schema(), "#Controller")
+    controller, guards, channel = schema["$defs"]["Controller"], schema["$defs"]["Guards"], schema["$defs"]["Channel"]
     assert controller["additionalProperties"] is False and {"name", "zone", "zones", "listen", "state"} <= set(
         controller["required"]
     )
@@ -213,30 +214,30 @@
     )
     assert (
         re.fullmatch(channel["properties"]["pace"]["pattern"], "900/s")
-        and len(made["$defs"]["Discovery"]["anyOf"]) == 2
+        and len(schema["$defs"]["Discovery"]["anyOf"]) == 2
     )
     assert controller["properties"]["zones"]["minItems"] == 1 and controller["properties"]["groups"][
         "additionalProperties"
     ] == {"$ref": "#/$defs/Group"}
-    names = set(re.findall(r'"#/\$defs/(\w+)"', json.dumps(made)))
-    assert names <= set(made["$defs"])
+    referenced = set(re.findall(r'"#/\$defs/(\w+)"', json.dumps(schema)))
+    assert referenced <= set(schema["$defs"])
     for kind in ("controller", "agent", "operators", "routing"):
-        code, told = run("schema", kind)
-        assert code == 0 and json.loads(told)["$ref"].endswith(kind.capitalize())
+        exit_code, output = run_command("schema", kind)
+        assert exit_code == 0 and json.loads(output)["$ref"].endswith(kind.capitalize())
 
 
-# InvalidConfigurationError files
+# Invalid files
 
 
-def plain(value: Any) -> Any:
-    return {name: plain(each) for name, each in value.items()} if isinstance(value, dict) else value
+def as_plain_dict(value: Any) -> Any:
+    return {name: as_plain_dict(item) for name, item in value.items()} if isinstance(value, dict) else value
 
 
-def sound(folder: Path, text: str) -> PlainRecord:
-    return evaluate_files(load_files(written(folder, text, "m.rec")), load.schema(), "#Controller")
+def evaluate_controller(directory: Path, text: str) -> PlainRecord:
+    return evaluate_files(load_files(write_file(directory, text, "m.rec")), load.schema(), "#Controller")
 
 
-BY_HAND = [
+INVALID_EDITS = [
     ('name: "c1"', 'nam: "c1"', "unknown field 'nam'; did you mean 'name'?"),
     ('zone: "north"', "zone: 5", "zone"),
     ("500ms", "500", "latency_budget"),
@@ -270,84 +271,87 @@
 ]
 
 
-@pytest.mark.parametrize(("old", "new", "told"), BY_HAND, ids=range(len(BY_HAND)))
-def test_a_fault_is_told_with_its_place_and_what_was_meant(tmp_path: Path, old: str, new: str, told: str) -> None:
-    assert old in GOOD
-    path = written(tmp_path, GOOD.replace(old, new, 1))
-    code, said = run("check", path)
-    lines = [line for line in said.splitlines() if told in line]
-    assert code == 2 and lines and re.match(rf"{re.escape(str(path))}:\d+:\d+: ", lines[0]), said
+@pytest.mark.parametrize(("old", "new", "expected"), INVALID_EDITS, ids=range(len(INVALID_EDITS)))
+def test_check_reports_an_error_with_its_position_and_a_suggestion(
+    tmp_path: Path, old: str, new: str, expected: str
+) -> None:
+    assert old in VALID
+    path = write_file(tmp_path, VALID.replace(old, new, 1))
+    exit_code, output = run_command("check", path)
+    lines = [line for line in output.splitlines() if expected in line]
+    assert exit_code == 2 and lines and re.match(rf"{re.escape(str(path))}:\d+:\d+: ", lines[0]), output
 
 
-def test_all_faults_of_a_file_are_told_in_one_pass(tmp_path: Path) -> None:
-    bad = (
-        GOOD.replace('name: "c1"', 'nam: "c1"')
+def test_check_reports_all_errors_of_a_file_at_once(tmp_path: Path) -> None:
+    invalid = (
+        VALID.replace('name: "c1"', 'nam: "c1"')
         .replace("900/s", "900ms")
         .replace('"retriable"', '"retryable"')
         .replace("15s", "15")
     )
-    code, told = run("check", written(tmp_path, bad))
-    assert code == 2 and len({line.split(": ")[0] for line in told.splitlines()}) >= 4
+    exit_code, output = run_command("check", write_file(tmp_path, invalid))
+    assert exit_code == 2 and len({line.split(": ")[0] for line in output.splitlines()}) >= 4
 
 
 @pytest.mark.parametrize("seed", range(170))
-def test_a_mutated_file_is_sound_or_told_with_a_place(tmp_path: Path, seed: int) -> None:
-    chance = random.Random(seed)
-    text = GOOD
-    for _ in range(chance.randint(1, 3)):
-        at = chance.randrange(len(text))
-        match chance.randrange(4):
+def test_a_mutated_file_is_valid_or_reported_with_a_position(tmp_path: Path, seed: int) -> None:
+    rng = random.Random(seed)
+    text = VALID
+    for _ in range(rng.randint(1, 3)):
+        index = rng.randrange(len(text))
+        match rng.randrange(4):
             case 0:
-                text = text[:at] + text[at + chance.randint(1, 6) :]
+                text = text[:index] + text[index + rng.randint(1, 6) :]
             case 1:
-                text = text[:at] + chance.choice('{}[]:,"|&*<>=~.?#/ \n5ax') + text[at:]
+                text = text[:index] + rng.choice('{}[]:,"|&*<>=~.?#/ \n5ax') + text[index:]
             case 2:
-                other = chance.randrange(len(text))
-                text = text[:at] + text[other : other + 8] + text[at:]
+                copied = rng.randrange(len(text))
+                text = text[:index] + text[copied : copied + 8] + text[index:]
             case 3:
                 lines = text.splitlines()
-                chance.shuffle(lines)
+                rng.shuffle(lines)
                 text = "\n".join(lines)
     try:
-        found = sound(tmp_path, text)
+        record = evaluate_controller(tmp_path, text)
     except InvalidConfigurationError as error:
         assert error.diagnostics and all(
-            fault.position.line >= 1 and fault.text and "Traceback" not in fault.text for fault in error.diagnostics
+            diagnostic.position.line >= 1 and diagnostic.text and "Traceback" not in diagnostic.text
+            for diagnostic in error.diagnostics
         )
-        assert all(fault.position.file.endswith("m.rec") for fault in error.diagnostics), error.diagnostics
+        assert all(diagnostic.position.file.endswith("m.rec") for diagnostic in error.diagnostics), error.diagnostics
     else:
-        assert plain(sound(tmp_path, format_text(text))) == plain(found)
+        assert as_plain_dict(evaluate_controller(tmp_path, format_text(text))) == as_plain_dict(record)
 
 
-def test_a_definition_in_conflict_through_three_includes_names_both_places(tmp_path: Path) -> None:
-    written(tmp_path, "guards: {drain_grace: 3s}", "c.rec")
-    written(tmp_path, 'include "c.rec"\nguards: {cold_time: 15s}', "b.rec")
-    written(tmp_path, 'include "b.rec"', "a.rec")
-    code, told = run("check", written(tmp_path, 'include "a.rec"' + GOOD, "top.rec"))
-    assert code == 2 and "top.rec:" in told and "c.rec:1:" in told
+def test_a_conflict_across_includes_is_reported_with_both_positions(tmp_path: Path) -> None:
+    write_file(tmp_path, "guards: {drain_grace: 3s}", "c.rec")
+    write_file(tmp_path, 'include "c.rec"\nguards: {cold_time: 15s}', "b.rec")
+    write_file(tmp_path, 'include "b.rec"', "a.rec")
+    exit_code, output = run_command("check", write_file(tmp_path, 'include "a.rec"' + VALID, "top.rec"))
+    assert exit_code == 2 and "top.rec:" in output and "c.rec:1:" in output
 
 
-@pytest.mark.parametrize("how", ["rewritten", "swapped", "gone"])
-def test_a_file_that_changes_while_it_is_read_is_told(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, how: str
+@pytest.mark.parametrize("change", ["rewritten", "replaced", "removed"])
+def test_a_file_that_changes_while_its_includes_are_read_is_reported(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, change: str
 ) -> None:
-    import onyxhead.configuration_language.loader as module
+    import onyxhead.configuration_language.loader as loader_module
 
-    written(tmp_path, "guards: {cold_time: 16s}", "in.rec")
-    top = written(tmp_path, 'include "in.rec"' + GOOD.replace(", cold_time: 15s", ""))
-    assert run("check", top)[0] == 0
-    real = module.parse
+    write_file(tmp_path, "guards: {cold_time: 16s}", "in.rec")
+    top = write_file(tmp_path, 'include "in.rec"' + VALID.replace(", cold_time: 15s", ""))
+    assert run_command("check", top)[0] == 0
+    real_parse = loader_module.parse
 
-    def late(text: str, file: str) -> Any:
+    def change_top_then_parse(text: str, file: str) -> Any:
         if file.endswith("in.rec"):
-            if how == "rewritten":
-                top.write_text(GOOD + "// more\n")
-            elif how == "swapped":
-                written(tmp_path, top.read_text(), "b.rec").replace(top)
+            if change == "rewritten":
+                top.write_text(VALID + "// more\n")
+            elif change == "replaced":
+                write_file(tmp_path, top.read_text(), "b.rec").replace(top)
             else:
                 top.unlink()
-        return real(text, file)
+        return real_parse(text, file)
 
-    monkeypatch.setattr(module, "parse", late)
-    code, told = run("check", top)
-    assert code == 2 and f"{top}:1:1: changed while it was read" in told
+    monkeypatch.setattr(loader_module, "parse", change_top_then_parse)
+    exit_code, output = run_command("check", top)
+    assert exit_code == 2 and f"{top}:1:1: changed while it was read" in output
