--- a/onyxhead/settings/__init__.py
+++ b/onyxhead/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings files of the daemons, checked against `schema.rec` and turned into what the daemons start with."""
+"""Settings of the controller and the agent: files are checked against `schema.rec` and converted to typed settings."""
--- a/onyxhead/settings/agent.py
+++ b/onyxhead/settings/agent.py
@@ -1,4 +1,4 @@
-"""An agent's settings from its checked record."""
+"""Converts the checked record of an agent's settings file to `AgentSettings`."""
 
 from __future__ import annotations
 
@@ -7,17 +7,21 @@
 from onyxhead.tables.view_format import ViewValue
 
 STATIC_ENDPOINT_WEIGHT = 1_000_000
-"""Full weight, in millionths."""
+"""Weight of each static endpoint in millionths: full weight."""
 
 
 def agent_settings(reader: RecordReader) -> AgentSettings:
-    """Return the settings. Raises Faulty for routes that no request could tell apart, and for bad addresses."""
+    """Return the settings.
+
+    Raises InvalidConfigurationError for invalid addresses, and for groups with the same prefix, since their requests
+    could not be told apart.
+    """
     record, directory = reader.record, reader.directory
     routes = _routes(reader)
     listen = reader.address(record["listen"], "listen", any_port=True)
     advertise = reader.optional_address(record, "advertise")
     stats = reader.optional_address(record, "stats")
-    controllers = tuple(reader.address(each, "controllers") for each in record["controllers"])
+    controllers = tuple(reader.address(address, "controllers") for address in record["controllers"])
     static_endpoints = _static_endpoints(reader)
     reader.raise_diagnostics()
     reload = record.get("reload")
@@ -47,11 +51,11 @@
     routes: list[GroupRoute] = []
     for name, group in reader.record["groups"].items():
         if group["prefix"] in {route.prefix for route in routes}:
-            reader.add_diagnostic(f"prefix of {name} is another group's too", "groups", name, "prefix")
+            reader.add_diagnostic(f"prefix of {name} is also the prefix of another group", "groups", name, "prefix")
         latency_budget = ticks_to_seconds(group["latency_budget"])
         routes.append(GroupRoute(name, group["prefix"], latency_budget, group["tries"]))
     if not routes:
-        reader.add_diagnostic("no traffic group", "groups")
+        reader.add_diagnostic("no traffic group is defined", "groups")
     return tuple(routes)
 
 
--- a/onyxhead/settings/controller.py
+++ b/onyxhead/settings/controller.py
@@ -1,4 +1,4 @@
-"""A controller's settings from its checked record."""
+"""Converts the checked record of a controller's settings file to `ControllerSettings`."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 )
 
 ADMISSION_MODES = {"share": AdmissionMode.FRACTION, "rate": AdmissionMode.RATE, "off": AdmissionMode.DISABLED}
-"""The settings' words for the field `throttle`."""
+"""The admission mode for each value of the field `throttle`."""
 MIN_QUEUED_MESSAGES = 4
-"""Messages of one line each that the channel's queue has to hold."""
+"""Least number of messages of one line that must fit into the channel's queue."""
 
 
 def controller_settings(reader: RecordReader) -> ControllerSettings:
-    """Return the settings. Raises Faulty for values that contradict each other."""
+    """Return the settings. Raises InvalidConfigurationError for values that contradict each other."""
     record = reader.record
     zones = tuple(record["zones"])
     deployment = _deployment(reader, zones)
@@ -34,7 +34,7 @@
     reader.raise_diagnostics()
     netconf, fleet, load_reports = _netconf(reader), _fleet(reader), _load_reports(reader)
     if netconf is not None and netconf.tls is not None and "tls" not in record:
-        reader.add_diagnostic("NETCONF over TLS needs keys: tls is missing", "netconf")
+        reader.add_diagnostic("NETCONF over TLS needs key files: the field tls is missing", "netconf")
     reader.raise_diagnostics()
     return ControllerSettings(
         name=record["name"],
@@ -63,7 +63,7 @@
     if record["zone"] not in zones:
         reader.add_diagnostic(f"zone {record['zone']!r} is not one of zones", "zone")
     if not record["groups"]:
-        reader.add_diagnostic("no traffic group", "groups")
+        reader.add_diagnostic("no traffic group is defined", "groups")
     for name, group in record["groups"].items():
         _check_group(reader, name, group, zones)
     _check_channel(reader)
@@ -94,13 +94,13 @@
     if group["latency_budget"] > group["expiry"]:
         reader.add_diagnostic(f"latency_budget of {name} is longer than its expiry", "groups", name, "latency_budget")
     if group["repeats"] == RetrySafety.DEDUPLICATED.value and not group["dedup_window"]:
-        reader.add_diagnostic(f"{name} is deduped and needs a dedup_window", "groups", name, "repeats")
+        reader.add_diagnostic(f"repeats of {name} is deduped, which needs a dedup_window", "groups", name, "repeats")
 
 
 def _check_channel(reader: RecordReader) -> None:
     channel = reader.record["channel"]
     if channel["most_waiting"] < MIN_QUEUED_MESSAGES * (channel["head"] + 1):
-        text = f"most_waiting leaves no room for messages of {channel['head']} and a line"
+        text = f"most_waiting is too small for {MIN_QUEUED_MESSAGES} messages of {channel['head']} + 1 lines"
         reader.add_diagnostic(text, "channel", "most_waiting")
 
 
@@ -158,7 +158,9 @@
 
 
 def _overrides(backends: PlainRecord) -> dict[str, ConfiguredBackend]:
-    return {name: ConfiguredBackend(own.get("weight", 0.0), own["drained"]) for name, own in backends.items()}
+    return {
+        name: ConfiguredBackend(backend.get("weight", 0.0), backend["drained"]) for name, backend in backends.items()
+    }
 
 
 def _netconf(reader: RecordReader) -> NetconfSettings | None:
@@ -194,7 +196,7 @@
         for name, member in fleet["members"].items()
     }
     if reader.record["name"] not in members:
-        reader.add_diagnostic(f"{reader.record['name']!r} is not among its fleet's members", "fleet", "members")
+        reader.add_diagnostic(f"{reader.record['name']!r} is not one of the fleet's members", "fleet", "members")
     return FleetSettings(members, fleet["period"], fleet["timeout"], fleet["suspicion"], fleet["settle"])
 
 
@@ -204,7 +206,7 @@
         return None
     listen = reader.optional_address(intake, "listen", "intake")
     if intake["processes"] and listen is None:
-        text = "processes of their own need an address of their own: listen is missing"
+        text = "separate processes need a separate address: the field listen is missing"
         reader.add_diagnostic(text, "intake", "processes")
     return LoadReportSettings(
         listen=listen,
--- a/onyxhead/settings/fields.py
+++ b/onyxhead/settings/fields.py
@@ -1,4 +1,4 @@
-"""Fields that several kinds of settings share."""
+"""Reads the fields that the settings of controllers and agents have in common."""
 
 from __future__ import annotations
 
@@ -13,23 +13,26 @@
 
 
 class RecordReader:
-    """A checked record with the directory that its paths are relative to; collects diagnostics with their positions."""
+    """Reads a checked record, whose file paths are relative to `directory`, and collects diagnostics with positions."""
 
     def __init__(self, record: PlainRecord, directory: Path) -> None:
         self.record, self.directory = record, directory
         self.diagnostics: list[Diagnostic] = []
 
     def add_diagnostic(self, text: str, *path: str) -> None:
-        """Add a diagnostic at the position of a value below the record."""
+        """Add a diagnostic at the position of the value at `path` below the record."""
         self.diagnostics.append(Diagnostic(self.record.position_of(*path), text))
 
     def raise_diagnostics(self) -> None:
-        """Raise InvalidConfigurationError if there are diagnostics so far."""
+        """Raise InvalidConfigurationError if diagnostics were added."""
         if self.diagnostics:
             raise InvalidConfigurationError(self.diagnostics)
 
     def address(self, text: str, *path: str, any_port: bool = False) -> Address:
-        """Return host and port of "host:port", or add a diagnostic at `path`; only `any_port` allows port 0."""
+        """Return host and port of "host:port"; add a diagnostic at `path` if they are invalid.
+
+        Port 0, which lets the system choose a port, is allowed with `any_port` only.
+        """
         if any_port and text.endswith(":0"):
             return parse_address(text[:-1] + "1")[0], 0
         try:
@@ -39,11 +42,11 @@
             return "", 0
 
     def optional_address(self, record: PlainRecord, key: str, *path: str, any_port: bool = False) -> Address | None:
-        """Return the address under `key` in a record at `path`, None where there is none."""
+        """Return the address under `key` in a record at `path`, None if the key is absent."""
         return self.address(record[key], *path, key, any_port=any_port) if key in record else None
 
     def optional_path(self, record: PlainRecord, key: str) -> Path | None:
-        """Return the file path under `key`, None where there is none."""
+        """Return the file path under `key`, None if the key is absent."""
         return self.directory / record[key] if key in record else None
 
     def log(self) -> LogSettings:
@@ -51,7 +54,7 @@
         return LogSettings(self.record["log"]["level"], self.record["log"]["form"])
 
     def tls(self) -> TlsSettings | None:
-        """Return the key files, None where TLS is not set up."""
+        """Return the TLS key files, None if TLS is not configured."""
         tls = self.record.get("tls")
         if tls is None:
             return None
@@ -65,5 +68,5 @@
 
 
 def ticks_to_seconds(ticks: int) -> float:
-    """Convert a duration of the configuration language."""
+    """Convert a duration from the ticks of the configuration language to seconds."""
     return ticks / TICKS_PER_SECOND
--- a/onyxhead/settings/instance.py
+++ b/onyxhead/settings/instance.py
@@ -1,7 +1,7 @@
-"""What a deployment tells one controller at its start: the settings document in the simulator's form.
+"""Reads the settings document that the simulated platform gives to a controller instance at its start.
 
-It is read here for every host of the policy, on the simulator's wire or on sockets. Its durations are in nanoseconds;
-they become ticks (`onyxhead.time_units`).
+Both hosts of the policy, the one on the simulator's line protocol and the one on sockets, use this module. Durations in
+the document are in nanoseconds and are converted to ticks (`onyxhead.time_units`).
 """
 
 from __future__ import annotations
@@ -25,24 +25,24 @@
     "token": RetrySafety.DEDUPLICATED,
     "side_effect": RetrySafety.NOT_IDEMPOTENT,
 }
-"""The settings' `effect`."""
+"""Retry safety for each value of the field `effect`."""
 ADMISSION_MODES = {"ratio": AdmissionMode.FRACTION, "rps": AdmissionMode.RATE, "off": AdmissionMode.DISABLED}
-"""The settings' `throttleBy`."""
+"""Admission mode for each value of the field `throttleBy`."""
 UTILIZATION_FIELD = "cpu_share"
 LATENCY_FIELD = "svc_ms"
 
 
 class InvalidSettingsError(ValueError):
-    """The settings can't be used; the text says why."""
+    """Raised for settings that cannot be used; the message states the reason."""
 
 
 def load_report_fields(settings: Mapping[str, Any]) -> list[str]:
-    """The names of the values in a load report, in their order."""
+    """Return the names of the values in a load report, in the order of the report."""
     return list(map(str, settings["report"].get("fields") or ()))
 
 
 def load_report(values: Mapping[str, float]) -> LoadReport:
-    """What the policy uses of a load report, from its values by the names of the settings."""
+    """Return the part of a load report that the policy uses; `values` are keyed by the names in the settings."""
     latency = values.get(LATENCY_FIELD)
     return LoadReport(
         values.get(UTILIZATION_FIELD), None if latency is None else round(latency * TICKS_PER_MILLISECOND)
@@ -50,7 +50,7 @@
 
 
 def read_deployment(settings: Mapping[str, Any]) -> Deployment:
-    """The deployment that the settings describe; unknown keys are ignored. Raises InvalidSettingsError."""
+    """Return the deployment that the settings describe, ignoring unknown keys. Raises InvalidSettingsError."""
     try:
         extra, guarantees, bounds = settings["extra"], settings["guarantees"], settings["bounds"]
         return Deployment(
@@ -65,7 +65,7 @@
             default_retry_mode=int(extra["baseMode"]),
             attempt_timeout_factor=float(extra["tryFactor"]),
             proxy_ejection_failures=int(extra.get("ejects", 0)),
-            report_interval=_ticks_up(extra["cycleNs"]),
+            report_interval=_ticks_rounded_up(extra["cycleNs"]),
             health_checks_allowed=bool(bounds["probes"]),
             subscription_required=settings["discovery"] == "subscribe",
         )
@@ -73,13 +73,13 @@
         raise InvalidSettingsError(f"settings: {type(error).__name__}: {error}") from error
 
 
-def _ticks(nanoseconds: Any) -> int:  # noqa: ANN401 - a JSON value, not checked yet
-    """Rounded down: for what must not take longer."""
+def _ticks_rounded_down(nanoseconds: Any) -> int:  # noqa: ANN401 - a JSON value, not checked yet
+    """Return ticks rounded down, for durations that are upper limits."""
     return int(nanoseconds) // NANOSECONDS_PER_TICK
 
 
-def _ticks_up(nanoseconds: Any) -> int:  # noqa: ANN401 - a JSON value, not checked yet
-    """Rounded up: for what must be waited out."""
+def _ticks_rounded_up(nanoseconds: Any) -> int:  # noqa: ANN401 - a JSON value, not checked yet
+    """Return ticks rounded up, for durations that must have passed in full."""
     return -(-int(nanoseconds) // NANOSECONDS_PER_TICK)
 
 
@@ -89,11 +89,11 @@
         TrafficGroup(
             name=str(service["name"]),
             utility=float(service["credit"]),
-            latency_budget=_ticks(service["aimNs"]),
-            timeout=_ticks(service["deadlineNs"]),
+            latency_budget=_ticks_rounded_down(service["aimNs"]),
+            timeout=_ticks_rounded_down(service["deadlineNs"]),
             retry_safety=RETRY_SAFETY[service["effect"]],
             deduplication_scope=str(service.get("group", "cell")),
-            deduplication_window=_ticks(service.get("repeatWindowNs", 0)),
+            deduplication_window=_ticks_rounded_down(service.get("repeatWindowNs", 0)),
             allowed_zones=frozenset(map(int, service["onlyZones"])) if service.get("onlyZones") else None,
             home_zone_only=bool(home_zone),
         )
@@ -106,27 +106,27 @@
         lines_per_second=float(extra["egressPerS"]),
         message_overhead=float(extra["perMessage"]),
         max_queued_lines=float(extra["mostWaiting"]),
-        typical_delay=_ticks_up(extra["pushDelayNs"]),
-        max_delay=_ticks_up(extra["lateMostNs"]),
+        typical_delay=_ticks_rounded_up(extra["pushDelayNs"]),
+        max_delay=_ticks_rounded_up(extra["lateMostNs"]),
         max_messages=int(extra.get("updateCap", 0)),
-        message_window=_ticks_up(extra.get("messagesOverNs", 0)),
+        message_window=_ticks_rounded_up(extra.get("messagesOverNs", 0)),
     )
 
 
 def _safety_limits(extra: Mapping[str, Any], guarantees: Mapping[str, Any]) -> SafetyLimits:
     return SafetyLimits(
-        unserved_limit=_ticks(extra["unservedMaxNs"]),
-        drain_grace=_ticks(guarantees["drainGraceNs"]),
+        unserved_limit=_ticks_rounded_down(extra["unservedMaxNs"]),
+        drain_grace=_ticks_rounded_down(guarantees["drainGraceNs"]),
         only_draining_counts=bool(guarantees.get("drainBindsAlone", False)),
         initial_warmup_fraction=float(guarantees["coldFrom"]),
-        warmup_time=_ticks_up(guarantees["coldNs"]),
+        warmup_time=_ticks_rounded_up(guarantees["coldNs"]),
         overload_factor=float(guarantees["overloadFactor"]),
-        overload_time_to_fail=_ticks(guarantees["fallNs"]),
+        overload_time_to_fail=_ticks_rounded_down(guarantees["fallNs"]),
         rejection_may_have_effect=bool(guarantees.get("fullMayHaveRun", False)),
-        subscribe_within=_ticks(guarantees.get("askWithinNs", 0)),
+        subscribe_within=_ticks_rounded_down(guarantees.get("askWithinNs", 0)),
     )
 
 
 def format_number(value: float) -> str:
-    """A weight or level as the platform and its simulator read it, without an exponent for the usual sizes."""
+    """Return the text of a weight or level for the platform or its simulator; values of usual size have no exponent."""
     return f"{value:.9g}" if value else "0"
--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads settings files, tells their kind and checks them against `schema.rec`."""
+"""Reads settings files, determines their kind and checks them against `schema.rec`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from onyxhead.settings.model import Address, AgentSettings, ControllerSettings
 
 DEFINITIONS = {"controller": "#Controller", "agent": "#Agent"}
-"""The schema's definitions of the kinds of settings that a process is started with."""
+"""The name of the schema's definition for each kind of daemon settings."""
 OPERATORS_DEFINITION = "#Operators"
 ROUTING_FIELDS = {"pools", "hosts", "choices", "splits"}
 OPERATORS_FIELDS = {"controllers", "agents"}
@@ -25,12 +25,12 @@
 
 @cache
 def schema() -> str:
-    """Return the text of the schema of all settings but routing."""
+    """Return the text of the schema of all settings files but routing files."""
     return resources.files("onyxhead.settings").joinpath("schema.rec").read_text(encoding="utf-8")
 
 
 def read_settings(path: Path) -> ControllerSettings | AgentSettings:
-    """Return the settings in a file, of whichever kind it holds. Raises Faulty."""
+    """Return the controller or agent settings in a file. Raises InvalidConfigurationError."""
     files = load_files(path)
     kind = kind_of(files)
     reader = RecordReader(evaluate_files(files, schema(), DEFINITIONS[kind]), path.parent)
@@ -38,7 +38,10 @@
 
 
 def read_operators(path: Path) -> tuple[dict[str, Address], dict[str, Address]]:
-    """Return the addresses of controllers and of agents by name. Raises Faulty."""
+    """Return the addresses of controllers and of agents by name, as in the `#Operators` definition.
+
+    Raises InvalidConfigurationError.
+    """
     record = evaluate_files(load_files(path), schema(), OPERATORS_DEFINITION)
     reader = RecordReader(record, path.parent)
     controllers = {name: reader.address(text, "controllers", name) for name, text in record["controllers"].items()}
@@ -48,7 +51,7 @@
 
 
 def definition_of(files: list[SourceFile]) -> tuple[str, str]:
-    """Return the schema's text and the name of the definition that files are checked against."""
+    """Return the text of the schema and the name of the definition in it that files must satisfy."""
     names = {member.name for file in files for member in file.struct.members}
     if names & ROUTING_FIELDS:
         return routing_schema(), ROUTING_DEFINITION
@@ -58,7 +61,7 @@
 
 
 def kind_of(files: list[SourceFile]) -> str:
-    """Return "controller" or "agent": the field `kind`, or else by the fields that only one kind has."""
+    """Return "controller" or "agent": the value of `kind` if it is set, else by the fields that only agents have."""
     members = {member.name: member.value for file in files for member in file.struct.members}
     kind = members.get("kind")
     if isinstance(kind, Literal) and kind.value in DEFINITIONS:
--- a/onyxhead/settings/model.py
+++ b/onyxhead/settings/model.py
@@ -1,6 +1,7 @@
-"""The settings that a controller or an agent is started with.
+"""Typed settings of controllers and agents.
 
-Durations that end in seconds are floats; those that the cores take are whole ticks (`onyxhead.time_units`).
+Durations are in seconds as floats, or in ticks (`onyxhead.time_units`) as integers where the decision logic uses them.
+The doc comment of each class states the unit.
 """
 
 from __future__ import annotations
@@ -16,14 +17,14 @@
 
 
 class LogSettings(NamedTuple):
-    """The least level that is logged, and the format: "json" or "console"."""
+    """The lowest level that is logged, and the log format: "json" or "console"."""
 
     level: str
     format: str
 
 
 class DiscoverySettings(NamedTuple):
-    """Where endpoint lists come from: a watched file, or a server that is polled; `interval` in seconds."""
+    """The source of endpoint lists: a watched file or a polled server, checked every `interval` seconds."""
 
     file: Path | None
     server: Address | None
@@ -31,7 +32,7 @@
 
 
 class HealthCheckSettings(NamedTuple):
-    """Active health checks over HTTP; `timeout` in seconds."""
+    """Active health checks over HTTP; `timeout` is in seconds."""
 
     path: str
     timeout: float
@@ -39,7 +40,7 @@
 
 
 class TlsSettings(NamedTuple):
-    """Key files; looked at for changes every `interval` seconds."""
+    """The key files of TLS, checked for changes every `interval` seconds."""
 
     certificate: Path
     key: Path
@@ -49,7 +50,10 @@
 
 
 class AccessRule(NamedTuple):
-    """One rule of access (RFC 8341): for data below a path or for an operation, or for all if neither is named."""
+    """One access control rule (RFC 8341).
+
+    It applies to the data below `path` or to the operation `rpc`; to all data and operations if neither is set.
+    """
 
     name: str
     groups: tuple[str, ...]
@@ -67,7 +71,7 @@
 
 
 class NetconfSettings(NamedTuple):
-    """Where NETCONF is served, and who may do what."""
+    """The addresses that serve NETCONF (None if not served), its users and their access rules."""
 
     ssh: Address | None
     host_key: Path | None
@@ -77,7 +81,7 @@
 
 
 class FleetMember(NamedTuple):
-    """Another controller: its address, its zone and the capacity of its channel."""
+    """A controller of the fleet: its address, its zone and the capacity of its channel."""
 
     address: Address
     zone: str
@@ -85,7 +89,7 @@
 
 
 class FleetSettings(NamedTuple):
-    """The controllers that share the proxies, and the times of their failure detector in ticks."""
+    """The controllers that share the proxies, and the timing of their failure detector in ticks."""
 
     members: dict[str, FleetMember]
     probe_period: int
@@ -95,7 +99,12 @@
 
 
 class LoadReportSettings(NamedTuple):
-    """How load reports are taken in: `interval` in seconds, `byte_rate_limit` in bytes a second for each process."""
+    """How load reports are ingested.
+
+    The controller decodes the reports sent to its own address, `processes` worker processes those sent to `listen`.
+    `interval` is in seconds, `byte_rate_limit` in bytes per second and process. `series` is the directory of time
+    series, None if none are stored.
+    """
 
     listen: Address | None
     processes: int
@@ -105,7 +114,7 @@
 
 
 class ConfiguredBackend(NamedTuple):
-    """What the configuration says of one backend; a weight of 0 leaves it to discovery."""
+    """Configured overrides for one backend. With a weight of 0, the weight from discovery applies."""
 
     weight: float
     drained: bool
@@ -135,8 +144,9 @@
 
 
 class GroupRoute(NamedTuple):
-    """How a proxy recognizes a traffic group, and its retry mode until a controller sets one.
+    """How a proxy handles a traffic group.
 
+    Requests whose path starts with `prefix` belong to the group. `retry_mode` applies until a controller sets one.
     `latency_budget` is in seconds.
     """
 
@@ -147,7 +157,7 @@
 
 
 class ReloadSettings(NamedTuple):
-    """The signal by which the proxy reloads its files, and the file that holds its process id."""
+    """The signal that makes the proxy reload its files, and the file with the proxy's process id."""
 
     pid_file: Path
     signal: str
@@ -156,8 +166,8 @@
 class AgentSettings(NamedTuple):
     """An agent's settings.
 
-    `silence_timeout` and `reconnect_delay` are in seconds, `baseline_rate` in requests a second. `static_endpoints` are
-    table lines that the proxy uses as long as no controller has sent any.
+    `silence_timeout` and `reconnect_delay` are in seconds, `baseline_rate` is in requests per second. The proxy uses
+    the table lines in `static_endpoints` until a controller has sent a table.
     """
 
     name: str
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The language of settings: meanings, faults with their places, includes; and the command that checks files."""
+"""Evaluation of settings files, the positions and texts of diagnostics, includes, and the `check` command."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 """
 
 
-def meaning(text: str) -> dict[str, Any]:
+def evaluate(text: str) -> dict[str, Any]:
     return evaluate_files([parse(text, "f")], SCHEMA, "#T")
 
 
-def faults(text: str) -> list[str]:
-    with pytest.raises(InvalidConfigurationError) as caught:
-        meaning(text)
-    return [str(fault) for fault in caught.value.diagnostics]
+def diagnostics_of(text: str) -> list[str]:
+    with pytest.raises(InvalidConfigurationError) as raised:
+        evaluate(text)
+    return [str(diagnostic) for diagnostic in raised.value.diagnostics]
 
 
-GOOD = 'name: "x", parts: {}, zones: ["a"], either: {file: "f"}\n'
+VALID = 'name: "x", parts: {}, zones: ["a"], either: {file: "f"}\n'
 
 
-def test_defaults_are_taken_and_units_become_one() -> None:
-    assert meaning(GOOD) == {
+def test_defaults_are_applied_and_units_are_converted() -> None:
+    assert evaluate(VALID) == {
         "name": "x",
         "parts": {},
         "zones": ["a"],
@@ -52,66 +52,68 @@
         "mode": "soft",
         "share": 0.5,
     }
-    for text, tenths in (("1500ms", 15_000), ("0.5s", 5000), ("1m", 600_000), ("100000us", 1000)):
-        assert meaning(f"{GOOD} wait: {text}")["wait"] == tenths
-    assert [meaning(f"{GOOD} pace: {text}")["pace"] for text in ("90/s", "120/min", "2/ms")] == [90.0, 2.0, 2000.0]
+    for text, ticks in (("1500ms", 15_000), ("0.5s", 5000), ("1m", 600_000), ("100000us", 1000)):
+        assert evaluate(f"{VALID} wait: {text}")["wait"] == ticks
+    assert [evaluate(f"{VALID} pace: {text}")["pace"] for text in ("90/s", "120/min", "2/ms")] == [90.0, 2.0, 2000.0]
 
 
-def test_references_comments_and_several_parts_of_one_field_come_together() -> None:
-    text = f"""{GOOD} // a comment
+def test_references_are_resolved_and_repeated_fields_are_unified() -> None:
+    text = f"""{VALID} // a comment
     #Big: {{big: 2MiB}}
     usual: 3s"""
     with pytest.raises(InvalidConfigurationError, match="unknown field 'usual'"):
-        meaning(text)
-    got = meaning(f'{GOOD} #Big: {{big: 2MiB, ...}}, parts: {{one: #Big}}, parts: {{one: {{count: 3}}, "t-2": {{}}}}')
-    assert got["parts"] == {"one": {"big": 2097152, "count": 3}, "t-2": {"count": 1}}
-    assert meaning('#n: "x", name: #n, parts: {}, zones: ["b", "z"], either: {server: "s"}')["either"] == {
+        evaluate(text)
+    values = evaluate(
+        f'{VALID} #Big: {{big: 2MiB, ...}}, parts: {{one: #Big}}, parts: {{one: {{count: 3}}, "t-2": {{}}}}'
+    )
+    assert values["parts"] == {"one": {"big": 2097152, "count": 3}, "t-2": {"count": 1}}
+    assert evaluate('#n: "x", name: #n, parts: {}, zones: ["b", "z"], either: {server: "s"}')["either"] == {
         "server": "s",
         "port": 80,
     }
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
-        (f"{GOOD}wait: 2", "f:2:7: wait: 2 is not 2s or a time such as 1500ms"),
-        (f"{GOOD}wait: 2h", "wait"),
-        (f"{GOOD}wait: 5ms", "wait"),
-        (f"{GOOD}pace: 3s", "f:2:7: pace: 3s where a rate such as 900/s is expected"),
-        (f'{GOOD}mode: "sott"', "did you mean 'soft'?"),
-        (f"{GOOD}moed: 1", "did you mean 'mode'?"),
-        (f"{GOOD}share: 1.5", "f:2:8: share"),
-        (f'{GOOD}name: "y"', 'name: "y" conflicts with "x" at f:1:7'),
-        (f"{GOOD}parts: 3", "cannot be combined with a record"),
-        (f"{GOOD}parts: {{a: {{count: 0}}}}", "count"),
-        (f"{GOOD}parts: {{a: {{coutn: 1}}}}", "unknown field 'coutn'; did you mean 'count'?"),
-        (f"{GOOD}mode: hard", "unknown name 'hard'"),
-        (f"{GOOD}a.b: 1", "unexpected '.'"),
-        (GOOD.replace('name: "x"', 'name: "X"'), "does not match"),
-        (GOOD.replace('name: "x", ', ""), "'name' is missing"),
-        (GOOD.replace('["a"]', "[]"), "zones"),
-        (GOOD.replace('["a"]', '["c"]'), 'zones: "c" is not'),
-        (f'{GOOD}name: "unended', "string is not closed on its line"),
-        (f"{GOOD}parts: {{", "unexpected end of file"),
-        (f"{GOOD}wait: 0.00001s", "not a whole number of tenths"),
+        (f"{VALID}wait: 2", "f:2:7: wait: 2 is not 2s or a time such as 1500ms"),
+        (f"{VALID}wait: 2h", "wait"),
+        (f"{VALID}wait: 5ms", "wait"),
+        (f"{VALID}pace: 3s", "f:2:7: pace: 3s where a rate such as 900/s is expected"),
+        (f'{VALID}mode: "sott"', "did you mean 'soft'?"),
+        (f"{VALID}moed: 1", "did you mean 'mode'?"),
+        (f"{VALID}share: 1.5", "f:2:8: share"),
+        (f'{VALID}name: "y"', 'name: "y" conflicts with "x" at f:1:7'),
+        (f"{VALID}parts: 3", "cannot be combined with a record"),
+        (f"{VALID}parts: {{a: {{count: 0}}}}", "count"),
+        (f"{VALID}parts: {{a: {{coutn: 1}}}}", "unknown field 'coutn'; did you mean 'count'?"),
+        (f"{VALID}mode: hard", "unknown name 'hard'"),
+        (f"{VALID}a.b: 1", "unexpected '.'"),
+        (VALID.replace('name: "x"', 'name: "X"'), "does not match"),
+        (VALID.replace('name: "x", ', ""), "'name' is missing"),
+        (VALID.replace('["a"]', "[]"), "zones"),
+        (VALID.replace('["a"]', '["c"]'), 'zones: "c" is not'),
+        (f'{VALID}name: "unended', "string is not closed on its line"),
+        (f"{VALID}parts: {{", "unexpected end of file"),
+        (f"{VALID}wait: 0.00001s", "not a whole number of tenths"),
         ("\x00", "unexpected '\\x00'"),
-        (f"{GOOD}#a: #b, #b: #a, wait: #a", "the value refers to itself"),
+        (f"{VALID}#a: #b, #b: #a, wait: #a", "the value refers to itself"),
         ("a: " + "[" * 500, "nested more than"),
-        (f'{GOOD}mode: *"soft" | *"hard"', "more than one default"),
-        (f'{GOOD}name: =~"("', "invalid regular expression"),
+        (f'{VALID}mode: *"soft" | *"hard"', "more than one default"),
+        (f'{VALID}name: =~"("', "invalid regular expression"),
     ],
 )
-def test_faults_name_their_place_and_what_was_wanted(text: str, wanted: str) -> None:
-    told = faults(text)
-    assert any(wanted in fault for fault in told), told
-    assert all(fault.startswith("f:") for fault in told)
+def test_diagnostics_state_the_position_and_what_was_expected(text: str, expected: str) -> None:
+    diagnostics = diagnostics_of(text)
+    assert any(expected in diagnostic for diagnostic in diagnostics), diagnostics
+    assert all(diagnostic.startswith("f:") for diagnostic in diagnostics)
 
 
-def test_all_faults_of_a_file_come_in_one_pass() -> None:
-    assert len(faults(f"{GOOD}wait: 2\nshare: 7\nmoed: 1\nparts: {{a: {{count: -1}}}}")) == 4
+def test_all_errors_of_a_file_are_reported_at_once() -> None:
+    assert len(diagnostics_of(f"{VALID}wait: 2\nshare: 7\nmoed: 1\nparts: {{a: {{count: -1}}}}")) == 4
 
 
-def test_includes_are_read_once_and_those_that_go_round_or_miss_are_faults(tmp_path: Path) -> None:
+def test_includes_are_read_once_and_circular_or_unreadable_ones_are_reported(tmp_path: Path) -> None:
     (tmp_path / "a.rec").write_text('include "b.rec"\ninclude "c.rec"\nname: "x"\n')
     (tmp_path / "b.rec").write_text('include "c.rec"\nparts: {}\n')
     (tmp_path / "c.rec").write_text('zones: ["a"], either: {file: "f"}\n')
@@ -136,7 +138,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "wanted"),
+    ("old", "new", "expected"),
     [
         ('zone: "n"', 'zone: "x"', ":1:13: zone 'x' is not one of zones"),
         ("expiry: 2s", "expiry: 0.5s", ":2:28: latency_budget of r is longer than its expiry"),
@@ -145,24 +147,24 @@
         ("expiry: 2s", 'expiry: 2s, zones: ["q"]', "zone 'q' of r"),
         ("groups: {r: {", "groups: {}, #g: {r: {", "no traffic"),
         ('{file: "l"}', '{fiel: "l"}', "unknown field 'fiel'"),
-        ("discovery", "channel: {head: 900, most_waiting: 99}\ndiscovery", "no room"),
+        ("discovery", "channel: {head: 900, most_waiting: 99}\ndiscovery", "most_waiting is too small"),
     ],
 )
-def test_settings_that_contradict_themselves_are_faults(tmp_path: Path, old: str, new: str, wanted: str) -> None:
+def test_contradictory_settings_are_rejected(tmp_path: Path, old: str, new: str, expected: str) -> None:
     path = tmp_path / "c.rec"
     path.write_text(CONTROLLER)
     assert isinstance(load.read_settings(path), model.ControllerSettings)
     path.write_text(CONTROLLER.replace(old, new))
-    with pytest.raises(InvalidConfigurationError, match=wanted.replace("(", r"\(")):
+    with pytest.raises(InvalidConfigurationError, match=expected.replace("(", r"\(")):
         load.read_settings(path)
 
 
-def test_check_names_every_fault_and_exits_with_2(tmp_path: Path) -> None:
-    good, bad = tmp_path / "good.rec", tmp_path / "bad.rec"
-    good.write_text(CONTROLLER)
-    bad.write_text(CONTROLLER.replace("state", "sate"))
-    result = CliRunner().invoke(main, ["check", str(good)])
+def test_check_reports_the_errors_of_all_files_and_exits_with_2(tmp_path: Path) -> None:
+    valid, invalid = tmp_path / "good.rec", tmp_path / "bad.rec"
+    valid.write_text(CONTROLLER)
+    invalid.write_text(CONTROLLER.replace("state", "sate"))
+    result = CliRunner().invoke(main, ["check", str(valid)])
     assert (result.exit_code, result.output) == (0, "1 sound\n")
-    result = CliRunner().invoke(main, ["check", str(good), str(bad), str(tmp_path / "none")])
+    result = CliRunner().invoke(main, ["check", str(valid), str(invalid), str(tmp_path / "none")])
     assert result.exit_code == 2 and "did you mean 'state'" in result.output and "cannot read" in result.output
-    assert CliRunner().invoke(main, ["serve", str(bad)]).exit_code == 2
+    assert CliRunner().invoke(main, ["serve", str(invalid)]).exit_code == 2
