--- a/onyxhead/configuration_language/evaluator.py
+++ b/onyxhead/configuration_language/evaluator.py
@@ -29,10 +29,10 @@
     Record,
     Scalar,
     Value,
+    configuration_position,
     describe,
     describe_choices,
-    is_given,
-    outside_definitions,
+    is_present,
     suggest,
 )
 
@@ -125,10 +125,10 @@
         members: dict[str, Field] = {}
         for member in struct.members:
             value = self._evaluate_acyclic(member.value, scope, closed or member.name.startswith("#"))
-            known = members.get(member.name)
-            if known is not None:
-                value = self.unifier.unify(known.value, value, member.name)
-            optional = member.optional and (known is None or known.optional)
+            previous = members.get(member.name)
+            if previous is not None:
+                value = self.unifier.unify(previous.value, value, member.name)
+            optional = member.optional and (previous is None or previous.optional)
             members[member.name] = Field(member.position, optional, value)
         pattern_value = self.evaluate(struct.pattern_value, scope, closed) if struct.pattern_value else None
         return Record(struct.position, members, pattern_value, closed and not struct.open)
@@ -193,7 +193,7 @@
                 return float(literal.value) if value.kind in ("number", "rate") else literal.value
             case ListValue():
                 return [
-                    self.to_plain(item, f"{name}[{index}]", outside_definitions(item.position, enclosing))
+                    self.to_plain(item, f"{name}[{index}]", configuration_position(item.position, enclosing))
                     for index, item in enumerate(value.items)
                 ]
             case Record():
@@ -203,9 +203,9 @@
     def _to_plain_record(self, record: Record) -> PlainRecord:
         plain = PlainRecord(record.position)
         for name, field in record.members.items():
-            if name.startswith("#") or (field.optional and not is_given(field.value)):
+            if name.startswith("#") or (field.optional and not is_present(field.value)):
                 continue
-            position = outside_definitions(field.position, record.position)
+            position = configuration_position(field.position, record.position)
             plain.positions[name] = position
             plain[name] = self.to_plain(field.value, name, position)
         return plain
--- a/onyxhead/configuration_language/json_schema.py
+++ b/onyxhead/configuration_language/json_schema.py
@@ -81,7 +81,7 @@
     if len(constants) == len(choices):
         schema: JsonSchema = {"enum": list(dict.fromkeys(constants))}
     else:
-        # A constant default is usually of the same type as the other choice, so it adds nothing to the schema.
+        # A default of the same type as another choice (`*2s | duration`) adds no constraint and is left out.
         empty_array = {"type": "array", "items": False}
         types = [choice for choice in choices if "const" not in choice and choice != empty_array]
         schema = types[0] if len(types) == 1 else {"anyOf": types or choices}
--- a/onyxhead/configuration_language/unification.py
+++ b/onyxhead/configuration_language/unification.py
@@ -19,10 +19,10 @@
     Record,
     Scalar,
     Value,
+    configuration_position,
     describe,
     describe_choices,
     is_empty,
-    outside_definitions,
     suggest,
 )
 
@@ -57,11 +57,11 @@
         for unconstrained, other in ((first, second), (second, first)):
             if unconstrained == Scalar(unconstrained.position):
                 return other
-        position = outside_definitions(first.position, second.position)
+        position = configuration_position(first.position, second.position)
         if first.position == second.position:
-            return self.report(position, "conflict")
+            return self.report(position, "conflicting values")
         text = f"{describe(second)} at {second.position} cannot be combined with {describe(first)}"
-        return self.report(position, _prefix(name) + text)
+        return self.report(position, _field_prefix(name) + text)
 
     def _unify_scalars(self, first: Scalar, second: Scalar, name: str) -> Value:
         kind = _narrower_kind(first.kind, second.kind)
@@ -70,15 +70,15 @@
             given = subject.literal.text if subject.literal else KIND_DESCRIPTIONS[subject.kind]
             expected = KIND_DESCRIPTIONS[constraint.kind]
             return self.report(
-                subject.position, f"{_prefix(name)}{given} where {expected} is expected ({constraint.position})"
+                subject.position, f"{_field_prefix(name)}{given} where {expected} is expected ({constraint.position})"
             )
         if first.literal and second.literal and first.literal.value != second.literal.value:
-            text = f"{_prefix(name)}{second.literal.text} conflicts with {first.literal.text} at {first.position}"
+            text = f"{_field_prefix(name)}{second.literal.text} conflicts with {first.literal.text} at {first.position}"
             return self.report(second.position, text)
         literal = first.literal or second.literal
         if kind == "int" and literal is not None and literal.kind == "number":
             expected = KIND_DESCRIPTIONS["int"]
-            text = f"{_prefix(name)}{literal.text} where {expected} is expected ({constraint.position})"
+            text = f"{_field_prefix(name)}{literal.text} where {expected} is expected ({constraint.position})"
             return self.report(literal.position, text)
         limits = (*first.limits, *(limit for limit in second.limits if limit not in first.limits))
         patterns = (*first.patterns, *(pattern for pattern in second.patterns if pattern not in first.patterns))
@@ -90,11 +90,13 @@
         assert literal is not None
         for limit in scalar.limits:
             if not COMPARISONS[limit.operator](literal.value, limit.bound.value):
-                text = f"{_prefix(name)}{literal.text} is not {limit.operator} {limit.bound.text} ({limit.position})"
+                text = (
+                    f"{_field_prefix(name)}{literal.text} is not {limit.operator} {limit.bound.text} ({limit.position})"
+                )
                 return self.report(literal.position, text)
         for pattern in scalar.patterns:
             if not re.search(pattern.regex, literal.value):
-                text = f"{_prefix(name)}{literal.text} does not match {pattern.regex!r} ({pattern.position})"
+                text = f"{_field_prefix(name)}{literal.text} does not match {pattern.regex!r} ({pattern.position})"
                 return self.report(literal.position, text)
         return scalar
 
@@ -112,12 +114,12 @@
         pattern_value = first.pattern_value if second.pattern_value is None else second.pattern_value
         if first.pattern_value is not None and second.pattern_value is not None:
             pattern_value = self.unify(first.pattern_value, second.pattern_value)
-        position = outside_definitions(first.position, second.position)
+        position = configuration_position(first.position, second.position)
         return Record(position, members, pattern_value, first.closed or second.closed)
 
     def _unify_fields(self, first: Field, second: Field, name: str) -> Field:
         value = self.unify(first.value, second.value, name)
-        position = outside_definitions(first.position, second.position)
+        position = configuration_position(first.position, second.position)
         return Field(position, first.optional and second.optional, value)
 
     def _unify_with_pattern(self, field: Field, name: str, other: Record) -> Field | None:
@@ -134,14 +136,14 @@
         return field
 
     def _unify_lists(self, first: ListValue, second: ListValue, name: str) -> Value:
-        position = outside_definitions(first.position, second.position)
+        position = configuration_position(first.position, second.position)
         items = []
         for index in range(max(len(first.items), len(second.items))):
             first_item, second_item = _item(first, index), _item(second, index)
             if first_item is None or second_item is None:
                 fewer, more = sorted((len(first.items), len(second.items)))
                 return self.report(
-                    position, f"{_prefix(name)}a list of {more} items cannot be combined with a list of {fewer}"
+                    position, f"{_field_prefix(name)}a list of {more} items cannot be combined with a list of {fewer}"
                 )
             items.append(self.unify(first_item, second_item, name))
         item_type = None
@@ -157,19 +159,19 @@
 
         If several can, they stay a disjunction until defaults are applied at the end of evaluation.
         """
-        fitting: list[tuple[bool, Value]] = []
+        matching: list[tuple[bool, Value]] = []
         failures: list[list[Diagnostic]] = []
         for default, choice in disjunction.choices:
-            attempt = Unifier()
+            choice_unifier = Unifier()
             pair = (choice, other) if disjunction_first else (other, choice)
-            unified = attempt.unify(*pair, name)
-            if not attempt.diagnostics:
-                fitting.append((default, unified))
+            unified = choice_unifier.unify(*pair, name)
+            if not choice_unifier.diagnostics:
+                matching.append((default, unified))
             elif not (is_empty(choice) and type(choice) is type(other)):
                 # An empty default is not what the author of a non-empty value had in mind, so its error is left out.
-                failures.append(attempt.diagnostics)
-        if fitting:
-            return Disjunction(other.position, tuple(fitting)) if len(fitting) > 1 else fitting[0][1]
+                failures.append(choice_unifier.diagnostics)
+        if matching:
+            return Disjunction(other.position, tuple(matching)) if len(matching) > 1 else matching[0][1]
         if len(failures) == 1 or isinstance(other, Record):
             # Of several record types, the one with the fewest errors is most likely the intended one.
             fewest_errors = min(failures, key=len)
@@ -177,7 +179,7 @@
             return Invalid(other.position)
         similar = suggest(str(_literal(other)), [str(_literal(choice)) for _, choice in disjunction.choices])
         expected = f"{describe_choices(disjunction)}{similar} ({disjunction.position})"
-        return self.report(other.position, f"{_prefix(name)}{describe(other)} is not {expected}")
+        return self.report(other.position, f"{_field_prefix(name)}{describe(other)} is not {expected}")
 
 
 def _item(value: ListValue, index: int) -> Value | None:
@@ -202,5 +204,5 @@
     return value.literal.value if isinstance(value, Scalar) and value.literal else ""
 
 
-def _prefix(name: str) -> str:
+def _field_prefix(name: str) -> str:
     return f"{name}: " if name else ""
--- a/onyxhead/configuration_language/values.py
+++ b/onyxhead/configuration_language/values.py
@@ -81,7 +81,7 @@
 Value = Scalar | Record | ListValue | Disjunction | Invalid
 
 
-def outside_definitions(first: SourcePosition, second: SourcePosition) -> SourcePosition:
+def configuration_position(first: SourcePosition, second: SourcePosition) -> SourcePosition:
     """Return the first position, or the second if the first lies in the built-in definitions."""
     return second if first.file == BUILT_IN else first
 
@@ -93,7 +93,7 @@
     return isinstance(value, ListValue) and not value.items and value.item_type is None
 
 
-def is_given(value: Value) -> bool:
+def is_present(value: Value) -> bool:
     """Return whether the configuration sets this value or it has a default. Optional fields are left out otherwise."""
     match value:
         case Scalar():
--- a/onyxhead/settings/instance.py
+++ b/onyxhead/settings/instance.py
@@ -1,4 +1,4 @@
-"""Reads the settings document that the simulated platform gives to a controller instance at its start.
+"""Reads the settings document that a deployment gives to one controller at its start, in the simulator's format.
 
 Both hosts of the policy, the one on the simulator's line protocol and the one on sockets, use this module. Durations in
 the document are in nanoseconds and are converted to ticks (`onyxhead.time_units`).
@@ -128,5 +128,5 @@
 
 
 def format_number(value: float) -> str:
-    """Return the text of a weight or level for the platform or its simulator; values of usual size have no exponent."""
+    """Return a weight or level as text for the platform and its simulator; numbers of usual size get no exponent."""
     return f"{value:.9g}" if value else "0"
