--- a/onyxhead/configuration_language/evaluator.py
+++ b/onyxhead/configuration_language/evaluator.py
@@ -89,7 +89,10 @@
         return self.unifier.diagnostics
 
     def evaluate(self, term: Term, scope: Scope, closed: bool) -> Value:
-        """Return the value of a term. With `closed`, records in the term allow no fields but those they list."""
+        """Return the value of a term.
+
+        With `closed`, records in the term are closed: fields must be listed, or allowed by a pattern or by `...`.
+        """
         match term:
             case Literal():
                 return Scalar(term.position, term.kind, literal=term)
--- a/onyxhead/configuration_language/values.py
+++ b/onyxhead/configuration_language/values.py
@@ -55,9 +55,9 @@
 
 
 class ListValue(NamedTuple):
-    """A list. `item_type` returns the value that further items must satisfy, None if no further items are allowed.
+    """A list. `item_type` returns the value that further items must satisfy; without it, no further items are allowed.
 
-    It is a function that is called only when there is such an item, so that a definition may contain lists of itself.
+    It is called only when there is a further item, so that a definition may contain lists of itself.
     """
 
     position: SourcePosition
