--- a/onyxhead/fronts/netconf/editing.py
+++ b/onyxhead/fronts/netconf/editing.py
@@ -45,7 +45,7 @@
 
 
 def copy_config(context: SessionContext, request: Element) -> list[Element]:
-    """Replace the content of a datastore by that of another one or by the configuration in the request."""
+    """Replace the content of a datastore with that of another one or by the configuration in the request."""
     target, tree = datastore_parameter(request, "target"), _source_tree(context, request)
     service = context.service
     service.replace(context.user, context.session_id, target, service.datastores.get(target), tree)
--- a/onyxhead/fronts/netconf/errors.py
+++ b/onyxhead/fronts/netconf/errors.py
@@ -4,7 +4,7 @@
 
 
 class NetconfError(Exception):
-    """Base class of the errors raised while messages are received."""
+    """Base class of errors in the framing or the XML of received messages."""
 
 
 class FramingError(NetconfError):
--- a/onyxhead/fronts/netconf/server.py
+++ b/onyxhead/fronts/netconf/server.py
@@ -101,7 +101,7 @@
                 session.receive(data)
                 await writer.drain()
         except (OSError, asyncssh.Error, asyncio.IncompleteReadError):
-            pass  # The connection is lost; the session is released below.
+            pass  # the connection is lost; the session ends below
         finally:
             self._sessions.discard(session)
             session.on_transport_closed()
--- a/onyxhead/fronts/netconf/session.py
+++ b/onyxhead/fronts/netconf/session.py
@@ -23,7 +23,7 @@
 
 
 class NetconfSession:
-    """Handles one client's messages and sends the replies. Its creation sends the server's `hello`.
+    """Handles one client's messages and sends the replies. Creating a session sends the server's `hello`.
 
     `write` passes bytes to the transport and `close_transport` closes it.
     """
--- a/onyxhead/fronts/netconf/xml_elements.py
+++ b/onyxhead/fronts/netconf/xml_elements.py
@@ -94,5 +94,5 @@
 
 
 def copy_element(element: Element) -> Element:
-    """Return a copy of an element that has no parent."""
+    """Return a copy of an element, detached from the element's parent."""
     return etree.fromstring(etree.tostring(element))
