--- a/onyxhead/routing/__init__.py
+++ b/onyxhead/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Request routing: virtual hosts, locations, and the pool that a request is forwarded to."""
+"""Request routing: virtual hosts, locations, and the pool to which a request is forwarded."""
--- a/onyxhead/routing/location_matching.py
+++ b/onyxhead/routing/location_matching.py
@@ -1,14 +1,19 @@
-"""Which location a request path belongs to, by the rules that nginx publishes for `location`.
-
-An exact location ends the search. Otherwise the longest prefix is remembered; if it is of the kind `prefix-first`
-(`^~`), no regular expression of its level is evaluated. Otherwise regular expressions are evaluated in their order and
-the first match counts. Locations nested in the chosen one are searched in the same way: a nested match, exact or by
-regular expression, ends the search; a nested prefix does not keep the outer level's expressions from being evaluated.
-
-`LinearLocationMatcher` does just that by looking at each location; it is the reference that tests and benchmarks
-compare with. `CompiledLocationMatcher` gives the same results with work that hardly grows with the number of locations:
-prefixes are found by one lookup for each length, expressions that begin with literal text likewise, and only the
-expressions that may match anywhere are evaluated one by one.
+"""Finds the location for a request path, by the rules that nginx publishes for its `location` directive.
+
+The search works as follows on each level of nesting:
+
+1. An exact location that equals the path ends the search.
+2. Otherwise the location with the longest matching prefix is remembered, and its nested locations are searched. A match
+   among these that is exact or by regular expression ends the search.
+3. If the longest prefix has the kind `prefix-first` (nginx's `^~`), the regular expressions of this level are skipped.
+   Otherwise they are evaluated in the order of the configuration, also if a nested prefix has matched, and the first
+   match ends the search. A match among the nested locations of that expression takes precedence over the expression.
+4. If no regular expression matches, the remembered prefix applies, or the match among its nested locations.
+
+`LinearLocationMatcher` implements these rules by testing each location. Tests and benchmarks use it as the reference.
+`CompiledLocationMatcher` gives the same results, but its cost hardly grows with the number of locations: it looks up
+prefixes in a dictionary, once for each length, and does the same for regular expressions that begin with literal text.
+Only the other regular expressions are evaluated one by one.
 """
 
 from __future__ import annotations
@@ -20,24 +25,28 @@
 
 from onyxhead.routing.model import PREFIX_KINDS, REGEX_KINDS, Location
 
-_regex_parser: Any = importlib.import_module("re._parser")  # the standard library's, which has no public name
+_regex_parser: Any = importlib.import_module(
+    "re._parser"
+)  # private, since the standard library has no public regex parser
 
 
 class LevelMatch(NamedTuple):
-    """The match on one level of nesting; `is_final` means that no outer level may override it."""
+    """The result of a search on one level of nesting.
+
+    If `is_final` is set, the regular expressions of the outer levels are not evaluated any more."""
 
     location: Location | None
     is_final: bool
 
 
 class LinearLocationMatcher:
-    """The reference implementation: looks at every location."""
+    """Finds locations by testing each of them; the reference for `CompiledLocationMatcher`."""
 
     def __init__(self, locations: Iterable[Location]) -> None:
         self._locations = [location for location in locations if location.kind != "named"]
 
     def find(self, path: str) -> Location | None:
-        """Return the location for a normalized path."""
+        """Return the location for a normalized path, or None if no location matches."""
         return self._find(self._locations, path).location
 
     def _find(self, locations: Iterable[Location], path: str) -> LevelMatch:
@@ -84,15 +93,17 @@
 
 
 class _CompiledLevel:
-    """Indexes of the locations on one level of nesting. Expressions are known by their number, which is their order."""
+    """Holds indexes of the locations on one level of nesting.
+
+    Each regular expression has a number, which is its position in the order of the configuration."""
 
     def __init__(self, locations: Iterable[Location]) -> None:
         self._exact: dict[str, Location] = {}
         self._prefixes: dict[str, tuple[Location, _CompiledLevel | None]] = {}
         self._regexes: list[_CompiledRegex] = []
-        self._regexes_by_head: dict[str, list[int]] = {}
-        self._caseless_regexes_by_head: dict[str, list[int]] = {}
-        self._unanchored_regexes: list[int] = []
+        self._regexes_by_literal_prefix: dict[str, list[int]] = {}
+        self._caseless_regexes_by_literal_prefix: dict[str, list[int]] = {}
+        self._unindexed_regexes: list[int] = []
         for location in locations:
             nested = _CompiledLevel(location.nested) if location.nested else None
             if location.kind == "exact":
@@ -102,20 +113,24 @@
             elif location.kind in REGEX_KINDS:
                 self._add_regex(location, nested)
         self._prefix_lengths = sorted({len(pattern) for pattern in self._prefixes}, reverse=True)
-        self._head_lengths = sorted({len(head) for head in self._regexes_by_head})
-        self._caseless_head_lengths = sorted({len(head) for head in self._caseless_regexes_by_head})
+        self._literal_prefix_lengths = sorted(
+            {len(literal_prefix) for literal_prefix in self._regexes_by_literal_prefix}
+        )
+        self._caseless_literal_prefix_lengths = sorted(
+            {len(literal_prefix) for literal_prefix in self._caseless_regexes_by_literal_prefix}
+        )
 
     def _add_regex(self, location: Location, nested: _CompiledLevel | None) -> None:
         number = len(self._regexes)
         pattern = re.compile(location.pattern, _regex_flags(location))
         self._regexes.append(_CompiledRegex(pattern, location, nested))
-        head = literal_head(location.pattern)
-        if not head:
-            self._unanchored_regexes.append(number)
+        literal_prefix = find_literal_prefix(location.pattern)
+        if not literal_prefix:
+            self._unindexed_regexes.append(number)
         elif location.kind == "regex-caseless":
-            self._caseless_regexes_by_head.setdefault(head.lower(), []).append(number)
+            self._caseless_regexes_by_literal_prefix.setdefault(literal_prefix.lower(), []).append(number)
         else:
-            self._regexes_by_head.setdefault(head, []).append(number)
+            self._regexes_by_literal_prefix.setdefault(literal_prefix, []).append(number)
 
     def find(self, path: str) -> LevelMatch:
         if (exact := self._exact.get(path)) is not None:
@@ -139,30 +154,30 @@
         return LevelMatch(match, False)
 
     def _candidate_regexes(self, path: str) -> list[int]:
-        """Return the numbers of the expressions that may match, in their order."""
-        candidates = list(self._unanchored_regexes)
-        for length in self._head_lengths:
-            candidates += self._regexes_by_head.get(path[:length], ())
-        if self._caseless_head_lengths:
+        """Return the numbers of the regular expressions that may match the path, in ascending order."""
+        candidates = list(self._unindexed_regexes)
+        for length in self._literal_prefix_lengths:
+            candidates += self._regexes_by_literal_prefix.get(path[:length], ())
+        if self._caseless_literal_prefix_lengths:
             lower = path.lower()
-            for length in self._caseless_head_lengths:
-                candidates += self._caseless_regexes_by_head.get(lower[:length], ())
+            for length in self._caseless_literal_prefix_lengths:
+                candidates += self._caseless_regexes_by_literal_prefix.get(lower[:length], ())
         return sorted(set(candidates))
 
 
 class CompiledLocationMatcher:
-    """Finds locations by indexes. Raises re.error for an invalid regular expression."""
+    """Finds locations by lookups in indexes. Creating it raises re.error for an invalid regular expression."""
 
     def __init__(self, locations: Iterable[Location]) -> None:
         self._level = _CompiledLevel(locations)
 
     def find(self, path: str) -> Location | None:
-        """Return the location for a normalized path."""
+        """Return the location for a normalized path, or None if no location matches."""
         return self._level.find(path).location
 
 
-def literal_head(pattern: str) -> str:
-    """Return the text that a path must begin with for this expression to match; empty where that is not certain."""
+def find_literal_prefix(pattern: str) -> str:
+    """Return literal text that each path matching this regular expression begins with; empty if none is certain."""
     try:
         parsed = _regex_parser.parse(pattern)
     except (re.error, OverflowError):
@@ -172,10 +187,10 @@
     operations = list(parsed)
     if not operations or operations[0] != (_regex_parser.AT, _regex_parser.AT_BEGINNING):
         return ""
-    head = ""
+    literal_prefix = ""
     for operation, value in operations[1:]:
         if operation is not _regex_parser.LITERAL:
             break
-        head += chr(value)
-    # Letters that change their length with their case would be looked up under another one.
-    return head if head.isascii() else ""
+        literal_prefix += chr(value)
+    # Lowercasing can change the length of non-ASCII text, and a lookup by length would then miss the expression.
+    return literal_prefix if literal_prefix.isascii() else ""
--- a/onyxhead/routing/paths.py
+++ b/onyxhead/routing/paths.py
@@ -1,4 +1,4 @@
-"""Request paths: their normal form, and the path under which a backend is asked."""
+"""Normalization of request paths, and the paths of requests that are forwarded to backends."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 def normalize_path(path: str) -> str:
-    """Return a request's path as locations see it.
+    """Return the path that is matched against locations.
 
-    Without arguments and fragment, percent-decoded, with `.`, `..` and doubled slashes resolved."""
+    The query and the fragment are removed, percent-encoding is decoded, and `.`, `..` and repeated slashes are
+    resolved."""
     path = path.partition("?")[0].partition("#")[0]
     path = re.sub(r"%([0-9A-Fa-f]{2})", lambda match: chr(int(match[1], 16)), path)
     segments: list[str] = []
@@ -25,12 +26,12 @@
 
 
 def backend_path(location: Location, target: Target, path: str, normalized_path: str) -> str:
-    """Return the path that the backend is asked for.
+    """Return the path that is sent to the backend, with the query of the request.
 
-    If the target has a path of its own, it takes the place of what the location matched; arguments are kept."""
+    If the target has a path, it replaces the part of the request path that the location matched."""
     if target.path is None:
         return path
     matched_length = len(location.pattern) if location.kind in ("exact", *PREFIX_KINDS) else 0
-    arguments = path.partition("?")[2]
-    replaced = target.path + normalized_path[matched_length:] if matched_length else target.path
-    return replaced + (f"?{arguments}" if arguments else "")
+    query = path.partition("?")[2]
+    replaced_path = target.path + normalized_path[matched_length:] if matched_length else target.path
+    return replaced_path + (f"?{query}" if query else "")
--- a/onyxhead/routing/router.py
+++ b/onyxhead/routing/router.py
@@ -1,4 +1,4 @@
-"""From a request's host and path to the pool that it is forwarded to."""
+"""Chooses the pool to which a request is forwarded, by its host and path."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 
 
 class RouteDecision(NamedTuple):
-    """Where a request goes: to `pool` under `path`; if `pool` is empty, `status` is the response."""
+    """The result of routing a request.
+
+    The request is forwarded to `pool` with `path`; if `pool` is empty, it is answered with `status`."""
 
     host: VirtualHost | None
     location: Location | None
@@ -24,7 +26,7 @@
 
 
 class Router:
-    """A routing configuration compiled for lookups. Raises re.error for an invalid regular expression."""
+    """A routing configuration compiled for lookups. Creating it raises re.error for an invalid regular expression."""
 
     def __init__(self, routing: Routing) -> None:
         self.routing = routing
@@ -32,8 +34,10 @@
         self._hosts = VirtualHostTable(routing.hosts)
         self._matchers = {id(host): CompiledLocationMatcher(host.locations) for host in routing.hosts}
 
-    def route(self, host_name: str, path: str, known: Mapping[str, str] | None = None) -> RouteDecision:
-        """Return where a request goes; `known` are its variables by name without the dollar sign."""
+    def route(self, host_name: str, path: str, request_variables: Mapping[str, str] | None = None) -> RouteDecision:
+        """Return the routing decision for a request.
+
+        `request_variables` maps the names of its variables, without the dollar sign, to their values."""
         host = self._hosts.find(host_name)
         if host is None:
             return RouteDecision(None, None, "", path, HTTPStatus.NOT_FOUND.value)
@@ -43,7 +47,7 @@
             status = location.status if location and location.status else HTTPStatus.NOT_FOUND.value
             return RouteDecision(host, location, "", path, status)
         target = location.target
-        variables = {"host": host_name, "uri": normalized_path, "request_uri": path} | dict(known or {})
+        variables = {"host": host_name, "uri": normalized_path, "request_uri": path} | dict(request_variables or {})
         pool = target.pool or self.variables.value(target.variable, variables)
         path = backend_path(location, target, path, normalized_path)
         if pool not in self.routing.pools:
--- a/onyxhead/routing/routing_file.py
+++ b/onyxhead/routing/routing_file.py
@@ -1,4 +1,6 @@
-"""Routing read from records and written as records. The names of record fields stand here and in `schema.rec` only."""
+"""Reads the routing configuration from records and writes it as records.
+
+Only this module and `schema.rec` contain the names of the record fields."""
 
 from __future__ import annotations
 
@@ -29,7 +31,7 @@
 ROUTING_DEFINITION = "#Routing"
 
 Fields = dict[str, Any]
-"""Fields of one record, as the configuration language's writer takes them."""
+"""The fields of one record, in the form that the writer of the configuration language accepts."""
 
 SERVER_DEFAULTS: Fields = {
     "weight": 1,
@@ -46,7 +48,7 @@
 
 
 def schema_text() -> str:
-    """Return the schema of routing records."""
+    """Return the schema of the routing records in the configuration language."""
     return resources.files("onyxhead.routing").joinpath("schema.rec").read_text(encoding="utf-8")
 
 
@@ -54,7 +56,9 @@
 
 
 def read_routing(path: Path) -> Routing:
-    """Read a file and check that it can be acted on. Raises InvalidConfigurationError."""
+    """Read a routing configuration from a file and validate it.
+
+    Raise InvalidConfigurationError with a diagnostic for each fault."""
     record = evaluate_files(load_files(path), schema_text(), ROUTING_DEFINITION)
     pools = {name: _read_pool(name, pool) for name, pool in record["pools"].items()}
     location_reader = _LocationReader(pools)
@@ -100,7 +104,7 @@
 
 
 class _LocationReader:
-    """Reads locations and collects what is wrong with them beyond what the schema can express."""
+    """Reads locations, and collects diagnostics for faults that the schema cannot detect."""
 
     def __init__(self, pools: dict[str, Pool]) -> None:
         self._pools = pools
@@ -112,7 +116,9 @@
             try:
                 re.compile(record["pattern"])
             except re.error as error:
-                self.diagnostics.append(Diagnostic(record.position_of("pattern"), f"no expression: {error}"))
+                self.diagnostics.append(
+                    Diagnostic(record.position_of("pattern"), f"invalid regular expression: {error}")
+                )
         tries = record["tries"]
         return Location(
             kind=record["kind"],
@@ -135,10 +141,12 @@
             target_record["pool"], target_record["variable"], target_record.get("path"), target_record["scheme"]
         )
         if bool(target.pool) == bool(target.variable):
-            diagnostic = Diagnostic(record.position_of("target"), "a target is either a pool or a variable")
+            diagnostic = Diagnostic(
+                record.position_of("target"), "a target must have either a pool or a variable, not both"
+            )
             self.diagnostics.append(diagnostic)
         elif target.pool and target.pool not in self._pools:
-            diagnostic = Diagnostic(target_record.position_of("pool"), f"there is no pool {target.pool!r}")
+            diagnostic = Diagnostic(target_record.position_of("pool"), f"pool {target.pool!r} is not defined")
             self.diagnostics.append(diagnostic)
         return target
 
@@ -147,7 +155,9 @@
 
 
 def format_routing(routing: Routing) -> str:
-    """Return records that `read_routing` reads as the same routing; values that are defaults are left out."""
+    """Return the routing configuration as the text of records, which `read_routing` accepts.
+
+    Fields that have their default values are left out."""
     fields = {
         "pools": {name: _pool_fields(pool) for name, pool in routing.pools.items()},
         "hosts": [_host_fields(host) for host in routing.hosts],
--- a/onyxhead/routing/virtual_hosts.py
+++ b/onyxhead/routing/virtual_hosts.py
@@ -1,4 +1,4 @@
-"""Which virtual host a request belongs to, by the rules that nginx publishes for `server_name`."""
+"""Finds the virtual host for a request, by the rules that nginx publishes for `server_name`."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class VirtualHostTable:
-    """Finds the virtual host for a name.
+    """Finds the virtual host for a host name.
 
-    In this order: an exact name, the longest `*.x`, the longest `x.*`, regular expressions in their order, and the
-    default host, which is the one marked so or else the first."""
+    The first match counts, in this order: an exact name; the longest `*.x`; the longest `x.*`; a regular expression, in
+    the order of the configuration; the default host. The default host is the first with `is_default`, or else the first
+    of all."""
 
     def __init__(self, hosts: Iterable[VirtualHost]) -> None:
         self._by_name: dict[str, VirtualHost] = {}
@@ -42,13 +43,15 @@
             self._by_name.setdefault(name, host)
 
     def find(self, name: str) -> VirtualHost | None:
-        """Return the host for the value of a Host header, whose port is ignored; None only if there are no hosts."""
+        """Return the virtual host for the value of a Host header; None only if there are no hosts.
+
+        The port is ignored, and so is a dot at the end."""
         name = name.lower().rstrip(".")
         if not name.startswith("["):
             name = name.partition(":")[0]
         if name in self._by_name:
             return self._by_name[name]
-        dots = [place for place, letter in enumerate(name) if letter == "."]
+        dots = [index for index, character in enumerate(name) if character == "."]
         for dot in dots:
             if (host := self._by_suffix.get(name[dot:])) is not None and dot:
                 return host
