--- a/onyxhead/fronts/nginx/__init__.py
+++ b/onyxhead/fronts/nginx/__init__.py
@@ -1,1 +1,1 @@
-"""Import and export of nginx configurations: blocks carried over into routing records, and written from them."""
+"""Import of nginx configurations into the routing configuration, and its export as nginx blocks."""
--- a/onyxhead/fronts/nginx/directive_reader.py
+++ b/onyxhead/fronts/nginx/directive_reader.py
@@ -1,4 +1,4 @@
-"""Reads the directives of a parsed nginx configuration through its includes."""
+"""Reads the directives of a parsed nginx configuration and follows its includes."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from onyxhead.fronts.nginx.import_report import ImportReport
 
 TRANSPARENT_BLOCKS = {"http", "stream", "events"}
-"""Blocks whose directives are read as if they stood outside."""
+"""Blocks whose directives are read as if they were at the top level."""
 
 
 class DirectiveReader:
-    """Yields directives in the order of the files' lines, with those of included files in place of the `include`.
+    """Yields directives in the order of their lines; those of an included file come in place of the `include`.
 
-    `files` are crossplane's, the first being the one that was asked for. Reports includes that can't be followed."""
+    `files` are the files as crossplane parses them; the first is the main file. Syntax errors, missing files and
+    include cycles are added to the report."""
 
     def __init__(self, files: Sequence[SyntaxNode], report: ImportReport) -> None:
         self._files = files
@@ -22,7 +23,7 @@
 
     @property
     def main_file(self) -> str:
-        """The file that was asked for."""
+        """The path of the file at which the import starts."""
         return str(self._files[0]["file"])
 
     def top_level(self) -> Iterator[Directive]:
@@ -30,18 +31,18 @@
         return self._read_file(0, ())
 
     def nested(self, directive: Directive) -> Iterator[Directive]:
-        """Yield the directives of a directive's block."""
+        """Yield the directives in the block of a directive."""
         return self._read_nodes(directive.block, directive.file_number, directive.include_chain)
 
     def upstream_names(self) -> set[str]:
-        """Return the names of the upstreams of all files; one may be used before the line that defines it."""
+        """Return the names of the upstreams in all files, since an upstream may be used before its definition."""
         return {name for file in self._files for name in _upstream_names(file.get("parsed", ()))}
 
     def _read_file(self, file_number: int, include_chain: tuple[int, ...]) -> Iterator[Directive]:
         file = self._files[file_number]
         for error in file.get("errors", ()):
             text = str(error.get("error", "")).split(" in ")[0]
-            self._report.syntax_error(file["file"], int(error.get("line") or 0), text)
+            self._report.add_syntax_error(file["file"], int(error.get("line") or 0), text)
         yield from self._read_nodes(file.get("parsed", ()), file_number, include_chain)
 
     def _read_nodes(
@@ -49,7 +50,8 @@
     ) -> Iterator[Directive]:
         file = self._files[file_number]["file"]
         for node in nodes:
-            # A block is read with the file that it stands in, since includes in it are relative to that file.
+            # A block belongs to the file that contains it, since includes in the block are relative to that file. The
+            # directive therefore keeps the number and the include chain of its file.
             directive = directive_from_node(node, file, file_number, include_chain)
             if node["directive"] == "include":
                 yield from self._read_includes(node, directive)
@@ -60,14 +62,14 @@
         directive = directive._replace(arguments=node["args"])
         included_files: Sequence[int] = node.get("includes") or ()
         if not included_files:
-            self._report.not_carried(directive, "no such file")
+            self._report.add_not_carried(directive, "no such file")
         chain = (*directive.include_chain, directive.file_number)
-        for included in included_files:
-            if included in chain:
-                names = [self._files[each]["file"].rpartition("/")[2] for each in (*chain, included)]
-                self._report.not_carried(directive, f"includes go round: {' -> '.join(names)}")
+        for included_file in included_files:
+            if included_file in chain:
+                names = [self._files[number]["file"].rpartition("/")[2] for number in (*chain, included_file)]
+                self._report.add_not_carried(directive, f"include cycle: {' -> '.join(names)}")
             else:
-                yield from self._read_file(included, chain)
+                yield from self._read_file(included_file, chain)
 
 
 def _upstream_names(nodes: Sequence[SyntaxNode]) -> Iterator[str]:
--- a/onyxhead/fronts/nginx/directives.py
+++ b/onyxhead/fronts/nginx/directives.py
@@ -1,4 +1,4 @@
-"""Directives of a parsed nginx configuration."""
+"""The directives of a parsed nginx configuration."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 from onyxhead.fronts.nginx.words import unescape_word
 
 SyntaxNode = dict[str, Any]
-"""A directive, or a file, as crossplane's parser returns it."""
+"""A directive or a file, in the form that crossplane's parser returns."""
 MAX_SUMMARY_WORDS = 4
 
 
 class Directive(NamedTuple):
-    """One directive, where it stands, and the unread nodes of its block.
+    """One directive with its position and the unread syntax nodes of its block.
 
-    `file_number` and `include_chain` are the numbers of its file and of the files that lead to it by `include`."""
+    `file_number` is the index of its file among the parsed files. `include_chain` holds the indexes of the files whose
+    `include` directives lead to this file, the main file first."""
 
     name: str
     arguments: list[str]
@@ -26,12 +27,12 @@
     include_chain: tuple[int, ...]
 
     def summary(self) -> str:
-        """Return the first words of the directive."""
+        """Return the first words of the directive, which identify it in the report."""
         return " ".join([self.name, *self.arguments][:MAX_SUMMARY_WORDS])
 
 
 def directive_from_node(node: SyntaxNode, file: str, file_number: int, include_chain: tuple[int, ...]) -> Directive:
-    """Return the directive of a parser's node, with its words as nginx reads them."""
+    """Return the directive for a syntax node, with the escapes in its words resolved as nginx does."""
     return Directive(
         name=unescape_word(node["directive"]),
         arguments=[unescape_word(argument) for argument in node["args"]],
--- a/onyxhead/fronts/nginx/errors.py
+++ b/onyxhead/fronts/nginx/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the nginx import and export."""
+"""Errors of the import and export of nginx configurations."""
 
 from __future__ import annotations
 
 
 class NginxError(ValueError):
-    """Base class of all errors of this package; the text says why."""
+    """Base class of all errors of this package; the message states the reason."""
 
 
 class DirectiveError(NginxError):
-    """The arguments of a directive can't be carried over."""
+    """A directive has arguments that cannot be imported."""
 
 
 class ExportError(NginxError):
-    """Routing can't be expressed in nginx's configuration."""
+    """A routing configuration cannot be expressed in the syntax of nginx."""
--- a/onyxhead/fronts/nginx/import_report.py
+++ b/onyxhead/fronts/nginx/import_report.py
@@ -1,4 +1,4 @@
-"""The report of an import: for each directive, whether it was carried over."""
+"""The report of an import, which states for each directive whether it was carried over."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Verdict(Enum):
-    """Whether a directive was carried over. The values are the words of the report that operators read."""
+    """The result of importing a directive. Operators read the values in the report."""
 
     CARRIED = "carried"
     CHANGED = "carried, with a difference"
@@ -17,11 +17,11 @@
 
 
 SYNTAX_ERROR = "syntax"
-"""Stands in place of a directive's name for a file that can't be parsed to its end."""
+"""Takes the place of the directive in a report line about a file that cannot be parsed completely."""
 
 
 class ReportLine(NamedTuple):
-    """What became of one directive; `line` 0 is about no single line."""
+    """The result of importing one directive; `line` is 0 if the result does not belong to a single line."""
 
     file: str
     line: int
@@ -35,30 +35,34 @@
 
 
 class ImportReport:
-    """Collects the lines of the report in the order in which the directives are read."""
+    """Collects the lines of the report, in the order in which the directives are processed."""
 
     def __init__(self) -> None:
         self.lines: list[ReportLine] = []
 
-    def carried(self, directive: Directive) -> None:
-        """The directive was carried over as a whole."""
+    def add_carried(self, directive: Directive) -> None:
+        """Add that a directive was carried over completely."""
         self._add(directive, Verdict.CARRIED, "")
 
-    def changed(self, directive: Directive, difference: str) -> None:
-        """The directive was carried over with this difference; with none, as a whole."""
+    def add_changed(self, directive: Directive, difference: str) -> None:
+        """Add that a directive was carried over with a difference, or completely if the difference is empty."""
         self._add(directive, Verdict.CHANGED if difference else Verdict.CARRIED, difference)
 
-    def not_carried(self, directive: Directive, reason: str) -> None:
-        """The directive was left out for this reason."""
+    def add_not_carried(self, directive: Directive, reason: str) -> None:
+        """Add that a directive was not carried over, with the reason."""
         self._add(directive, Verdict.NOT_CARRIED, reason)
 
-    def syntax_error(self, file: str, line: int, text: str) -> None:
-        """A file, or the part of it from this line on, could not be parsed."""
+    def add_syntax_error(self, file: str, line: int, text: str) -> None:
+        """Add that a file could not be parsed from this line on; line 0 stands for the whole file."""
         self.lines.append(ReportLine(file, line, SYNTAX_ERROR, Verdict.NOT_CARRIED, text))
 
-    def without_servers(self, file: str, pool: str) -> None:
-        """A pool has no server that requests are forwarded to."""
-        self.lines.append(ReportLine(file, 0, f"upstream {pool}", Verdict.CHANGED, "it has no server that is up"))
+    def add_pool_without_servers(self, file: str, pool: str) -> None:
+        """Add that a pool has no server for regular use: each is marked as down or as backup, or there is none."""
+        self.lines.append(
+            ReportLine(
+                file, 0, f"upstream {pool}", Verdict.CHANGED, "it has only servers marked down or backup, or none"
+            )
+        )
 
     def _add(self, directive: Directive, verdict: Verdict, reason: str) -> None:
         self.lines.append(ReportLine(directive.file, directive.line, directive.summary(), verdict, reason))
--- a/onyxhead/fronts/nginx/importer.py
+++ b/onyxhead/fronts/nginx/importer.py
@@ -1,7 +1,8 @@
-"""nginx's upstream, server, map and split_clients blocks as routing, with a report on each directive.
+"""Imports nginx's upstream, server, map and split_clients blocks as a routing configuration.
 
-No I/O: the input is the list of files as crossplane parses them. Nothing is guessed: a directive is carried over as a
-whole, with a difference that the report names, or not at all, and then the report says why.
+The import performs no I/O; its input is the list of files as crossplane parses them. It makes no guesses: each
+directive is carried over completely, or with a difference that the report states, or not at all, with the reason in the
+report.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
     "access_log",
     "log_format",
 }
-"""Directives about nginx's process, which have no counterpart in routing."""
+"""Directives that configure the nginx process and have no counterpart in routing."""
 
 
 class NginxImporter:
-    """One import. `files` are crossplane's, the first being the one that was asked for."""
+    """Performs one import. `files` are the files as crossplane parses them; the first is the main file."""
 
     def __init__(self, files: Sequence[SyntaxNode]) -> None:
         report = ImportReport()
@@ -42,14 +43,14 @@
         self._splits: dict[str, WeightedSplit] = {}
 
     def run(self) -> tuple[Routing, list[ReportLine]]:
-        """Return the routing, and the report in the order of the files' lines as they are read."""
+        """Import all directives, and return the routing configuration and the lines of the report."""
         context = self._context
         for directive in context.reader.top_level():
             self._import_directive(directive)
         routing = Routing(context.all_pools(), tuple(self._hosts), self._maps, self._splits)
         for name, pool in routing.pools.items():
             if not any(not server.down and not server.backup for server in pool.servers):
-                context.report.without_servers(context.reader.main_file, name)
+                context.report.add_pool_without_servers(context.reader.main_file, name)
         return routing, context.report.lines
 
     def _import_directive(self, directive: Directive) -> None:
@@ -71,6 +72,6 @@
             case "limit_req_zone" | "limit_conn_zone":
                 context.limit_zones.define(directive, context.report)
             case name if name in PROCESS_DIRECTIVES:
-                context.report.not_carried(directive, "about the process, not about where flows go")
+                context.report.add_not_carried(directive, "configures the nginx process, not the routing")
             case _:
-                context.report_unknown(directive)
+                context.report_unsupported(directive)
--- a/onyxhead/fronts/nginx/limit_zones.py
+++ b/onyxhead/fronts/nginx/limit_zones.py
@@ -1,4 +1,4 @@
-"""Zones of `limit_req_zone` and `limit_conn_zone`, to which limits refer by name."""
+"""The zones that `limit_req_zone` and `limit_conn_zone` define and to which limits refer by name."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 from onyxhead.fronts.nginx.words import parse_options
 
 SECONDS_BY_RATE_UNIT = {"s": 1, "m": 60}
-COUNTED_BY_PROXY = "counted by each proxy, with no size of memory"
+COUNTED_BY_PROXY = "each proxy counts separately; the memory size is ignored"
 
 
 class LimitZone(NamedTuple):
-    """What a zone counts by, and its requests per second (0 for a zone of connections)."""
+    """The key for each of whose values a zone counts, and the requests per second (0 for a zone of connections)."""
 
     key: str
     rate: float
 
 
 class LimitZones:
-    """The zones that were defined so far."""
+    """Holds the zones that have been defined so far."""
 
     def __init__(self) -> None:
         self._zones: dict[str, LimitZone] = {}
 
     def define(self, directive: Directive, report: ImportReport) -> None:
-        """Take a `limit_req_zone` or `limit_conn_zone`."""
+        """Add the zone that a `limit_req_zone` or `limit_conn_zone` defines, and report the directive."""
         try:
             options = parse_options(directive.arguments[1:])
             name = options["zone"].partition(":")[0]
             rate = _parse_rate(options["rate"]) if "rate" in options else 0.0
         except (DirectiveError, KeyError) as error:
-            report.not_carried(directive, error_text(error))
+            report.add_not_carried(directive, error_text(error))
             return
         self._zones[name] = LimitZone(directive.arguments[0], rate)
-        report.changed(directive, COUNTED_BY_PROXY)
+        report.add_changed(directive, COUNTED_BY_PROXY)
 
     def find(self, name: str) -> LimitZone:
-        """Return a zone by its name. Raises DirectiveError if no line before has defined it."""
+        """Return a zone by its name. Raise DirectiveError if no preceding directive has defined it."""
         if name not in self._zones:
-            raise DirectiveError(f"there is no zone {name!r} before it")
+            raise DirectiveError(f"zone {name!r} is not defined before this directive")
         return self._zones[name]
 
 
 def _parse_rate(text: str) -> float:
     match = re.fullmatch(r"(\d+)r/(s|m)", text)
     if match is None:
-        raise DirectiveError(f"{text!r} is no rate")
+        raise DirectiveError(f"rate {text!r} does not have the form 10r/s or 60r/m")
     return int(match[1]) / SECONDS_BY_RATE_UNIT[match[2]]
 
 
 def error_text(error: Exception) -> str:
-    """Return the text of an error; of a KeyError, whose text is the quoted key, the key."""
+    """Return the text of an error, without the quotes that enclose the key in the text of a KeyError."""
     return str(error).strip("'")
--- a/onyxhead/fronts/nginx/location_import.py
+++ b/onyxhead/fronts/nginx/location_import.py
@@ -1,4 +1,4 @@
-"""nginx's `location` blocks."""
+"""Imports nginx's `location` blocks."""
 
 from __future__ import annotations
 
@@ -26,26 +26,28 @@
 NAMED_LOCATION_MARK = "@"
 _MODIFIER_AND_PATTERN = re.compile(r"(=|\^~|~\*|~)(.+)")
 _SYNTAX_UNLIKE_PYTHON = re.compile(r"\(\?[<'P]?[A-Za-z]|\\[hHRKXG]|\(\?[>|]")
-"""Groups and escapes that mean something else, or nothing, in Python's regular expressions."""
+"""Matches groups and escapes whose meaning in Python may differ from nginx's PCRE, or that Python does not know."""
 
 
 class LocationPattern(NamedTuple):
-    """What a location matches."""
+    """The kind of a location, and the path or regular expression that it matches."""
 
     kind: LocationKind
     text: str
 
 
 def import_location(directive: Directive, inherited: TrafficPolicy, context: ImportContext) -> Location | None:
-    """Return the location of a `location` block with all that is nested in it; None if it can't be carried over."""
+    """Return the location of a `location` block with its nested locations, or None if it cannot be carried over.
+
+    `inherited` holds the retries and limits of the enclosing block."""
     pattern = _parse_pattern(directive.arguments)
     if pattern is None:
-        context.report.not_carried(directive, "no location")
+        context.report.add_not_carried(directive, "not a valid location pattern")
         return None
     if not _report_pattern(directive, pattern, context):
         return None
     block = list(context.reader.nested(directive))
-    # Retries and limits hold for all that is nested in the block, wherever in it they stand.
+    # Retries and limits apply to all nested locations, including those that precede them in the block.
     policy = _location_policy(block, inherited, context)
     return _import_block(block, pattern, policy, context)
 
@@ -55,32 +57,32 @@
         case [modifier, text] if modifier in KINDS_BY_MODIFIER:
             return LocationPattern(KINDS_BY_MODIFIER[modifier], text)
         case [text]:
-            # nginx allows the modifier to be written together with the pattern.
-            if (found := _MODIFIER_AND_PATTERN.match(text)) is not None:
-                return LocationPattern(KINDS_BY_MODIFIER[found[1]], found[2])
+            # nginx accepts a modifier and a pattern without a space between them.
+            if (match := _MODIFIER_AND_PATTERN.match(text)) is not None:
+                return LocationPattern(KINDS_BY_MODIFIER[match[1]], match[2])
             return LocationPattern("named" if text.startswith(NAMED_LOCATION_MARK) else "prefix", text)
     return None
 
 
 def _report_pattern(directive: Directive, pattern: LocationPattern, context: ImportContext) -> bool:
-    """Report whether a location's pattern is carried over, and return it."""
+    """Report whether the pattern of a location can be carried over, and return the result."""
     difference = ""
     if pattern.kind in REGEX_KINDS:
         try:
             re.compile(pattern.text)
         except re.error as error:
-            context.report.not_carried(directive, f"expression that can't be taken: {error}")
+            context.report.add_not_carried(directive, f"invalid regular expression: {error}")
             return False
         if _SYNTAX_UNLIKE_PYTHON.search(pattern.text):
-            difference = "expressions here are Python's"
+            difference = "Python's syntax of regular expressions applies, which may differ here"
     elif pattern.kind == "named":
-        difference = "kept by name; what jumps to it is not carried"
-    context.report.changed(directive, difference)
+        difference = "kept by name; directives that redirect to it are not carried"
+    context.report.add_changed(directive, difference)
     return True
 
 
 def _location_policy(block: Sequence[Directive], inherited: TrafficPolicy, context: ImportContext) -> TrafficPolicy:
-    """Return the policy of a location: a limit of its own takes the place of all inherited limits."""
+    """Return the policy of a location. If the location has any limit of its own, it inherits no limits."""
     policy, has_own_limits = inherited, False
     for directive in block:
         if directive.name not in POLICY_DIRECTIVES:
@@ -103,26 +105,26 @@
             case "return":
                 status = _import_return(directive, context)
             case "location" if pattern.kind == "exact":
-                context.report.not_carried(directive, "inside an exact location nothing else can match")
+                context.report.add_not_carried(directive, "a location nested in an exact location never matches")
             case "location":
                 if (location := import_location(directive, policy, context)) is not None:
                     nested.append(location)
             case "if":
-                reason = "if decides by what is not known before; its block is left out"
-                context.report.not_carried(directive, reason)
+                reason = "if depends on values that are known only for each request; its block is left out"
+                context.report.add_not_carried(directive, reason)
             case "rewrite" | "try_files" | "alias" | "root" | "set" | "error_page":
-                reason = f"{directive.name} changes where flows go, and is not carried"
-                context.report.not_carried(directive, reason)
+                reason = f"{directive.name} changes how requests are routed, which is not supported"
+                context.report.add_not_carried(directive, reason)
             case name if name not in POLICY_DIRECTIVES:
-                context.report_unknown(directive)
+                context.report_unsupported(directive)
     return Location(pattern.kind, pattern.text, target, status, policy.retry, policy.limits, tuple(nested))
 
 
 def _import_return(directive: Directive, context: ImportContext) -> int:
-    """Return the status of a `return`; 0 if it has none."""
+    """Return the status code of a `return` directive, or 0 if it has none."""
     code = directive.arguments[0]
     if not code.isdigit() or not 100 <= int(code) <= 599:
-        context.report.not_carried(directive, "an address; only a status is carried")
+        context.report.add_not_carried(directive, "only a status code is supported, not a URL alone")
         return 0
-    context.report.changed(directive, "without its text or address" if len(directive.arguments) > 1 else "")
+    context.report.add_changed(directive, "without its text or URL" if len(directive.arguments) > 1 else "")
     return int(code)
--- a/onyxhead/fronts/nginx/traffic_policy.py
+++ b/onyxhead/fronts/nginx/traffic_policy.py
@@ -1,4 +1,4 @@
-"""Retries and limits: directives that hold for a server or location and are inherited by what is nested in it."""
+"""Imports the directives for retries and limits, which nested blocks inherit from the enclosing server or location."""
 
 from __future__ import annotations
 
@@ -34,20 +34,22 @@
     "non_idempotent",
     RETRY_OFF,
 }
-BURST_NOT_DELAYED = "a burst passes at once, not spread"
-REQUESTS_NOT_CONNECTIONS = "flows at once, since a connection may carry many"
+BURST_NOT_DELAYED = "requests of a burst are not delayed"
+REQUESTS_NOT_CONNECTIONS = "limits concurrent requests, since one connection may carry several"
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficPolicy:
-    """The retries and limits that hold at some place of the configuration."""
+    """The retries and limits that apply in one block of the configuration."""
 
     retry: RetryPolicy = field(default_factory=RetryPolicy)
     limits: tuple[RequestLimit, ...] = ()
 
 
 def apply_policy_directive(policy: TrafficPolicy, directive: Directive, context: ImportContext) -> TrafficPolicy:
-    """Return the policy with one of the `POLICY_DIRECTIVES` applied; unchanged, and reported, if that can't be done."""
+    """Return the policy after applying one of the `POLICY_DIRECTIVES`, and report the directive.
+
+    If the directive cannot be carried over, the policy is returned unchanged."""
     arguments = directive.arguments
     try:
         match directive.name:
@@ -62,18 +64,18 @@
             case _:
                 return _with_limit(policy, _concurrency_limit(directive, context))
     except (DirectiveError, KeyError, IndexError) as error:
-        context.report.not_carried(directive, error_text(error) or MISSING_ARGUMENT)
+        context.report.add_not_carried(directive, error_text(error) or MISSING_ARGUMENT)
         return policy
-    context.report.carried(directive)
+    context.report.add_carried(directive)
     return replace(policy, retry=retry)
 
 
 def _with_conditions(retry: RetryPolicy, directive: Directive, context: ImportContext) -> RetryPolicy:
-    unknown = [argument for argument in directive.arguments if argument not in RETRY_CONDITIONS]
+    unsupported = [argument for argument in directive.arguments if argument not in RETRY_CONDITIONS]
     conditions: tuple[str, ...] = ()
     if RETRY_OFF not in directive.arguments:
         conditions = tuple(argument for argument in directive.arguments if argument in RETRY_CONDITIONS)
-    context.report.changed(directive, f"without {' '.join(unknown)}" if unknown else "")
+    context.report.add_changed(directive, f"without {' '.join(unsupported)}" if unsupported else "")
     return replace(retry, conditions=conditions)
 
 
@@ -86,12 +88,12 @@
     zone = context.limit_zones.find(options["zone"])
     limit = RequestLimit(zone.key, zone.rate, parse_count(options.get("burst", "0")))
     is_delayed_by_nginx = "nodelay" not in options and "burst" in options
-    context.report.changed(directive, BURST_NOT_DELAYED if is_delayed_by_nginx else "")
+    context.report.add_changed(directive, BURST_NOT_DELAYED if is_delayed_by_nginx else "")
     return limit
 
 
 def _concurrency_limit(directive: Directive, context: ImportContext) -> RequestLimit:
     zone = context.limit_zones.find(directive.arguments[0])
     limit = RequestLimit(zone.key, max_concurrent=parse_count(directive.arguments[1], 1))
-    context.report.changed(directive, REQUESTS_NOT_CONNECTIONS)
+    context.report.add_changed(directive, REQUESTS_NOT_CONNECTIONS)
     return limit
--- a/onyxhead/fronts/nginx/upstream_import.py
+++ b/onyxhead/fronts/nginx/upstream_import.py
@@ -1,4 +1,4 @@
-"""nginx's `upstream` blocks as pools."""
+"""Imports nginx's `upstream` blocks as pools."""
 
 from __future__ import annotations
 
@@ -26,34 +26,38 @@
 
 
 def import_upstream(directive: Directive, context: ImportContext) -> None:
-    """Add the pool of an `upstream` to the context."""
+    """Add the pool that an `upstream` block defines to the context."""
     name = directive.arguments[0]
     if name in context.pools:
-        context.report.not_carried(directive, f"there is an upstream {name!r} already")
+        context.report.add_not_carried(directive, f"an upstream {name!r} is already defined")
         return
-    context.report.carried(directive)
+    context.report.add_carried(directive)
     pool = Pool(name, ())
     for inner in context.reader.nested(directive):
         try:
             pool = _apply_directive(pool, inner, context)
         except (DirectiveError, IndexError) as error:
-            context.report.not_carried(inner, str(error) or MISSING_ARGUMENT)
+            context.report.add_not_carried(inner, str(error) or MISSING_ARGUMENT)
     if pool.method in HASH_METHODS and any(server.backup for server in pool.servers):
-        context.report.not_carried(directive, "backup has no meaning with a hash; those servers are left out")
+        context.report.add_not_carried(
+            directive, "backup cannot be combined with a hash method; the backup servers are left out"
+        )
         pool = replace(pool, servers=tuple(server for server in pool.servers if not server.backup))
     context.pools[name] = pool
 
 
 def _apply_directive(pool: Pool, directive: Directive, context: ImportContext) -> Pool:
-    """Return the pool with one directive of its block applied. Raises DirectiveError or IndexError."""
+    """Return the pool after applying one directive of its block.
+
+    Raise DirectiveError for an argument that cannot be carried over, and IndexError for a missing argument."""
     report, arguments = context.report, directive.arguments
     match directive.name:
         case "server":
-            server, unknown = _import_server(arguments)
-            report.changed(directive, f"without {' '.join(unknown)}" if unknown else "")
+            server, unsupported = _import_server(arguments)
+            report.add_changed(directive, f"without {' '.join(unsupported)}" if unsupported else "")
             return replace(pool, servers=(*pool.servers, server))
         case "least_conn":
-            report.changed(directive, "each proxy counts its own connections")
+            report.add_changed(directive, "each proxy counts its own connections")
             return replace(pool, method="least-connections")
         case "ip_hash":
             pool = replace(pool, method="address-hash")
@@ -62,26 +66,28 @@
         case "keepalive":
             pool = replace(pool, keepalive=parse_count(arguments[0], 1))
         case "zone":
-            report.changed(directive, "memory shared by workers; a proxy here is one")
+            report.add_changed(directive, "ignored: nginx workers share this memory, and a proxy is a single process")
             return pool
         case "random":
-            report.changed(directive, "chosen by weight, which comes to the same shares")
+            report.add_changed(directive, "servers are chosen by weight, which results in the same shares")
             return pool
         case _:
-            context.report_unknown(directive)
+            context.report_unsupported(directive)
             return pool
-    report.carried(directive)
+    report.add_carried(directive)
     return pool
 
 
 def _import_server(arguments: list[str]) -> tuple[Server, list[str]]:
-    """Return the server of a `server` line and the arguments that can't be carried over. Raises DirectiveError."""
+    """Return the server of a `server` directive, and the arguments that are not supported.
+
+    Raise DirectiveError for a Unix socket or an invalid value."""
     address = arguments[0]
     if address.startswith("unix:"):
-        raise DirectiveError("a socket file; only addresses are carried")
+        raise DirectiveError("Unix sockets are not supported")
     if ":" not in address.rpartition("]")[2]:
         address += f":{DEFAULT_PORT}"
-    server, unknown = Server(address), list[str]()
+    server, unsupported = Server(address), list[str]()
     for argument in arguments[1:]:
         name, _, value = argument.partition("=")
         if name in SERVER_OPTIONS:
@@ -89,5 +95,5 @@
         elif name in SERVER_FLAGS and not value:
             server = SERVER_FLAGS[name](server)
         else:
-            unknown.append(argument)
-    return server, unknown
+            unsupported.append(argument)
+    return server, unsupported
--- a/onyxhead/fronts/nginx/variable_import.py
+++ b/onyxhead/fronts/nginx/variable_import.py
@@ -1,4 +1,4 @@
-"""nginx's `map` and `split_clients` blocks as routing variables."""
+"""Imports nginx's `map` and `split_clients` blocks as routing variables."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 def import_map(directive: Directive, context: ImportContext) -> tuple[str, VariableMap]:
-    """Return the name and definition of the variable that a `map` defines."""
+    """Return the name and the definition of the variable that a `map` block defines."""
     source, variable = directive.arguments[0], directive.arguments[1].lstrip("$")
     cases, default, hostnames = list[tuple[str, str]](), "", False
-    context.report.carried(directive)
+    context.report.add_carried(directive)
     for entry in context.reader.nested(directive):
         match entry.name, entry.arguments:
             case "default", [value, *_]:
@@ -23,17 +23,17 @@
             case "hostnames", []:
                 hostnames = True
             case "volatile", []:
-                context.report.changed(entry, "values are never kept here")
+                context.report.add_changed(entry, "values are never cached")
                 continue
             case pattern, [value]:
                 if (error := _regex_error(pattern)) is not None:
-                    context.report.not_carried(entry, f"expression that can't be taken: {error}")
+                    context.report.add_not_carried(entry, f"invalid regular expression: {error}")
                     continue
                 cases.append((pattern, value))
             case _:
-                context.report_unknown(entry)
+                context.report_unsupported(entry)
                 continue
-        context.report.carried(entry)
+        context.report.add_carried(entry)
     return variable, VariableMap(source, tuple(cases), default, hostnames)
 
 
@@ -47,9 +47,9 @@
 
 
 def import_split(directive: Directive, context: ImportContext) -> tuple[str, WeightedSplit]:
-    """Return the name and definition of the variable that a `split_clients` defines."""
+    """Return the name and the definition of the variable that a `split_clients` block defines."""
     shares, default, total = list[tuple[int, str]](), "", 0
-    context.report.carried(directive)
+    context.report.add_carried(directive)
     for entry in context.reader.nested(directive):
         value = entry.arguments[0] if entry.arguments else ""
         if entry.name == "*":
@@ -57,18 +57,18 @@
         elif (share := _parse_share(entry.name)) is not None:
             total += share
             if total > SHARES_PER_WHOLE:
-                context.report.not_carried(entry, "more than a hundred percent in all")
+                context.report.add_not_carried(entry, "the shares add up to more than 100%")
                 continue
             shares.append((share, value))
         else:
-            context.report.not_carried(entry, f"{entry.name!r} is no share")
+            context.report.add_not_carried(entry, f"{entry.name!r} is not a percentage")
             continue
-        context.report.carried(entry)
+        context.report.add_carried(entry)
     return directive.arguments[1].lstrip("$"), WeightedSplit(directive.arguments[0], tuple(shares), default)
 
 
 def _parse_share(text: str) -> int | None:
-    """Return the hundredths of a percent of a share such as `12.5%`; None for another text."""
+    """Return a share such as `12.5%` in hundredths of a percent, or None if the text is not a share."""
     match = re.fullmatch(r"(\d{1,3})(?:\.(\d{1,2}))?%", text)
     if match is None:
         return None
--- a/onyxhead/fronts/nginx/virtual_host_import.py
+++ b/onyxhead/fronts/nginx/virtual_host_import.py
@@ -1,4 +1,4 @@
-"""nginx's `server` blocks as virtual hosts."""
+"""Imports nginx's `server` blocks as virtual hosts."""
 
 from __future__ import annotations
 
@@ -14,27 +14,30 @@
 
 
 def import_virtual_host(directive: Directive, context: ImportContext) -> VirtualHost:
-    """Return the virtual host of a `server` block with its locations."""
-    context.report.carried(directive)
+    """Return the virtual host that a `server` block defines, with its locations."""
+    context.report.add_carried(directive)
     names, listens, is_default, policy = list[str](), list[str](), False, TrafficPolicy()
     block = list(context.reader.nested(directive))
-    # What stands beside the locations holds for all of them, wherever in the block it stands.
+    # Retries and limits in the block apply to all its locations, including those that precede them. Locations are
+    # therefore imported after all other directives.
     for inner in block:
         match inner.name:
             case "server_name":
                 names += [name for name in inner.arguments if name not in EMPTY_NAMES]
-                context.report.carried(inner)
+                context.report.add_carried(inner)
             case "listen":
                 listens.append(inner.arguments[0])
-                is_default = is_default or any(mark in inner.arguments for mark in DEFAULT_SERVER_ARGUMENTS)
-                unknown = [argument for argument in inner.arguments[1:] if argument not in DEFAULT_SERVER_ARGUMENTS]
-                context.report.changed(inner, f"without {' '.join(unknown)}" if unknown else "")
+                is_default = is_default or any(argument in inner.arguments for argument in DEFAULT_SERVER_ARGUMENTS)
+                unsupported = [argument for argument in inner.arguments[1:] if argument not in DEFAULT_SERVER_ARGUMENTS]
+                context.report.add_changed(inner, f"without {' '.join(unsupported)}" if unsupported else "")
             case name if name in POLICY_DIRECTIVES:
                 policy = apply_policy_directive(policy, inner, context)
             case "if" | "rewrite" | "return" | "set":
-                context.report.not_carried(inner, "beside locations it decides by what is not known before")
+                context.report.add_not_carried(
+                    inner, "not supported outside a location, where it applies before a location is chosen"
+                )
             case name if name != "location":
-                context.report_unknown(inner)
+                context.report_unsupported(inner)
     locations = _import_locations(block, policy, context)
     return VirtualHost(tuple(names), " ".join(dict.fromkeys(listens)) or DEFAULT_LISTEN, is_default, locations)
 
--- a/onyxhead/fronts/nginx/words.py
+++ b/onyxhead/fronts/nginx/words.py
@@ -1,4 +1,4 @@
-"""Words of an nginx configuration: quoting, durations and numbers."""
+"""Parsing and formatting of words in an nginx configuration: quoting, durations and numbers."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 }
 _PLAIN_WORD = re.compile(r"[^\s;{}\"'#]+")
 _CONSUMED_BACKSLASH = re.compile(r"\\(?=[\\\"'trn]|$)")
-"""A backslash that nginx would take away or combine with the next letter, unless it is doubled."""
+"""Matches a backslash that nginx would remove or combine with the next character, unless it is doubled."""
 _ESCAPE = re.compile(r"\\([\\\"'trn])")
 _ESCAPED_CHARACTERS = {"t": "\t", "r": "\r", "n": "\n"}
 
 
 def parse_duration(text: str) -> float:
-    """Return the seconds of a duration as nginx writes it: `1h30m`, or a plain number of seconds.
+    """Return the seconds of a duration in nginx's syntax: `1h30m`, or a plain number of seconds.
 
-    Raises DirectiveError."""
+    Raise DirectiveError if the text is not a duration."""
     if re.fullmatch(r"\d+(\.\d+)?", text):
         return float(text)
     parts = re.findall(r"(\d+)(ms|s|m|h|d|w|M|y)", text)
     if not parts or "".join(number + unit for number, unit in parts) != text:
-        raise DirectiveError(f"{text!r} is no time")
+        raise DirectiveError(f"value {text!r} is not a duration")
     return sum(int(number) * SECONDS_BY_UNIT[unit] for number, unit in parts)
 
 
-def parse_count(text: str, least: int = 0) -> int:
-    """Return a whole number that is at least `least`. Raises DirectiveError."""
-    if not text.isdigit() or int(text) < least:
-        raise DirectiveError(f"{text!r} is no number from {least} on")
+def parse_count(text: str, minimum: int = 0) -> int:
+    """Return the whole number that a text holds. Raise DirectiveError if it holds none or one below `minimum`."""
+    if not text.isdigit() or int(text) < minimum:
+        raise DirectiveError(f"value {text!r} is not a whole number of at least {minimum}")
     return int(text)
 
 
 def parse_options(arguments: Sequence[str]) -> dict[str, str]:
-    """Return arguments of the form `name=value` by name; an argument without `=` has an empty value."""
+    """Return the values of arguments of the form `name=value` by name; without `=`, the value is empty."""
     options = {}
     for argument in arguments:
         name, _, value = argument.partition("=")
@@ -53,15 +53,15 @@
 
 
 def unescape_word(text: str) -> str:
-    """Return a word as nginx reads it; crossplane leaves backslashes as they are."""
+    """Return a word with its escapes resolved as nginx does, since crossplane does not resolve them."""
     return _ESCAPE.sub(lambda match: _ESCAPED_CHARACTERS.get(match[1], match[1]), text)
 
 
 def quote_word(text: str) -> str:
-    """Return a word as it has to be written for nginx to read this text; variables stay variables.
+    """Return the word that nginx reads as this text. References to variables in the text are kept.
 
-    Raises ExportError."""
+    Raise ExportError if the text contains a line break."""
     if "\n" in text:
-        raise ExportError(f"{text!r} spans lines")
+        raise ExportError(f"{text!r} contains a line break")
     escaped = _CONSUMED_BACKSLASH.sub(r"\\\\", text)
     return escaped if text and _PLAIN_WORD.fullmatch(text) else '"' + escaped.replace('"', '\\"') + '"'
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing decisions by nginx's published rules, import and export of nginx blocks, and traffic that follows them."""
+"""Tests routing decisions by nginx's published rules, the import and export of nginx blocks, and routed traffic."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from onyxhead.fronts.nginx.words import parse_duration, quote_word, unescape_word
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import Request, Response
-from onyxhead.http.server import Server as Listening
+from onyxhead.http.server import Server as HttpServer
 from onyxhead.routing.location_matching import CompiledLocationMatcher, LinearLocationMatcher, find_literal_prefix
 from onyxhead.routing.model import (
     Location,
@@ -51,7 +51,7 @@
     return Location(kind, pattern, Target(pool or pattern), nested=tuple(nested))
 
 
-SAMPLE = [
+OVERLAPPING_LOCATIONS = [
     location("prefix", "/"),
     location("exact", "/"),
     location("prefix", "/docs/"),
@@ -93,10 +93,13 @@
     ],
 )
 def test_overlapping_nested_and_regex_locations_follow_the_published_rules(path: str, pattern: str) -> None:
-    for matcher in (LinearLocationMatcher(SAMPLE), CompiledLocationMatcher(SAMPLE)):
-        found = matcher.find(path)
-        assert found is not None and found.pattern == pattern
-    assert CompiledLocationMatcher(SAMPLE).find("/") is SAMPLE[1] and LinearLocationMatcher(SAMPLE).find("") is None
+    for matcher in (LinearLocationMatcher(OVERLAPPING_LOCATIONS), CompiledLocationMatcher(OVERLAPPING_LOCATIONS)):
+        match = matcher.find(path)
+        assert match is not None and match.pattern == pattern
+    assert (
+        CompiledLocationMatcher(OVERLAPPING_LOCATIONS).find("/") is OVERLAPPING_LOCATIONS[1]
+        and LinearLocationMatcher(OVERLAPPING_LOCATIONS).find("") is None
+    )
 
 
 words = st.text("ab/.", max_size=5)
@@ -107,7 +110,7 @@
 
 
 def locations(depth: int) -> st.SearchStrategy[list[Location]]:
-    inside = locations(depth - 1) if depth else st.just([])
+    nested_locations = locations(depth - 1) if depth else st.just([])
     return st.lists(
         st.builds(
             lambda kind, word, regex, nested: Location(
@@ -116,7 +119,7 @@
             kinds,
             words,
             regexes,
-            inside,
+            nested_locations,
         ),
         max_size=6,
     )
@@ -126,22 +129,23 @@
 @settings(max_examples=400, deadline=None)
 def test_the_compiled_matcher_agrees_with_the_linear_one(level: list[Location], paths: list[str]) -> None:
     unique: list[Location] = []
-    for each in level:
-        if all((each.kind, each.pattern) != (other.kind, other.pattern) for other in unique):
-            unique.append(each)
+    for candidate in level:
+        if all((candidate.kind, candidate.pattern) != (other.kind, other.pattern) for other in unique):
+            unique.append(candidate)
     compiled, linear = CompiledLocationMatcher(unique), LinearLocationMatcher(unique)
     for path in paths:
-        one, two = compiled.find("/" + path), linear.find("/" + path)
-        same = (
-            one is not None
-            and two is not None
-            and (one.kind == two.kind or {one.kind, two.kind} == {"prefix", "prefix-first"})
+        actual, expected = compiled.find("/" + path), linear.find("/" + path)
+        # A prefix and a prefix-first location may have the same pattern; either of them is accepted.
+        have_matching_kinds = (
+            actual is not None
+            and expected is not None
+            and (actual.kind == expected.kind or {actual.kind, expected.kind} == {"prefix", "prefix-first"})
         )
-        assert one is two or (same and one.pattern == two.pattern)  # type: ignore[union-attr]
+        assert actual is expected or (have_matching_kinds and actual.pattern == expected.pattern)  # type: ignore[union-attr]
 
 
 @pytest.mark.parametrize(
-    ("pattern", "head"),
+    ("pattern", "literal_prefix"),
     [
         ("^/api/v1", "/api/v1"),
         ("/api", ""),
@@ -154,8 +158,8 @@
         ("(", ""),
     ],
 )
-def test_literal_heads_of_regular_expressions(pattern: str, head: str) -> None:
-    assert find_literal_prefix(pattern) == head
+def test_literal_prefixes_of_regular_expressions(pattern: str, literal_prefix: str) -> None:
+    assert find_literal_prefix(pattern) == literal_prefix
 
 
 @pytest.mark.parametrize(
@@ -176,7 +180,7 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "found"),
+    ("host_name", "matched_name"),
     [
         ("x.org", "x.org"),
         ("X.ORG:8080", "x.org"),
@@ -191,18 +195,18 @@
         ("x.org.", "x.org"),
     ],
 )
-def test_hosts_match_by_name_then_wildcard_then_regex_then_default(name: str, found: str) -> None:
+def test_hosts_match_by_name_then_wildcard_then_regex_then_default(host_name: str, matched_name: str) -> None:
     hosts = [
-        VirtualHost((each,), is_default=each == "_")
-        for each in ("a.org", "*.x.org", r"~^n\d+", "www.*", "x.org", "*.b.x.org", ".y.net", "_")
+        VirtualHost((name,), is_default=name == "_")
+        for name in ("a.org", "*.x.org", r"~^n\d+", "www.*", "x.org", "*.b.x.org", ".y.net", "_")
     ]
-    chosen = VirtualHostTable(hosts).find(name)
-    assert chosen is not None and chosen.names == (found,)
+    host = VirtualHostTable(hosts).find(host_name)
+    assert host is not None and host.names == (matched_name,)
 
 
-def test_values_of_maps_and_splits() -> None:
-    own = VariableMap("$x", (("~^b", "B"), ("b1", "exact"), ("*.org", "tail"), ("~*C$", "C")), "other", True)
-    assert [map_value(own, value) for value in ("b1", "b2", "a.org", "xc", "z", "B2")] == [
+def test_maps_and_splits_choose_values() -> None:
+    variable_map = VariableMap("$x", (("~^b", "B"), ("b1", "exact"), ("*.org", "tail"), ("~*C$", "C")), "other", True)
+    assert [map_value(variable_map, value) for value in ("b1", "b2", "a.org", "xc", "z", "B2")] == [
         "exact",
         "B",
         "tail",
@@ -210,13 +214,13 @@
         "other",
         "other",
     ]
-    halves = WeightedSplit("$x", ((2500, "a"), (2500, "b")), "c")
-    counts = Counter(split_value(halves, f"10.0.{n // 256}.{n % 256}") for n in range(8_000))
+    split = WeightedSplit("$x", ((2500, "a"), (2500, "b")), "c")
+    counts = Counter(split_value(split, f"10.0.{number // 256}.{number % 256}") for number in range(8_000))
     assert 1_700 < counts["a"] < 2_300 and 1_700 < counts["b"] < 2_300 and 3_600 < counts["c"] < 4_400
-    assert murmur_hash_2(b"") == 0 and len({murmur_hash_2(bytes([n])) for n in range(256)}) == 256
+    assert murmur_hash_2(b"") == 0 and len({murmur_hash_2(bytes([byte])) for byte in range(256)}) == 256
 
 
-def test_cyclic_variables_end() -> None:
+def test_evaluation_of_cyclic_variables_terminates() -> None:
     routing = Routing(maps={"a": VariableMap("$b", (), "$a"), "b": VariableMap("$a", (), "x")})
     assert (
         Router(routing).variables.value("a", {}) == "$a"
@@ -224,10 +228,11 @@
     )
 
 
-# nginx
+# Import and export of nginx configurations
 
 
 def import_files(folder: Path, **files: str) -> tuple[Routing, list[ReportLine]]:
+    """Write the files to the folder and import the first of them."""
     for name, body in files.items():
         (folder / f"{name}.conf").write_text(body)
     return NginxImporter(
@@ -235,7 +240,8 @@
     ).run()
 
 
-def reported(lines: list[ReportLine], directive: str) -> list[tuple[Verdict, str]]:
+def find_results(lines: list[ReportLine], directive: str) -> list[tuple[Verdict, str]]:
+    """Return the verdicts and reasons of the directives that begin with this text."""
     return [(line.verdict, line.reason) for line in lines if line.directive.startswith(directive)]
 
 
@@ -262,17 +268,19 @@
         Server("10.0.0.3:80", down=True, slow_start=0.5),
         Server("10.0.0.5:80"),
     )
-    assert reported(lines, "server 10.0.0.4") == [(Verdict.NOT_CARRIED, "'0' is no number from 1 on")]
-    assert reported(lines, "server unix")[0][0] is Verdict.NOT_CARRIED and reported(lines, "server 10.0.0.5") == [
-        (Verdict.CHANGED, "without route=a")
+    assert find_results(lines, "server 10.0.0.4") == [
+        (Verdict.NOT_CARRIED, "value '0' is not a whole number of at least 1")
     ]
+    assert find_results(lines, "server unix")[0][0] is Verdict.NOT_CARRIED and find_results(
+        lines, "server 10.0.0.5"
+    ) == [(Verdict.CHANGED, "without route=a")]
     assert (
-        reported(lines, "fair") == [(Verdict.NOT_CARRIED, "not known here")]
-        and reported(lines, "zone")[0][0] is Verdict.CHANGED
+        find_results(lines, "fair") == [(Verdict.NOT_CARRIED, "not supported")]
+        and find_results(lines, "zone")[0][0] is Verdict.CHANGED
     )
     assert (
         routing.pools["h"].servers == (Server("a:1"),)
-        and "backup has no meaning" in reported(lines, "upstream h")[1][1]
+        and "backup cannot be combined with a hash method" in find_results(lines, "upstream h")[1][1]
     )
     assert [line.line for line in lines if line.directive == "fair"] == [10]
 
@@ -287,12 +295,17 @@
         upstream u { server a:1; }
     """,
     )
-    one, two = routing.hosts
-    assert [each.retry for each in one.locations] == [RetryPolicy(("error", "http_503"), 3), RetryPolicy((), 3)]
-    assert two.locations[0].retry == RetryPolicy(timeout=2.0) and two.locations[0].target == Target("u", path="/")
+    first_host, second_host = routing.hosts
+    assert [location.retry for location in first_host.locations] == [
+        RetryPolicy(("error", "http_503"), 3),
+        RetryPolicy((), 3),
+    ]
+    assert second_host.locations[0].retry == RetryPolicy(timeout=2.0) and second_host.locations[0].target == Target(
+        "u", path="/"
+    )
 
 
-def test_what_depends_on_conditions_or_variables_is_reported_and_not_imported(tmp_path: Path) -> None:
+def test_directives_that_depend_on_conditions_or_variables_are_reported_and_not_imported(tmp_path: Path) -> None:
     routing, lines = import_files(
         tmp_path,
         a="""
@@ -304,10 +317,10 @@
         upstream u { server a:1; }
     """,
     )
-    made = {each.pattern: each for each in routing.hosts[0].locations}
-    assert made["/a"].target == Target(variable="pool") and "evil" not in routing.pools
-    assert all(made[path].target is None for path in ("/b", "/c", "^/d", "/e", "/g", "/h")) and "((" not in made
-    assert routing.pools["1.2.3.4"].servers == (Server("1.2.3.4:443"),) and made["/i"].nested == ()
+    imported = {location.pattern: location for location in routing.hosts[0].locations}
+    assert imported["/a"].target == Target(variable="pool") and "evil" not in routing.pools
+    assert all(imported[path].target is None for path in ("/b", "/c", "^/d", "/e", "/g", "/h")) and "((" not in imported
+    assert routing.pools["1.2.3.4"].servers == (Server("1.2.3.4:443"),) and imported["/i"].nested == ()
     for directive in (
         "if $host",
         "rewrite",
@@ -321,12 +334,12 @@
         "try_files",
         "location /i/j",
     ):
-        assert reported(lines, directive) and all(
-            verdict is Verdict.NOT_CARRIED for verdict, _ in reported(lines, directive)
+        assert find_results(lines, directive) and all(
+            verdict is Verdict.NOT_CARRIED for verdict, _ in find_results(lines, directive)
         ), directive
     assert (
-        reported(lines, "listen") == [(Verdict.CHANGED, "without http2")]
-        and reported(lines, "location @q")[0][0] is Verdict.CHANGED
+        find_results(lines, "listen") == [(Verdict.CHANGED, "without http2")]
+        and find_results(lines, "location @q")[0][0] is Verdict.CHANGED
     )
 
 
@@ -340,9 +353,11 @@
         circle="include deep.conf;",
     )
     host = routing.hosts[0]
-    assert [each.pattern for each in host.locations] == ["/x", "/y"] and host.locations[1].nested[0].pattern == "/x"
-    assert (Verdict.NOT_CARRIED, "there is an upstream 'u' already") in reported(lines, "upstream u")
-    assert any("go round: a.conf -> deep.conf -> circle.conf -> deep.conf" in line.reason for line in lines)
+    assert [location.pattern for location in host.locations] == ["/x", "/y"] and host.locations[1].nested[
+        0
+    ].pattern == "/x"
+    assert (Verdict.NOT_CARRIED, "an upstream 'u' is already defined") in find_results(lines, "upstream u")
+    assert any("include cycle: a.conf -> deep.conf -> circle.conf -> deep.conf" in line.reason for line in lines)
     assert any(line.verdict is Verdict.NOT_CARRIED and "none.conf" in str(line) for line in lines)
 
 
@@ -364,11 +379,12 @@
     assert routing.maps["p"] == VariableMap("$http_host", (("*.x", "v"), ("~^n", "v")), "u", True)
     assert routing.splits["s"] == WeightedSplit("$remote_addr", ((6000, "u"), (50, "v")), "u")
     assert (
-        reported(lines, "limit_req zone=none") == [(Verdict.NOT_CARRIED, "there is no zone 'none' before it")]
-        and reported(lines, "50%")[0][0] is Verdict.NOT_CARRIED
+        find_results(lines, "limit_req zone=none")
+        == [(Verdict.NOT_CARRIED, "zone 'none' is not defined before this directive")]
+        and find_results(lines, "50%")[0][0] is Verdict.NOT_CARRIED
     )
-    assert reported(lines, "~(bad")[0][0] is Verdict.NOT_CARRIED and reported(lines, "a b c") == [
-        (Verdict.NOT_CARRIED, "not known here")
+    assert find_results(lines, "~(bad")[0][0] is Verdict.NOT_CARRIED and find_results(lines, "a b c") == [
+        (Verdict.NOT_CARRIED, "not supported")
     ]
 
 
@@ -379,7 +395,7 @@
         parse_duration(text + "x")
 
 
-name = st.from_regex(r"[a-z]{1,6}", fullmatch=True)
+names = st.from_regex(r"[a-z]{1,6}", fullmatch=True)
 servers = st.builds(
     Server,
     st.sampled_from(["a:1", "10.0.0.1:80", "b.c:99"]),
@@ -396,49 +412,49 @@
 )
 
 
-def tree(depth: int) -> st.SearchStrategy[tuple[Location, ...]]:
-    inside = tree(depth - 1) if depth else st.just(())
+def nested_locations(depth: int) -> st.SearchStrategy[tuple[Location, ...]]:
+    inner_locations = nested_locations(depth - 1) if depth else st.just(())
 
-    def made(
+    def create_location(
         kind: Any,
         pattern: str,
         target: Target | None,
         status: int,
         max_attempts: int,
         limits: tuple[RequestLimit, ...],
-        within: tuple[Location, ...],
+        nested: tuple[Location, ...],
     ) -> Location:
         if kind.startswith("regex") and target is not None:
             target = Target(target.pool, target.variable)
         if kind == "exact":
-            within = ()
+            nested = ()
         if not kind.startswith("regex"):
             pattern = "/" + pattern.lstrip("/^~=@*")
-        return Location(kind, pattern, target, status, RetryPolicy(max_attempts=max_attempts), limits, within)
+        return Location(kind, pattern, target, status, RetryPolicy(max_attempts=max_attempts), limits, nested)
 
     targets = st.sampled_from([None, Target("p"), Target("p", path="/z"), Target(variable="v")])
     limits = st.sampled_from([(), (RequestLimit("$host", 2.0, 3),), (RequestLimit("$host", max_concurrent=3),)])
     return st.lists(
         st.builds(
-            made,
+            create_location,
             st.sampled_from(["exact", "prefix", "prefix-first", "regex", "regex-caseless"]),
             patterns,
             targets,
             st.sampled_from([0, 404]),
             st.sampled_from([0, 0, 2]),
             limits,
-            inside,
+            inner_locations,
         ),
         max_size=3,
     ).map(tuple)
 
 
 routings = st.builds(
-    lambda members, method, hosts, cases: Routing(
+    lambda pool_servers, method, hosts, cases: Routing(
         {
             "p": Pool(
                 "p",
-                tuple(s for s in members if not (s.backup and method in ("hash", "address-hash"))),
+                tuple(server for server in pool_servers if not (server.backup and method in ("hash", "address-hash"))),
                 method,
                 "$uri" if method == "hash" else "",
                 method == "hash",
@@ -454,37 +470,46 @@
     st.lists(
         st.builds(
             VirtualHost,
-            st.lists(name, max_size=2, unique=True).map(tuple),
+            st.lists(names, max_size=2, unique=True).map(tuple),
             st.sampled_from(["80", "127.0.0.1:81"]),
             st.booleans(),
-            tree(1),
+            nested_locations(1),
         ),
         max_size=2,
     ),
-    st.lists(st.tuples(st.sampled_from(["a", "~^b c", "*.d"]), name), max_size=2, unique_by=lambda each: each[0]),
+    st.lists(st.tuples(st.sampled_from(["a", "~^b c", "*.d"]), names), max_size=2, unique_by=lambda case: case[0]),
 )
 
 
 def with_inherited_policies(routing: Routing) -> Routing:
-    """Retries and limits as nginx hands them down to what stands inside."""
-
-    def inherit(own: Location, around: Location | None) -> Location:
-        limits = own.limits or (around.limits if around else ())
-        max_attempts = own.retry.max_attempts or (around.retry.max_attempts if around else 0)
-        made = Location(own.kind, own.pattern, own.target, own.status, RetryPolicy(max_attempts=max_attempts), limits)
+    """Return the routing with retries and limits passed on to nested locations as nginx does."""
+
+    def inherit(location: Location, parent: Location | None) -> Location:
+        limits = location.limits or (parent.limits if parent else ())
+        max_attempts = location.retry.max_attempts or (parent.retry.max_attempts if parent else 0)
+        without_nested = Location(
+            location.kind,
+            location.pattern,
+            location.target,
+            location.status,
+            RetryPolicy(max_attempts=max_attempts),
+            limits,
+        )
         return Location(
-            made.kind,
-            made.pattern,
-            made.target,
-            made.status,
-            made.retry,
-            made.limits,
-            tuple(inherit(each, made) for each in own.nested),
+            without_nested.kind,
+            without_nested.pattern,
+            without_nested.target,
+            without_nested.status,
+            without_nested.retry,
+            without_nested.limits,
+            tuple(inherit(nested, without_nested) for nested in location.nested),
         )
 
     hosts = tuple(
-        VirtualHost(h.names, h.listen, h.is_default, tuple(inherit(each, None) for each in h.locations))
-        for h in routing.hosts
+        VirtualHost(
+            host.names, host.listen, host.is_default, tuple(inherit(location, None) for location in host.locations)
+        )
+        for host in routing.hosts
     )
     return Routing(routing.pools, hosts, routing.maps, routing.splits)
 
@@ -492,9 +517,9 @@
 @given(routings)
 @settings(max_examples=150, deadline=None)
 def test_exported_routing_is_imported_unchanged(tmp_path_factory: pytest.TempPathFactory, routing: Routing) -> None:
-    folder = tmp_path_factory.mktemp("ng")
-    made, lines = import_files(folder, a=export_blocks(routing))
-    assert made == with_inherited_policies(routing), "\n".join(map(str, lines))
+    folder = tmp_path_factory.mktemp("nginx")
+    imported, lines = import_files(folder, a=export_blocks(routing))
+    assert imported == with_inherited_policies(routing), "\n".join(map(str, lines))
 
 
 @given(routings)
@@ -507,11 +532,11 @@
     assert read_routing(path) == routing
 
 
-@given(st.text(max_size=8).filter(lambda each: "\n" not in each and "\r" not in each and "\0" not in each))
+@given(st.text(max_size=8).filter(lambda text: "\n" not in text and "\r" not in text and "\0" not in text))
 @settings(max_examples=150)
 def test_quoted_words_are_unescaped_unchanged(word: str) -> None:
-    made = quote_word(word)
-    assert unescape_word(made[1:-1] if made.startswith('"') else made) == word
+    quoted = quote_word(word)
+    assert unescape_word(quoted[1:-1] if quoted.startswith('"') else quoted) == word
     with pytest.raises(ExportError):
         quote_word("a\nb")
 
@@ -529,11 +554,11 @@
 def test_invalid_routing_records_are_reported_with_their_position(tmp_path: Path, body: str, error_text: str) -> None:
     path = tmp_path / "a.rec"
     path.write_text(body)
-    with pytest.raises(InvalidConfigurationError) as caught:
+    with pytest.raises(InvalidConfigurationError) as raised:
         read_routing(path)
     assert any(
-        error_text in str(fault) and "a.rec:1:" in str(fault) for fault in caught.value.diagnostics
-    ), caught.value.diagnostics
+        error_text in str(diagnostic) and "a.rec:1:" in str(diagnostic) for diagnostic in raised.value.diagnostics
+    ), raised.value.diagnostics
 
 
 def test_import_route_and_export_commands(tmp_path: Path) -> None:
@@ -565,22 +590,22 @@
 # Traffic
 
 
-def test_requests_are_forwarded_as_the_imported_blocks_say(tmp_path: Path) -> None:
-    async def work() -> None:
+def test_requests_are_forwarded_by_the_imported_routing(tmp_path: Path) -> None:
+    async def run_requests() -> None:
         ports = free_ports(5)
         received: list[tuple[int, str]] = []
 
-        def backend(n: int) -> Any:
-            async def answered(request: Request, _writer: asyncio.StreamWriter) -> Response:
-                received.append((n, request.target))
+        def create_backend(number: int) -> Any:
+            async def respond(request: Request, _writer: asyncio.StreamWriter) -> Response:
+                received.append((number, request.target))
                 if request.target.startswith("/slow"):
                     await asyncio.sleep(0.3)
-                return Response(503 if n == 2 else 200, {"x-backend": str(n)})
+                return Response(503 if number == 2 else 200, {"x-backend": str(number)})
 
-            return answered
+            return respond
 
-        for n in range(3):
-            await Listening(backend(n)).start("127.0.0.1", ports[n])
+        for number in range(3):
+            await HttpServer(create_backend(number)).start("127.0.0.1", ports[number])
         (tmp_path / "a.conf").write_text(f"""
             upstream one {{ server 127.0.0.1:{ports[0]} weight=3; server 127.0.0.1:{ports[1]}; }}
             upstream safe {{ server 127.0.0.1:{ports[4]}; server 127.0.0.1:{ports[1]} backup; }}
@@ -597,45 +622,49 @@
                 location /few {{ proxy_pass http://one; limit_req zone=r burst=2 nodelay; }}
                 location /slow {{ proxy_pass http://one; limit_conn c 1; }}
             }}""")
-        done = CliRunner().invoke(
+        result = CliRunner().invoke(
             main, ["import", "nginx", str(tmp_path / "a.conf"), "--out", str(tmp_path / "a.rec"), "--strict"]
         )
-        assert done.exit_code == 0, done.output
+        assert result.exit_code == 0, result.output
         parameters = RoutingProxyParameters(
             port=ports[3], routing=str(tmp_path / "a.rec"), record=str(tmp_path / "r.jsonl")
         )
         task = asyncio.create_task(SimulatedRoutingProxy(parameters).run())
         await asyncio.sleep(0.1)
 
-        async def ask(path: str, **headers: str) -> Response:
+        async def fetch(path: str, **headers: str) -> Response:
             return await fetch_once(("127.0.0.1", ports[3]), Request("GET", path, headers), 5.0)
 
-        weights = Counter([(await ask("/w")).headers["x-backend"] for _ in range(120)])
-        assert 70 < weights["0"] < 110
-        # A dead server, then the backup; with a path of its own, and nested and first-prefix locations that overlap.
-        assert (await ask("/static/a.css?v=1")).headers["x-backend"] == "1" and received[-1] == (1, "/files/a.css?v=1")
-        assert (await ask("/static/a.gif")).status == 404
-        assert (await ask("/static/raw/a.gif")).status == 200 and received[-1] == (1, "/static/raw/a.gif")
-        assert (await ask("/bad")).status == 200 and (await ask("/once")).status == 503
-        assert (await ask("/by", team="red")).headers["x-backend"] == "1"
-        few = [(await ask("/few", **{"x-client": "c"})).status for _ in range(5)]
-        assert few == [200, 200, 200, 503, 503] and (await ask("/few", **{"x-client": "d"})).status == 200
-        both = await asyncio.gather(ask("/slow", **{"x-client": "c"}), ask("/slow", **{"x-client": "c"}))
-        assert sorted(each.status for each in both) == [200, 503]
+        requests_by_backend = Counter([(await fetch("/w")).headers["x-backend"] for _ in range(120)])
+        assert 70 < requests_by_backend["0"] < 110
+        # The pool `safe` has a server that refuses connections, so its backup gets the requests. The target of /static/
+        # has a path of its own, and the location overlaps with a nested one and a prefix-first one.
+        assert (await fetch("/static/a.css?v=1")).headers["x-backend"] == "1" and received[-1] == (
+            1,
+            "/files/a.css?v=1",
+        )
+        assert (await fetch("/static/a.gif")).status == 404
+        assert (await fetch("/static/raw/a.gif")).status == 200 and received[-1] == (1, "/static/raw/a.gif")
+        assert (await fetch("/bad")).status == 200 and (await fetch("/once")).status == 503
+        assert (await fetch("/by", team="red")).headers["x-backend"] == "1"
+        statuses = [(await fetch("/few", **{"x-client": "c"})).status for _ in range(5)]
+        assert statuses == [200, 200, 200, 503, 503] and (await fetch("/few", **{"x-client": "d"})).status == 200
+        responses = await asyncio.gather(fetch("/slow", **{"x-client": "c"}), fetch("/slow", **{"x-client": "c"}))
+        assert sorted(response.status for response in responses) == [200, 503]
         task.cancel()
 
-    asyncio.run(work())
+    asyncio.run(run_requests())
 
 
 def test_the_compiled_matcher_agrees_with_the_linear_one_on_many_locations() -> None:
     rng = Random(4)
     level = (
-        [location("prefix", f"/{n % 97}/{n}") for n in range(600)]
-        + [location("regex", f"^/r{n}/") for n in range(300)]
+        [location("prefix", f"/{number % 97}/{number}") for number in range(600)]
+        + [location("regex", f"^/r{number}/") for number in range(300)]
         + [location("regex", r"\.x$")]
     )
     compiled, linear = CompiledLocationMatcher(level), LinearLocationMatcher(level)
     for _ in range(300):
-        n = rng.randrange(700)
-        path = rng.choice([f"/{n % 97}/{n}/a", f"/r{n}/b", f"/r{n}/b.x", "/none", f"/{n}"])
+        number = rng.randrange(700)
+        path = rng.choice([f"/{number % 97}/{number}/a", f"/r{number}/b", f"/r{number}/b.x", "/none", f"/{number}"])
         assert compiled.find(path) is linear.find(path)
