--- a/onyxhead/fronts/nginx/limit_zones.py
+++ b/onyxhead/fronts/nginx/limit_zones.py
@@ -15,7 +15,9 @@
 
 
 class LimitZone(NamedTuple):
-    """The key for each of whose values a zone counts, and the requests per second (0 for a zone of connections)."""
+    """A zone, which counts requests separately for each value of `key`.
+
+    `rate` is the limit in requests per second; it is 0 for a zone of connections."""
 
     key: str
     rate: float
--- a/onyxhead/routing/location_matching.py
+++ b/onyxhead/routing/location_matching.py
@@ -25,9 +25,8 @@
 
 from onyxhead.routing.model import PREFIX_KINDS, REGEX_KINDS, Location
 
-_regex_parser: Any = importlib.import_module(
-    "re._parser"
-)  # private, since the standard library has no public regex parser
+# The module is private; the standard library has no public parser for regular expressions.
+_regex_parser: Any = importlib.import_module("re._parser")
 
 
 class LevelMatch(NamedTuple):
