--- a/onyxhead/operate/__init__.py
+++ b/onyxhead/operate/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' commands on a fleet: overrides of backends, requests to all members, differences between them."""
+"""Operators' commands: overrides of backends, requests to all members of a fleet, differences between members."""
--- a/onyxhead/operate/answers.py
+++ b/onyxhead/operate/answers.py
@@ -9,7 +9,7 @@
 
 
 class CommandStatus(StrEnum):
-    """How a command ended, as its sender knows it; a controller answers only the first two."""
+    """The result of a command as its sender knows it. A controller answers only APPLIED or REFUSED."""
 
     APPLIED = "applied"
     REFUSED = "refused"
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandEffect:
-    """What a command did, or would do in a dry run.
+    """The effect of a command, or the effect it would have in the case of a dry run.
 
-    `changed` are the backends whose overrides changed; `channel_seconds` is the time that the resulting updates take on
-    the channel. Both are None where the command was refused before that was known.
+    `changed` lists the backends whose overrides change; `channel_seconds` is the time for which the resulting updates
+    occupy the channel. Either is None if the command was refused before the value was computed.
     """
 
     status: CommandStatus
@@ -33,7 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandAnswer:
-    """A command with its effect. `repeated` marks the first answer given again to a command that was sent again."""
+    """A command with its effect.
+
+    `repeated` marks the stored answer to a command that has been executed before and is received again.
+    """
 
     command_id: str
     request: list[Any]
@@ -45,14 +48,14 @@
 
     @classmethod
     def from_record(cls, record: Mapping[str, Any]) -> CommandAnswer:
-        """Return the answer that `to_record` stored."""
+        """Return the answer from a record that `to_record` made."""
         effect = CommandEffect(
             CommandStatus(record["status"]), record["why"], record.get("changed"), record.get("channel_s")
         )
         return cls(record["id"], record["asked"], record["by"], record["backends"], effect)
 
     def to_record(self) -> dict[str, Any]:
-        """Return the answer under its stored names."""
+        """Return the answer as a record with the field names of the store."""
         record: dict[str, Any] = {
             "id": self.command_id,
             "asked": self.request,
@@ -68,5 +71,5 @@
         return record
 
     def to_json(self) -> dict[str, Any]:
-        """Return the answer as it is sent."""
+        """Return the answer as the JSON object that the controller sends."""
         return self.to_record() | ({"again": True} if self.repeated else {"dry_run": self.dry_run})
--- a/onyxhead/operate/commands.py
+++ b/onyxhead/operate/commands.py
@@ -1,4 +1,4 @@
-"""An operator's command as a value, and the selectors by which it names backends. No I/O."""
+"""An operator's command, and the selectors that choose its backends. No I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CommandError(OperateError, ValueError):
-    """A request that is not a command, or contradicts an earlier one; the text says why."""
+    """A request that is not a valid command, or reuses the id of another command; the text gives the reason."""
 
 
 class Backend(NamedTuple):
@@ -30,7 +30,7 @@
 
 
 class Command(NamedTuple):
-    """A command to change backends, identified so that a repeated request acts once."""
+    """A command on backends. Its id lets a controller execute a command once even if the request is repeated."""
 
     command_id: str
     verb: str
@@ -40,33 +40,33 @@
 
     @classmethod
     def parse(cls, message: Any) -> Command:  # noqa: ANN401  # any JSON value
-        """Return the command in a JSON message. Raises CommandError."""
+        """Return the command that a JSON message holds. Raises CommandError for an invalid message."""
         if not isinstance(message, dict):
-            raise CommandError("a command is an object")
+            raise CommandError("a command must be a JSON object")
         command_id, verb, selectors = message.get("id"), message.get("verb"), message.get("names")
         operator, dry_run = message.get("by", ""), message.get("dry_run", False)
         if not isinstance(command_id, str) or not COMMAND_ID.fullmatch(command_id):
-            raise CommandError("id is missing, or no word of up to 64 letters, digits and _.:-")
+            raise CommandError("id must be a string of 1 to 64 letters, digits and _.:-")
         if verb not in VERBS:
-            raise CommandError(f"there is no {verb!r}; {', '.join(VERBS)} are")
+            raise CommandError(f"unknown verb {verb!r}; known verbs: {', '.join(VERBS)}")
         if not isinstance(selectors, list) or not selectors:
-            raise CommandError("names is no list of selectors")
-        if not all(isinstance(each, str) and each for each in selectors):
-            raise CommandError("names is no list of selectors")
+            raise CommandError("names must be a list of one or more selectors")
+        if not all(isinstance(selector, str) and selector for selector in selectors):
+            raise CommandError("each selector in names must be a string that is not empty")
         if not isinstance(operator, str) or not isinstance(dry_run, bool):
-            raise CommandError("by is no text, or dry_run neither true nor false")
+            raise CommandError("by must be a string, and dry_run must be true or false")
         return cls(command_id, str(verb), tuple(selectors), operator[:MAX_OPERATOR_LENGTH], dry_run)
 
     def request(self) -> list[Any]:
-        """Return what was asked for, in the form that is stored to recognize a repeated command."""
+        """Return verb and selectors as they are stored, to be compared with those of a repeated command."""
         return [self.verb, list(self.selectors)]
 
 
 def select_backends(selectors: Iterable[str], backends: Iterable[Backend]) -> list[str]:
     """Return the sorted ids of the backends that any selector matches.
 
-    A selector is a name with * and ?, `zone=` or `kind=` with a pattern, or several of these joined by & that must all
-    match.
+    A selector consists of one or more terms joined by &, all of which must match. A term is a pattern for the backend's
+    id, or `zone=` or `kind=` followed by a pattern. Patterns may hold *, ? and sets such as [ab].
     """
     alternatives = [[term.strip() for term in selector.split("&")] for selector in selectors]
     return sorted(
--- a/onyxhead/operate/drift.py
+++ b/onyxhead/operate/drift.py
@@ -1,6 +1,7 @@
-"""Where the members of a fleet differ. No I/O.
+"""Differences between the states of a fleet's members. No I/O.
 
-Controllers are compared with each other and with the proxies that they own, and each proxy's table with its files.
+Controllers are compared with each other and with the proxies that joined at them; each proxy's view is compared with
+the files that its agent wrote.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 """A member's answer to `/v1/state`."""
 
 COMPARED_FIELDS = ("address", "ready", "draining", "withdrawn")
-"""What controllers should agree on for each backend."""
+"""Fields of a backend that should have the same value at all controllers."""
 SHORT_TAG_LENGTH = 13
 
 
 class Difference(NamedTuple):
-    """One place where members differ.
+    """A difference between members about one subject: a member, a backend or a proxy.
 
-    `transient` differences may be gone by themselves in a moment, as members hear of changes one after another.
+    Members receive changes one after another, so a `transient` difference may vanish within moments without any action.
     """
 
     kind: str
@@ -29,12 +30,12 @@
     transient: bool
 
     def to_json(self) -> dict[str, Any]:
-        """Return the difference under its names in the command's JSON output."""
+        """Return the difference with the field names of the `compare` command's JSON output."""
         return {"what": self.kind, "where": self.subject, "told": self.description, "settles": self.transient}
 
 
 def find_differences(controllers: Mapping[str, State | None], agents: Mapping[str, State | None]) -> list[Difference]:
-    """Return what differs by the members' own states, in order; None stands for a member that gave none."""
+    """Return the differences between the members' states, sorted. A state is None if the member did not answer."""
     differences = [
         Difference("silent", name, "gave no state", False)
         for name, state in {**controllers, **agents}.items()
@@ -54,7 +55,7 @@
         return []
     newest = max((version for version in versions.values() if version is not None), default=None)
     return [
-        Difference("list", name, f"follows list {version}, the newest is {newest}", True)
+        Difference("list", name, f"uses endpoint list {version}, the newest is {newest}", True)
         for name, version in versions.items()
         if version != newest
     ]
@@ -77,7 +78,7 @@
 
 
 def _describe_minority(field: str, views: Mapping[str, State]) -> str | None:
-    """Return which controllers have another value than most, None if all have the same."""
+    """Describe the controllers whose value differs from the most common one; return None if all values are equal."""
     values = {name: str(view[field]) for name, view in views.items()}
     if len(set(values.values())) <= 1:
         return None
@@ -94,32 +95,40 @@
             owners.setdefault(proxy, []).append(name)
     for proxy, names in sorted(owners.items()):
         if len(names) > 1:
-            differences.append(Difference("proxy", proxy, f"counted by {' and '.join(sorted(names))}", True))
+            differences.append(
+                Difference("proxy", proxy, f"joined at several controllers: {' and '.join(sorted(names))}", True)
+            )
         if proxy in agents:
             recorded_tags = [controllers[name]["proxies"][proxy]["tag"] for name in names]
             differences += _compare_tags(proxy, agents[proxy], recorded_tags)
     if controllers:
         differences += [
-            Difference("proxy", proxy, "no controller that answered counts it", True)
+            Difference("proxy", proxy, "not joined at any controller that answered", True)
             for proxy in sorted(agents.keys() - owners.keys())
         ]
     return differences
 
 
 def _compare_tags(proxy: str, agent: State, recorded_tags: list[str]) -> list[Difference]:
-    """Compare the tag of a proxy's table with those that controllers recorded, and with that of its files."""
+    """Compare the tag of a proxy's view with the tags that controllers recorded and with that of its files."""
     differences = []
     tag, files_tag = agent["tag"], agent.get("files")
     if tag not in recorded_tags and any(recorded_tags):
-        description = f"holds {tag[:SHORT_TAG_LENGTH]}, the books say {recorded_tags[0][:SHORT_TAG_LENGTH]}"
+        description = (
+            f"holds view {tag[:SHORT_TAG_LENGTH]}, its controller recorded {recorded_tags[0][:SHORT_TAG_LENGTH]}"
+        )
         differences.append(Difference("proxy", proxy, description, True))
     if files_tag not in (None, tag):
-        description = f"its files are of {str(files_tag)[:SHORT_TAG_LENGTH]}, its view is {tag[:SHORT_TAG_LENGTH]}"
+        description = f"its files hold view {str(files_tag)[:SHORT_TAG_LENGTH]}, it uses view {tag[:SHORT_TAG_LENGTH]}"
         differences.append(Difference("files", proxy, description, True))
     return differences
 
 
 def lasting_differences(first: list[Difference], second: list[Difference]) -> list[Difference]:
-    """Of two comparisons a moment apart, return those in both, and those that are not transient."""
-    before = {(each.kind, each.subject) for each in first}
-    return [each for each in second if not each.transient or (each.kind, each.subject) in before]
+    """Return the differences of the second comparison that are not transient, or that the first one shows too."""
+    seen_before = {(difference.kind, difference.subject) for difference in first}
+    return [
+        difference
+        for difference in second
+        if not difference.transient or (difference.kind, difference.subject) in seen_before
+    ]
--- a/onyxhead/operate/fleet_client.py
+++ b/onyxhead/operate/fleet_client.py
@@ -1,7 +1,8 @@
 """Sends commands and queries to all members of a fleet at once.
 
-What a member did is known only from its answer. A command is sent again under the same id while there is time, so that
-one which was cut off by a restart is answered after it; without an answer its outcome is unknown, and reported so.
+Only a member's answer tells whether it executed a command. A command without an answer is sent again under the same id
+until the time limit, so that a member that restarts meanwhile can still answer it. Without any answer, the outcome is
+reported as unknown.
 """
 
 from __future__ import annotations
@@ -24,9 +25,10 @@
 
 
 class CommandOutcome(NamedTuple):
-    """What one member did.
+    """The outcome of a command at one member.
 
-    `status` is a CommandStatus, or what a newer member answers instead; `answer` is empty without an answer.
+    `status` is a CommandStatus, or another value if a newer version answers one. `answer` is the member's JSON answer,
+    empty if the member did not answer or refused the request.
     """
 
     member: str
@@ -35,36 +37,36 @@
     answer: dict[str, Any]
 
     def to_json(self) -> dict[str, Any]:
-        """Return the outcome under its names in the command's JSON output."""
+        """Return the outcome with the field names of the command's JSON output."""
         return {"member": self.member, "status": str(self.status), "why": self.reason, "told": self.answer}
 
 
 class _ServerError(Exception):
-    """A member answered that it can't act now; the command is worth another attempt."""
+    """A member answered with a server error; the command is sent to it again."""
 
 
 async def send_command(
     members: Mapping[str, Address], message: dict[str, Any], within: float, tls: ssl.SSLContext | None = None
 ) -> list[CommandOutcome]:
-    """Send a command to all members and return one outcome for each, in `within` seconds at most."""
+    """Send a command to all members and return one outcome for each, after `within` seconds at most."""
     deadline = time.monotonic() + within
     outcomes = await asyncio.gather(
-        *(_send_until(name, address, message, deadline, tls) for name, address in members.items())
+        *(_send_with_retries(name, address, message, deadline, tls) for name, address in members.items())
     )
     return sorted(outcomes)
 
 
-async def _send_until(
+async def _send_with_retries(
     member: str, address: Address, message: dict[str, Any], deadline: float, tls: ssl.SSLContext | None
 ) -> CommandOutcome:
-    """Send a command to one member until it gives an answer that is final, or time runs out."""
-    reason = "there was no time to ask"
+    """Send a command to one member until it gives a final answer or the deadline passes."""
+    reason = "the time limit passed before the first attempt"
     request = Request("POST", OPERATE_PATH, {}, json.dumps(message).encode())
-    while (left := deadline - time.monotonic()) > 0:
+    while (remaining := deadline - time.monotonic()) > 0:
         try:
-            response = await fetch_once(address, request, min(left, ATTEMPT_TIMEOUT_S), tls)
+            response = await fetch_once(address, request, min(remaining, ATTEMPT_TIMEOUT_S), tls)
         except (OSError, HttpError, TimeoutError) as error:
-            reason = f"no answer: {error or 'in time'}"
+            reason = f"no answer: {error or 'timed out'}"
             await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, deadline - time.monotonic())))
             continue
         try:
@@ -76,9 +78,9 @@
 
 
 def _read_outcome(member: str, response: Response) -> CommandOutcome:
-    """Return the outcome that a response tells. Raises _ServerError where another attempt is due."""
+    """Return the outcome that a response describes. Raises _ServerError if the command must be sent again."""
     if response.status == 404:
-        return CommandOutcome(member, CommandStatus.REFUSED, "its program is older and knows no such command", {})
+        return CommandOutcome(member, CommandStatus.REFUSED, "its version is too old for this command", {})
     try:
         answer = response.json()
         if response.status == 200:
@@ -88,13 +90,15 @@
         reason = str(answer.get("detail") or answer.get("title") or response.status)
         return CommandOutcome(member, CommandStatus.REFUSED, reason, {})
     except (ValueError, KeyError, AttributeError, TypeError):
-        return CommandOutcome(member, CommandStatus.UNKNOWN, f"an answer of {response.status} that can't be read", {})
+        return CommandOutcome(
+            member, CommandStatus.UNKNOWN, f"its answer of status {response.status} can't be parsed", {}
+        )
 
 
 async def query_members(
     members: Mapping[str, Address], target: str, timeout: float, tls: ssl.SSLContext | None = None
 ) -> dict[str, Any]:
-    """Return each member's JSON answer to a GET request, None where it gave none within `timeout` seconds."""
+    """Return each member's JSON answer to a GET request, or None if it gave none within `timeout` seconds."""
 
     async def query(address: Address) -> Any:  # noqa: ANN401  # any JSON value
         try:
--- a/onyxhead/operate/overrides.py
+++ b/onyxhead/operate/overrides.py
@@ -1,10 +1,10 @@
-"""Operators' overrides of one controller's backends, and the commands that made them. No I/O.
+"""Operators' overrides of one controller's backends, and the answers to the commands that made them. No I/O.
 
-The controller stores `to_record` before it acts on a command or answers it. A command sent twice therefore acts once:
-after a restart it is either known, and its first answer is given again, or it was never begun.
+The controller stores `to_record` before it acts on a command or answers it. A command that is sent twice is therefore
+executed once, also across a restart: either its answer was stored and is given again, or its execution had not begun.
 
-A drained backend is out until it is restored. A cordoned one stays out if it does not serve now or starts anew; one
-that serves goes on.
+A drained backend is out of use until it is restored. A cordoned backend that serves stays in use until it restarts; a
+cordoned backend that does not serve stays out of use.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from onyxhead.operate.commands import Backend, Command, CommandError, select_backends
 
 MAX_COMPLETED = 500
-"""Commands whose answers are kept for a repeated request."""
+"""Number of latest commands whose answers are kept for repeated requests."""
 
 
 class BackendOverrides:
     """The drained and cordoned backends, and the answers to completed commands."""
 
     def __init__(self, record: Any = None) -> None:  # noqa: ANN401  # a stored value
-        """Start from what `to_record` returned; anything but a dictionary counts as none."""
+        """Restore the state from a record of `to_record`; start empty if `record` is not a dictionary."""
         record = record if isinstance(record, dict) else {}
         self.drained: set[str] = set(record.get("drained", ()))
         self.cordoned: set[str] = set(record.get("cordoned", ()))
@@ -36,7 +36,7 @@
         )
 
     def to_record(self) -> dict[str, Any]:
-        """Return the state to be stored."""
+        """Return the state as a record for the store."""
         completed = [(command_id, answer.to_record()) for command_id, answer in self.completed.items()]
         return {"drained": sorted(self.drained), "cordoned": sorted(self.cordoned), "done": completed}
 
@@ -48,21 +48,21 @@
         return copy
 
     def execute(self, command: Command, tree: Tree, backends: Iterable[Backend], facts: FleetFacts) -> CommandAnswer:
-        """Apply a command and return its answer.
+        """Execute a command and return its answer; return the earlier answer if the command was executed before.
 
-        Raises CommandError for an id that was already used for another command.
+        Raises CommandError if the id was already used for another command.
         """
-        known = self.completed.get(command.command_id)
-        if known is not None:
-            if known.request != command.request():
-                earlier = " ".join(map(str, known.request))
-                raise CommandError(f"id {command.command_id!r} was given to another command: {earlier}")
-            return replace(known, repeated=True)
+        earlier = self.completed.get(command.command_id)
+        if earlier is not None:
+            if earlier.request != command.request():
+                earlier_request = " ".join(map(str, earlier.request))
+                raise CommandError(f"id {command.command_id!r} was already used for another command: {earlier_request}")
+            return replace(earlier, repeated=True)
         selected = self._select(command, backends)
         if selected:
             effect = self._apply(command, tree, selected, facts)
         else:
-            effect = CommandEffect(CommandStatus.REFUSED, "no backend here is called so")
+            effect = CommandEffect(CommandStatus.REFUSED, "no backend of this controller matches")
         answer = CommandAnswer(
             command.command_id, command.request(), command.operator, selected, effect, command.dry_run
         )
@@ -74,7 +74,7 @@
         selected = select_backends(command.selectors, backends)
         if command.verb not in ("restore", "uncordon"):
             return selected
-        # An override of a backend that is no longer listed can still be removed.
+        # The endpoint list may no longer hold an overridden backend; its override can still be removed.
         overridden = [Backend(name, "", "") for name in self.drained | self.cordoned]
         return sorted({*selected, *select_backends(command.selectors, overridden)})
 
@@ -96,11 +96,11 @@
         except RpcError as error:
             return CommandEffect(CommandStatus.REFUSED, error.text, [])
         if command.verb == "restore" and (configured := sorted(set(selected) & drained_backends(tree))):
-            reason = f"{', '.join(configured)}: drained by the configuration, and only that can restore them"
+            reason = f"{', '.join(configured)}: drained by the configuration, which alone can restore them"
             return CommandEffect(CommandStatus.REFUSED, reason, [])
         if not command.dry_run:
             self.drained, self.cordoned = drains, cordons
-        reason = "" if changed else "it was so already"
+        reason = "" if changed else "nothing to change"
         return CommandEffect(CommandStatus.APPLIED, reason, changed, round(plan.channel_time_s, 3))
 
     def _remember(self, answer: CommandAnswer) -> None:
@@ -110,15 +110,18 @@
 
 
 def with_drains(tree: Tree, drains: Iterable[str]) -> Tree:
-    """Return a configuration tree with these backends drained besides its own."""
-    rows = {each["id"]: dict(each) for each in tree.get("backend", ())}
-    for name in drains:
-        rows[name] = rows.get(name, {"id": name}) | {"drained": True}
-    return {**tree, "backend": [rows[name] for name in sorted(rows)]}
+    """Return a copy of a configuration tree in which these backends are drained too."""
+    entries = {entry["id"]: dict(entry) for entry in tree.get("backend", ())}
+    for backend in drains:
+        entries[backend] = entries.get(backend, {"id": backend}) | {"drained": True}
+    return {**tree, "backend": [entries[backend] for backend in sorted(entries)]}
 
 
 def keeps_out(overrides: BackendOverrides, backend: str, started: float, serving: Mapping[str, float]) -> bool:
-    """Tell whether an override keeps this backend out; `serving` maps the backends in use to their start times."""
+    """Return whether an override keeps a backend out of use.
+
+    `started` is the backend's start time by the endpoint list; `serving` maps the backends in use to their start times.
+    """
     if backend in overrides.drained:
         return True
     return backend in overrides.cordoned and serving.get(backend) != started
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -1,4 +1,4 @@
-"""Operators' commands, which act once and end as applied, refused or unknown; differences between members."""
+"""Tests of operators' commands, which are executed once and end as applied, refused or unknown, and of drift."""
 
 from __future__ import annotations
 
@@ -12,8 +12,7 @@
 from click.testing import CliRunner
 
 from onyxhead.cli.main import main
-from onyxhead.controller.configuration.commit_plan import BackendFacts as Known
-from onyxhead.controller.configuration.commit_plan import FleetFacts
+from onyxhead.controller.configuration.commit_plan import BackendFacts, FleetFacts
 from onyxhead.http.client import fetch_once
 from onyxhead.http.messages import Request, Response, json_response
 from onyxhead.http.server import Server
@@ -32,21 +31,21 @@
     write_endpoint_list,
 )
 
-TREE = {"group": [{"name": "read", "latency-budget": 5000, "expiry": 10000, "repeats": "retriable"}]}
-ALL = [Backend(f"b{n}", "north" if n < 4 else "south", "std" if n % 2 else "big") for n in range(8)]
-FACTS = FleetFacts(tuple(Known(each.id, each.zone, True, True) for each in ALL), 10, 0.0, 6.0)
+CONFIGURATION = {"group": [{"name": "read", "latency-budget": 5000, "expiry": 10000, "repeats": "retriable"}]}
+ALL_BACKENDS = [Backend(f"b{n}", "north" if n < 4 else "south", "std" if n % 2 else "big") for n in range(8)]
+FACTS = FleetFacts(tuple(BackendFacts(each.id, each.zone, True, True) for each in ALL_BACKENDS), 10, 0.0, 6.0)
 
 
-def make_command(verb: str, *names: str, number: str = "1", dry_run: bool = False) -> Command:
-    return Command.parse({"id": number, "verb": verb, "names": list(names), "by": "ann", "dry_run": dry_run})
+def make_command(verb: str, *names: str, command_id: str = "1", dry_run: bool = False) -> Command:
+    return Command.parse({"id": command_id, "verb": verb, "names": list(names), "by": "ann", "dry_run": dry_run})
 
 
-def execute(overrides: BackendOverrides, verb: str, *names: str, **more: Any) -> dict[str, Any]:
-    return overrides.execute(make_command(verb, *names, **more), TREE, ALL, FACTS).to_json()
+def execute(overrides: BackendOverrides, verb: str, *names: str, **options: Any) -> dict[str, Any]:
+    return overrides.execute(make_command(verb, *names, **options), CONFIGURATION, ALL_BACKENDS, FACTS).to_json()
 
 
 @pytest.mark.parametrize(
-    ("selectors", "found"),
+    ("selectors", "expected"),
     [
         (["b1"], "b1"),
         (["b[01]"], "b0 b1"),
@@ -58,12 +57,12 @@
         (["kind="], ""),
     ],
 )
-def test_selectors_match_names_zones_and_kinds(selectors: list[str], found: str) -> None:
-    assert " ".join(select_backends(selectors, ALL)) == found
+def test_selectors_match_names_zones_and_kinds(selectors: list[str], expected: str) -> None:
+    assert " ".join(select_backends(selectors, ALL_BACKENDS)) == expected
 
 
 @pytest.mark.parametrize(
-    "given",
+    "message",
     [
         None,
         [],
@@ -76,47 +75,51 @@
         {"id": 1, "verb": "drain", "names": ["b"]},
     ],
 )
-def test_an_invalid_command_is_rejected(given: Any) -> None:
+def test_an_invalid_command_is_rejected(message: Any) -> None:
     with pytest.raises(CommandError):
-        Command.parse(given)
+        Command.parse(message)
 
 
 def test_a_repeated_command_acts_once_even_after_another_command() -> None:
     overrides = BackendOverrides()
-    first = execute(overrides, "drain", "b1", number="a")
+    first = execute(overrides, "drain", "b1", command_id="a")
     assert (first["status"], first["changed"]) == ("applied", ["b1"])
-    assert execute(overrides, "restore", "b1", number="b")["changed"] == ["b1"]
-    again = execute(overrides, "drain", "b1", number="a")
+    assert execute(overrides, "restore", "b1", command_id="b")["changed"] == ["b1"]
+    again = execute(overrides, "drain", "b1", command_id="a")
     assert again["again"] and again["changed"] == ["b1"] and not overrides.drained
     with pytest.raises(CommandError, match="another command"):
-        execute(overrides, "drain", "b2", number="a")
+        execute(overrides, "drain", "b2", command_id="a")
 
 
 def test_a_second_drain_of_the_same_backend_changes_nothing() -> None:
     overrides = BackendOverrides()
-    execute(overrides, "drain", "b1", number="a")
-    second = execute(overrides, "drain", "b1", "b2", number="b")
+    execute(overrides, "drain", "b1", command_id="a")
+    second = execute(overrides, "drain", "b1", "b2", command_id="b")
     assert (second["status"], second["changed"]) == ("applied", ["b2"])
-    assert execute(overrides, "drain", "b1", number="c")["why"] == "it was so already"
+    assert execute(overrides, "drain", "b1", command_id="c")["why"] == "nothing to change"
 
 
 def test_a_command_that_breaks_a_rule_is_refused_and_a_dry_run_changes_nothing() -> None:
     overrides = BackendOverrides()
-    told = execute(overrides, "drain", "*")
-    assert told["status"] == "refused" and "rule 1" in told["why"] and not overrides.drained
-    tried = execute(overrides, "drain", "b1", number="2", dry_run=True)
+    refused = execute(overrides, "drain", "*")
+    assert refused["status"] == "refused" and "rule 1" in refused["why"] and not overrides.drained
+    preview = execute(overrides, "drain", "b1", command_id="2", dry_run=True)
     assert (
-        tried["status"] == "applied" and tried["dry_run"] and not overrides.drained and "2" not in overrides.completed
+        preview["status"] == "applied"
+        and preview["dry_run"]
+        and not overrides.drained
+        and "2" not in overrides.completed
     )
-    many = FACTS._replace(proxies=2_000)
-    assert "rule 3" in overrides.execute(make_command("drain", "b1", "b2", number="3"), TREE, ALL, many).effect.reason
-    assert execute(overrides, "drain", "nobody", number="4")["status"] == "refused"
+    facts_of_many_proxies = FACTS._replace(proxies=2_000)
+    command = make_command("drain", "b1", "b2", command_id="3")
+    assert "rule 3" in overrides.execute(command, CONFIGURATION, ALL_BACKENDS, facts_of_many_proxies).effect.reason
+    assert execute(overrides, "drain", "nobody", command_id="4")["status"] == "refused"
 
 
 def test_a_drain_by_the_configuration_can_not_be_restored_by_command() -> None:
-    tree = TREE | {"backend": [{"id": "b1", "drained": True}]}
-    told = BackendOverrides().execute(make_command("restore", "b1"), tree, ALL, FACTS).to_json()
-    assert told["status"] == "refused" and "configuration" in told["why"]
+    tree = CONFIGURATION | {"backend": [{"id": "b1", "drained": True}]}
+    answer = BackendOverrides().execute(make_command("restore", "b1"), tree, ALL_BACKENDS, FACTS).to_json()
+    assert answer["status"] == "refused" and "configuration" in answer["why"]
 
 
 def test_a_cordon_keeps_backends_out_that_do_not_serve_now() -> None:
@@ -134,174 +137,186 @@
         True,
         False,
     ]
-    execute(overrides, "uncordon", "b*", number="2")
+    execute(overrides, "uncordon", "b*", command_id="2")
     assert not keeps_out(overrides, "b2", 0.0, serving)
 
 
 def test_overrides_are_restored_from_their_record_and_unlisted_backends_can_be_restored() -> None:
     overrides = BackendOverrides()
-    execute(overrides, "drain", "b1", number="a")
-    later = BackendOverrides(json.loads(json.dumps(overrides.to_record())))
-    assert execute(later, "drain", "b1", number="a")["again"] and later.drained == {"b1"}
-    told = later.execute(make_command("restore", "b*", number="z"), TREE, [], FACTS).to_json()
-    assert told["changed"] == ["b1"] and not later.drained
+    execute(overrides, "drain", "b1", command_id="a")
+    restored = BackendOverrides(json.loads(json.dumps(overrides.to_record())))
+    assert execute(restored, "drain", "b1", command_id="a")["again"] and restored.drained == {"b1"}
+    answer = restored.execute(make_command("restore", "b*", command_id="z"), CONFIGURATION, [], FACTS).to_json()
+    assert answer["changed"] == ["b1"] and not restored.drained
     for n in range(600):
-        execute(later, "drain", "b1", number=f"n{n}")
-    assert len(later.completed) == 500
+        execute(restored, "drain", "b1", command_id=f"n{n}")
+    assert len(restored.completed) == 500
 
 
-# Fleets with members that do not answer
+# Fleets with members that do not answer, or answer late
 
 
 def test_each_of_twelve_members_ends_as_applied_refused_or_unknown(tmp_path: Path) -> None:
-    async def work(running: LoopbackRig) -> None:
-        controller = await running.controller()
-        (dead,) = free_ports(1)
-        came: list[str] = []
+    async def scenario(rig: LoopbackRig) -> None:
+        controller = await rig.controller()
+        (unused_port,) = free_ports(1)
+        received: list[str] = []
 
-        async def slow(request: Request, _w: asyncio.StreamWriter) -> Response:
+        async def slow(request: Request, _writer: asyncio.StreamWriter) -> Response:
             await asyncio.sleep(30)
             return json_response(200, {})
 
-        async def older(request: Request, _w: asyncio.StreamWriter) -> Response:
+        async def too_old(request: Request, _writer: asyncio.StreamWriter) -> Response:
             return Response(404)
 
-        async def dies(request: Request, _w: asyncio.StreamWriter) -> None:
-            came.append(request.json()["id"])
+        async def closes(request: Request, _writer: asyncio.StreamWriter) -> None:
+            received.append(request.json()["id"])
 
-        async def late(request: Request, _w: asyncio.StreamWriter) -> Response:
-            came.append("late")
-            ready = came.count("late") > 2
+        async def late(request: Request, _writer: asyncio.StreamWriter) -> Response:
+            received.append("late")
+            ready = received.count("late") > 2
             return (
                 json_response(200, {"status": "applied", "why": "", "changed": []})
                 if ready
                 else Response(503, {}, b'{"detail": "starting"}')
             )
 
-        async def garbles(request: Request, _w: asyncio.StreamWriter) -> Response:
+        async def answers_html(request: Request, _writer: asyncio.StreamWriter) -> Response:
             return Response(200, {}, b"<html>")
 
-        members = {"c1": ("127.0.0.1", port_of(controller)), "dead": ("127.0.0.1", dead)}
-        for name, handler in (("slow", slow), ("older", older), ("dies", dies), ("late", late), ("garbles", garbles)):
+        members = {"c1": ("127.0.0.1", port_of(controller)), "down": ("127.0.0.1", unused_port)}
+        for name, handler in (
+            ("slow", slow),
+            ("too_old", too_old),
+            ("closes", closes),
+            ("late", late),
+            ("answers_html", answers_html),
+        ):
             for n in range(2):
                 members[f"{name}{n}"] = await Server(handler).start("127.0.0.1", 0)  # type: ignore[arg-type]
         began = time.monotonic()
         outcomes = await send_command(members, {"id": "x", "verb": "drain", "names": ["b1"], "by": "ann"}, 2.5)
         assert time.monotonic() - began < 4.0 and len(outcomes) == 12
-        ended = {each.member: each.status for each in outcomes}
-        wanted = {"c1": "applied", "dead": "unknown"}
+        statuses = {each.member: each.status for each in outcomes}
+        expected = {"c1": "applied", "down": "unknown"}
         for name, status in (
             ("slow", "unknown"),
-            ("older", "refused"),
-            ("dies", "unknown"),
+            ("too_old", "refused"),
+            ("closes", "unknown"),
             ("late", "applied"),
-            ("garbles", "unknown"),
+            ("answers_html", "unknown"),
         ):
-            wanted |= {f"{name}{n}": status for n in range(2)}
+            expected |= {f"{name}{n}": status for n in range(2)}
         assert (
-            ended == wanted
+            statuses == expected
             and all(each.reason for each in outcomes if each.status != "applied")
-            and set(came) == {"x", "late"}
+            and set(received) == {"x", "late"}
         )
         assert controller.overlay.overrides.drained == {"b1"}
 
-    run_scenario(tmp_path, work)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_command_during_a_restart_is_answered_after_it(tmp_path: Path) -> None:
-    async def work(running: LoopbackRig) -> None:
+    async def scenario(rig: LoopbackRig) -> None:
         (port,) = free_ports(1)
-        first = await running.controller()
+        first = await rig.controller()
         address = ("127.0.0.1", port_of(first))
-        given = {"id": "x", "verb": "drain", "names": ["b1"], "by": "ann"}
-        assert (await send_command({"c": address}, given, 2.0))[0].status == "applied"
+        message = {"id": "x", "verb": "drain", "names": ["b1"], "by": "ann"}
+        assert (await send_command({"c": address}, message, 2.0))[0].status == "applied"
         first.supervisor.stopping.set()
-        await wait_until(lambda: running.tasks[0].done())
-        # While it is down the command is sent again, and the next incarnation answers it under the same id.
-        import tests.test_controller_server as sockets
+        await wait_until(lambda: rig.tasks[0].done())
+        # The commands are sent again while the controller is down; its next incarnation answers them by their ids.
+        import tests.test_controller_server as controller_rig
 
-        text = sockets.CONTROLLER.replace("127.0.0.1:0", f"127.0.0.1:{port}")
+        settings_with_port = controller_rig.CONTROLLER.replace("127.0.0.1:0", f"127.0.0.1:{port}")
         sending = asyncio.create_task(
-            send_command({"c": ("127.0.0.1", port)}, given | {"id": "y", "names": ["b2"]}, 6.0)
+            send_command({"c": ("127.0.0.1", port)}, message | {"id": "y", "names": ["b2"]}, 6.0)
         )
-        again = asyncio.create_task(send_command({"c": ("127.0.0.1", port)}, given, 6.0))
+        again = asyncio.create_task(send_command({"c": ("127.0.0.1", port)}, message, 6.0))
         await asyncio.sleep(0.5)
-        before, sockets.CONTROLLER = sockets.CONTROLLER, text
+        original, controller_rig.CONTROLLER = controller_rig.CONTROLLER, settings_with_port
         try:
-            second = await running.controller()
+            second = await rig.controller()
         finally:
-            sockets.CONTROLLER = before
+            controller_rig.CONTROLLER = original
         assert (await sending)[0].status == "applied" and (await again)[0].answer["again"]
         assert second.overlay.overrides.drained == {"b1", "b2"} and not second.core.endpoints["b1"].ready
 
-    run_scenario(tmp_path, work)
+    run_scenario(tmp_path, scenario)
 
 
 def test_drain_wait_compare_and_restore_on_the_command_line(tmp_path: Path) -> None:
-    async def work(running: LoopbackRig) -> None:
-        controller = await running.controller()
-        agent = await running.agent("p1", port_of(controller))
+    async def scenario(rig: LoopbackRig) -> None:
+        controller = await rig.controller()
+        agent = await rig.agent("p1", port_of(controller))
         await wait_until(lambda: len(usable_ports(tmp_path, "p1")) == 3 and agent.http_server.listener)
         assert agent.http_server.listener is not None
-        address, own = f"127.0.0.1:{port_of(controller)}", agent.http_server.listener.sockets[0].getsockname()[1]
-        (tmp_path / "fleet.rec").write_text(f'controllers: {{c1: "{address}"}}, agents: {{p1: "127.0.0.1:{own}"}}')
+        address, agent_port = f"127.0.0.1:{port_of(controller)}", agent.http_server.listener.sockets[0].getsockname()[1]
+        (tmp_path / "fleet.rec").write_text(
+            f'controllers: {{c1: "{address}"}}, agents: {{p1: "127.0.0.1:{agent_port}"}}'
+        )
 
         async def command(*words: str) -> tuple[int, str]:
-            done = await asyncio.to_thread(CliRunner().invoke, main, list(words))
-            return done.exit_code, done.output
+            result = await asyncio.to_thread(CliRunner().invoke, main, list(words))
+            return result.exit_code, result.output
 
-        code, told = await command("drain", "b1", "--at", address, "--dry-run")
-        assert code == 0 and "only tried" in told and not controller.overlay.overrides.drained
+        code, output = await command("drain", "b1", "--at", address, "--dry-run")
+        assert code == 0 and "only tried" in output and not controller.overlay.overrides.drained
         assert (await command("drain", "*", "--at", address))[0] == 1
         assert (await command("drain", "b1", "--fleet", str(tmp_path / "fleet.rec"), "--id", "n1"))[0] == 0
         assert (await command("wait", "b1", "--at", address))[0] == 0
         assert usable_ports(tmp_path, "p1") == {9002, 9003}
-        # A list that still calls it ready changes nothing.
+        # The drain stays in effect although a new endpoint list still gives the drained backend as ready.
         write_endpoint_list(
             tmp_path, 2, [*BACKENDS, {"id": "b4", "address": "127.0.0.1:9004", "zone": "north", "state": "ready"}]
         )
         await wait_until(lambda: 9004 in usable_ports(tmp_path, "p1"))
         assert 9001 not in usable_ports(tmp_path, "p1")
-        code, told = await command("wait", "b2", "--at", address, "--within", "0.3")
-        assert code == 1 and "still in: b2" in told
-        code, told = await command("compare", "--fleet", str(tmp_path / "fleet.rec"), "--settle", "0.3")
-        assert code == 0 and "agree" in told, told
+        code, output = await command("wait", "b2", "--at", address, "--within", "0.3")
+        assert code == 1 and "still in: b2" in output
+        code, output = await command("compare", "--fleet", str(tmp_path / "fleet.rec"), "--settle", "0.3")
+        assert code == 0 and "agree" in output, output
         (tmp_path / "p1" / "eds.json").write_text(
             (tmp_path / "p1" / "eds.json").read_text().replace('"version_info":"', '"version_info":"0')
         )
-        code, told = await command("compare", "--fleet", str(tmp_path / "fleet.rec"), "--settle", "0.1", "--json")
-        assert code == 1 and json.loads(told)[0]["what"] == "files"
+        code, output = await command("compare", "--fleet", str(tmp_path / "fleet.rec"), "--settle", "0.1", "--json")
+        assert code == 1 and json.loads(output)[0]["what"] == "files"
         assert (await command("restore", "b1", "--at", address))[0] == 0
         await wait_until(lambda: 9001 in usable_ports(tmp_path, "p1"))
         assert (await command("drain", "b1"))[0] == 2 and (
             await command("drain", "b1", "--at", "127.0.0.1:1", "--within", "0.4")
         )[0] == 3
 
-    run_scenario(tmp_path, work)
+    run_scenario(tmp_path, scenario)
 
 
 # Drift
 
 
-def state(version: int = 3, tag: str = '"t1"', **backends: dict[str, Any]) -> dict[str, Any]:
+def controller_state(version: int = 3, tag: str = '"t1"', **backends: dict[str, Any]) -> dict[str, Any]:
     usual = {"address": "a:1", "ready": True, "draining": False, "withdrawn": False}
     return {
         "list": {"version": version},
         "proxies": {"p1": {"tag": tag}},
-        "backends": {"b1": usual, **{n: usual | own for n, own in backends.items()}},
+        "backends": {"b1": usual, **{backend: usual | fields for backend, fields in backends.items()}},
     }
 
 
 def test_differences_between_controllers_proxies_and_files_are_found() -> None:
     agent = {"tag": '"t1"', "files": '"t1"'}
-    lone = state() | {"proxies": {}}
-    assert find_differences({"c1": state(), "c2": lone}, {"p1": agent}) == []
-    found = find_differences(
-        {"c1": state(b2={"withdrawn": True}), "c2": state(2, '"t9"', b2={}, b1={"address": "x:9"}), "c3": None},
+    without_proxies = controller_state() | {"proxies": {}}
+    assert find_differences({"c1": controller_state(), "c2": without_proxies}, {"p1": agent}) == []
+    differences = find_differences(
+        {
+            "c1": controller_state(b2={"withdrawn": True}),
+            "c2": controller_state(2, '"t9"', b2={}, b1={"address": "x:9"}),
+            "c3": None,
+        },
         {"p1": agent | {"files": '"t0"'}, "p2": agent},
     )
-    told = {(each.kind, each.subject) for each in found}
-    assert told == {
+    subjects = {(each.kind, each.subject) for each in differences}
+    assert subjects == {
         ("list", "c2"),
         ("backend", "b1"),
         ("backend", "b2"),
@@ -310,16 +325,17 @@
         ("files", "p1"),
         ("silent", "c3"),
     }
-    assert [each.kind for each in lasting_differences([], found)] == ["backend", "silent"] and lasting_differences(
-        found, found
-    ) == found
-    unknown = find_differences({"c1": state(b5={}), "c2": lone}, {})
-    assert [(each.subject, each.transient) for each in unknown] == [("b5", True)]
+    assert [each.kind for each in lasting_differences([], differences)] == [
+        "backend",
+        "silent",
+    ] and lasting_differences(differences, differences) == differences
+    missing_backend = find_differences({"c1": controller_state(b5={}), "c2": without_proxies}, {})
+    assert [(each.subject, each.transient) for each in missing_backend] == [("b5", True)]
 
 
 def test_an_invalid_command_over_http_is_answered_with_400(tmp_path: Path) -> None:
-    async def work(running: LoopbackRig) -> None:
-        controller = await running.controller()
+    async def scenario(rig: LoopbackRig) -> None:
+        controller = await rig.controller()
         for body in (b"", b"[]", b'{"id": "x"}', b"{"):
             response = await fetch_once(
                 ("127.0.0.1", port_of(controller)), Request("POST", "/v1/operate", {}, body), 2.0
@@ -327,4 +343,4 @@
             assert response.status == 400
         assert not controller.overlay.overrides.completed
 
-    run_scenario(tmp_path, work)
+    run_scenario(tmp_path, scenario)
