--- a/onyxhead/console/__init__.py
+++ b/onyxhead/console/__init__.py
@@ -1,1 +1,1 @@
-"""A terminal console over a fleet, from the controllers' answers only."""
+"""A terminal console that shows a fleet from the answers of its controllers alone."""
--- a/onyxhead/console/alarms.py
+++ b/onyxhead/console/alarms.py
@@ -1,4 +1,4 @@
-"""What an operator should look at, by the members' answers. No I/O."""
+"""Alarms for an operator, derived from the members' answers. No I/O."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 
 MAX_LIST_AGE_S = 60.0
 MAX_QUEUE_FRACTION = 0.7
-"""Of the channel's queue; above this fraction updates may be late."""
-MAX_JOIN_S = 3.0
-"""A proxy should have its tables this long after it joined."""
-MAX_NAMES = 6
-"""Backends that an alarm names."""
+"""Greatest used fraction of the channel's queue without an alarm; above it updates may be late."""
+MAX_TABLE_WAIT_S = 3.0
+"""A proxy should have received its tables this long after it joined."""
+MAX_NAMED_BACKENDS = 6
+"""Number of backends that an alarm lists by name."""
 
 
 class Alarm(NamedTuple):
-    """One thing to look at; `severe` if service suffers, or one of the five rules may be broken."""
+    """A condition that an operator should check.
+
+    It is `severe` if service suffers or if one of the five rules of `onyxhead.scenarios.rules` may be broken.
+    """
 
     severe: bool
     subject: str
@@ -30,13 +33,15 @@
     for name, snapshot in snapshots.items():
         state = snapshot.current_state
         if state is None:
-            alarms.append(Alarm(True, name, "does not answer; what it does is not known"))
+            alarms.append(Alarm(True, name, "no recent answer; its present state is unknown"))
             continue
         alarms += _member_alarms(name, state)
         for proxy in state["proxies"]:
             owners.setdefault(proxy, []).append(name)
     alarms += [
-        Alarm(False, proxy, f"counted by {' and '.join(names)}") for proxy, names in owners.items() if len(names) > 1
+        Alarm(False, proxy, f"joined at several controllers: {' and '.join(names)}")
+        for proxy, names in owners.items()
+        if len(names) > 1
     ]
     return sorted(set(alarms), key=lambda alarm: (not alarm.severe, alarm.subject, alarm.text))
 
@@ -49,28 +54,32 @@
     alarms = []
     channel, list_age, store = state["channel"], state["list"]["age_s"], state["store"]
     if channel["waiting"] > MAX_QUEUE_FRACTION * channel["most"]:
-        alarms.append(Alarm(True, name, f"{channel['waiting']:.0f} of {channel['most']:.0f} lines wait (rule 5)"))
+        alarms.append(
+            Alarm(True, name, f"{channel['waiting']:.0f} of {channel['most']:.0f} lines wait for the channel (rule 5)")
+        )
     if list_age is None or list_age > MAX_LIST_AGE_S:
         when = "never" if list_age is None else f"{list_age:.0f} s ago"
-        alarms.append(Alarm(False, name, f"heard a list {when}"))
+        alarms.append(Alarm(False, name, f"last endpoint list received: {when}"))
     if store["failing"]:
-        alarms.append(Alarm(True, name, f"its store takes nothing: {store['failing']}"))
+        alarms.append(Alarm(True, name, f"its store can't be written: {store['failing']}"))
     if store["dropped"]:
-        alarms.append(Alarm(False, name, f"{store['dropped']} records were lost"))
+        alarms.append(Alarm(False, name, f"{store['dropped']} records could not be stored and are lost"))
     return alarms
 
 
 def _service_alarms(name: str, state: State) -> list[Alarm]:
     alarms = []
     if state.get("held"):
-        alarms.append(Alarm(False, name, f"tables are held as in version {state['held']}"))
-    if state["backends"] and not any(each["ready"] and each["lines"] for each in state["backends"].values()):
-        alarms.append(Alarm(True, name, "no backend is in (rule 1)"))
-    waiting = sum(not proxy["bound"] and proxy["joined_for_s"] > MAX_JOIN_S for proxy in state["proxies"].values())
+        alarms.append(Alarm(False, name, f"tables are held at version {state['held']}"))
+    if state["backends"] and not any(view["ready"] and view["lines"] for view in state["backends"].values()):
+        alarms.append(Alarm(True, name, "no backend is in use (rule 1)"))
+    waiting = sum(
+        not proxy["bound"] and proxy["joined_for_s"] > MAX_TABLE_WAIT_S for proxy in state["proxies"].values()
+    )
     if waiting:
         alarms.append(Alarm(False, name, f"{waiting} proxies wait for their tables"))
     overrides = state.get("operators") or {}
     for kind in ("drained", "cordoned"):
         if backends := overrides.get(kind):
-            alarms.append(Alarm(False, name, f"{kind} by an operator: {' '.join(backends[:MAX_NAMES])}"))
+            alarms.append(Alarm(False, name, f"{kind} by an operator: {' '.join(backends[:MAX_NAMED_BACKENDS])}"))
     return alarms
--- a/onyxhead/console/app.py
+++ b/onyxhead/console/app.py
@@ -1,6 +1,6 @@
 """The console application.
 
-Each member is queried on its own, so a slow one delays nobody, and never with more than one request at a time.
+Each member is queried by a task of its own, one request at a time, so a slow member doesn't delay the others.
 """
 
 from __future__ import annotations
@@ -19,7 +19,10 @@
 from onyxhead.console.snapshot import MemberSnapshot, Snapshots
 
 Query = Callable[[str, str], Awaitable[Any]]
-"""Member and target to its JSON answer; raises OSError, TimeoutError or ValueError for none."""
+"""Sends a GET request for a target to a member and returns its JSON answer.
+
+Raises OSError, TimeoutError or ValueError if there is none.
+"""
 
 TABS: dict[str, tuple[str, ...]] = {
     "alarms": ("", "where", "what"),
@@ -29,12 +32,12 @@
     "orders": ("ago", "member", "why", "what"),
     "course": ("ago", "member", "what"),
 }
-"""Columns by tab."""
+"""Headings of the columns, by name of the tab."""
 MAX_REDRAW_INTERVAL_S = 1.0
 
 
 class _Answers(NamedTuple):
-    """A member's last answers, and when they came by the monotonic clock."""
+    """The last answers of a member, and the time of the monotonic clock at which they were received."""
 
     state: Any
     rounds: list[Any]
@@ -43,23 +46,23 @@
 
 
 class Console(App[None]):
-    """Shows alarms, members, backends, proxies and decision rounds, and one backend's history."""
+    """A terminal application that shows alarms, members, backends, proxies, decision rounds and a backend's history."""
 
     TITLE = "onyxhead"
     BINDINGS: ClassVar[list[BindingType]] = [
-        *((str(n), f"show('{name}')", name) for n, name in enumerate(TABS, 1)),
+        *((str(number), f"show('{name}')", name) for number, name in enumerate(TABS, 1)),
         ("q", "quit", "quit"),
     ]
 
     def __init__(self, members: list[str], query: Query, interval: float = 2.0) -> None:
-        """Watch these members; `interval` is the pause in seconds between queries to one."""
+        """Show these members; `interval` is the pause between two queries of a member, in seconds."""
         super().__init__()
         self.members, self.query_member, self.interval = members, query, interval
         self.answers: dict[str, _Answers] = {}
         self.backend = ""
 
     def compose(self) -> ComposeResult:
-        """Lay out one table a tab."""
+        """Lay out the tabs, each with one table."""
         yield Header()
         with TabbedContent(initial="tab-alarms"):
             for name in TABS:
@@ -68,7 +71,7 @@
         yield Footer()
 
     def on_mount(self) -> None:
-        """Start to query the members."""
+        """Add the columns of the tables, then start to query the members."""
         for name, columns in TABS.items():
             self.query_one(f"#{name}", DataTable).add_columns(*columns)
         for member in self.members:
@@ -81,7 +84,7 @@
                 state = await self.query_member(member, "/v1/state")
                 rounds = await self.query_member(member, "/v1/orders")
                 self.answers[member] = _Answers(state, rounds, None, time.monotonic())
-                # Not every controller takes load reports; one without still shows all the rest.
+                # A controller that takes no load reports doesn't answer /v1/load; its other answers are still shown.
                 load = await self.query_member(member, "/v1/load")
                 self.answers[member] = _Answers(state, rounds, load, time.monotonic())
             except (OSError, TimeoutError, ValueError):
@@ -90,16 +93,16 @@
             await asyncio.sleep(self.interval)
 
     def snapshots(self) -> Snapshots:
-        """Return what is known of each member now."""
+        """Return the last answers of each member, with their present age."""
         now = time.monotonic()
         snapshots: dict[str, MemberSnapshot] = {}
         for member in self.members:
-            known = self.answers.get(member, _Answers(None, [], None, now))
-            snapshots[member] = MemberSnapshot(known.state, known.rounds, known.load, now - known.received_at)
+            last = self.answers.get(member, _Answers(None, [], None, now))
+            snapshots[member] = MemberSnapshot(last.state, last.rounds, last.load, now - last.received_at)
         return snapshots
 
     def redraw(self) -> None:
-        """Show what is known now."""
+        """Update all tables and the summary from the last answers."""
         snapshots, now = self.snapshots(), time.time()
         alarms = find_alarms(snapshots)
         tables: dict[str, list[rows.Row]] = {
@@ -116,9 +119,9 @@
 
     @staticmethod
     def _fill(table: DataTable[str], table_rows: list[rows.Row]) -> None:
-        """Redraw only a table that changed, since the terminal's connection may be slow."""
-        shown = [tuple(map(str, table.get_row_at(n))) for n in range(table.row_count)]
-        if shown == table_rows:
+        """Redraw a table only if its rows changed, since the terminal's connection may be slow."""
+        shown_rows = [tuple(map(str, table.get_row_at(index))) for index in range(table.row_count)]
+        if shown_rows == table_rows:
             return
         cursor_row = table.cursor_row
         table.clear()
@@ -126,20 +129,20 @@
         table.move_cursor(row=min(cursor_row, max(0, len(table_rows) - 1)))
 
     def on_data_table_row_selected(self, event: DataTable.RowSelected) -> None:
-        """Show the history of a backend that was selected."""
+        """Show the history of the backend whose row was selected."""
         if event.data_table.id == "backends":
             self.backend = str(event.data_table.get_row(event.row_key)[0])
             self.action_show("course")
             self.redraw()
 
     def action_show(self, name: str) -> None:
-        """Open a tab."""
+        """Open the tab of this name and focus its table."""
         self.query_one(TabbedContent).active = f"tab-{name}"
         self.query_one(f"#{name}", DataTable).focus()
 
 
 def _summary(alarms: list[Alarm]) -> str:
     if not alarms:
-        return "all is well, as far as is known"
+        return "no alarms"
     severe = sum(alarm.severe for alarm in alarms)
-    return f"{severe} grave, {len(alarms) - severe} other"
+    return f"{severe} severe, {len(alarms) - severe} other"
--- a/onyxhead/console/rows.py
+++ b/onyxhead/console/rows.py
@@ -1,6 +1,6 @@
-"""What the console shows, as rows of short text. No I/O.
+"""Rows of short texts for the console's tables. No I/O.
 
-A member without a recent answer is shown as unknown, with the age of its last answer.
+The state of a member without a recent answer is shown as unknown, with the age of its last answer.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 UNKNOWN = "?"
 FULL_WEIGHT = 1_000_000
-"""A line's weight is in millionths."""
+"""A line's weight is given in millionths."""
 MIN_CREDIBILITY = 0.5
-"""Of a backend's load reports; below it the doubt is shown."""
+"""Credibility of a backend's load reports below which the reason for the doubt is shown."""
 MAX_ROUNDS = 200
 
 
 def fleet_rows(snapshots: Snapshots) -> list[Row]:
-    """Return member, age of its answer, epoch, list, proxies, channel, and version or what holds the tables."""
+    """Return rows of member, age of its answer, epoch, list version, proxies, channel queue, table version."""
     rows: list[Row] = []
     for name, snapshot in sorted(snapshots.items()):
         state = snapshot.current_state
         if state is None:
-            silent = "never heard" if snapshot.state is None else f"silent for {snapshot.age:.0f} s"
-            rows.append((name, silent, *[UNKNOWN] * 5))
+            silence = "no answer yet" if snapshot.state is None else f"no answer for {snapshot.age:.0f} s"
+            rows.append((name, silence, *[UNKNOWN] * 5))
             continue
         channel = state["channel"]
         rows.append(
@@ -52,10 +52,13 @@
 
 
 def backend_rows(snapshots: Snapshots) -> list[Row]:
-    """Return backend, zone, its state at each member, weight where they agree, utilization, doubt of its reports."""
+    """Return rows of backend, zone, state, weight, utilization, and the reason to doubt its load reports.
+
+    State and weight are combined from all members.
+    """
     states = current_states(snapshots)
     rows: list[Row] = []
-    for backend in sorted({each for state in states.values() for each in state["backends"]}):
+    for backend in sorted({name for state in states.values() for name in state["backends"]}):
         views = {name: state["backends"].get(backend) for name, state in states.items()}
         known = [view for view in views.values() if view is not None]
         load = _load_of(backend, snapshots)
@@ -66,7 +69,7 @@
 
 
 def _load_of(backend: str, snapshots: Snapshots) -> State | None:
-    """Return the load of a backend by the first member that has a current estimate."""
+    """Return a backend's load estimate from the first member that has a recent answer with one."""
     for snapshot in snapshots.values():
         if snapshot.load is not None and snapshot.current_state is not None and backend in snapshot.load["backends"]:
             load: State | None = snapshot.load["backends"].get(backend)
@@ -75,7 +78,7 @@
 
 
 def _combined_state(views: dict[str, State | None]) -> str:
-    """Return the state of a backend where all members agree, or each member's."""
+    """Return the state of a backend if all members agree on it, otherwise the state at each member."""
     states = {name: _backend_state(view) for name, view in views.items()}
     if len(set(states.values())) == 1:
         return next(iter(states.values()))
@@ -102,7 +105,7 @@
 
 
 def proxy_rows(snapshots: Snapshots) -> list[Row]:
-    """Return proxy, its member, zone, time since it joined, whether it has tables, the last round it applied."""
+    """Return rows of proxy, member, zone, time since it joined, whether it has tables, last round applied."""
     rows: list[Row] = []
     for name, state in current_states(snapshots).items():
         for proxy, view in state["proxies"].items():
@@ -112,12 +115,12 @@
 
 
 def round_rows(snapshots: Snapshots, now: float, limit: int = MAX_ROUNDS) -> list[Row]:
-    """Return the last decision rounds of all members, newest first: age, member, causes, decisions."""
-    rounds = [(float(each["at"]), name, each) for name, snapshot in snapshots.items() for each in snapshot.rounds]
-    newest = sorted(rounds, key=lambda entry: -entry[0])[:limit]
+    """Return rows of age, member, causes and decisions for the latest decision rounds, newest first."""
+    rounds = [(float(entry["at"]), name, entry) for name, snapshot in snapshots.items() for entry in snapshot.rounds]
+    newest = sorted(rounds, key=lambda dated_round: -dated_round[0])[:limit]
     return [
-        (_format_age(now - at), name, ", ".join(each["causes"]) or "time", _format_decisions(each))
-        for at, name, each in newest
+        (_format_age(now - at), name, ", ".join(entry["causes"]) or "time", _format_decisions(entry))
+        for at, name, entry in newest
     ]
 
 
@@ -128,7 +131,7 @@
 def _format_decisions(decision_round: State) -> str:
     if decision_round.get("sound") is False:
         return "damaged record"
-    return "; ".join(_format_decision(each) for each in decision_round["decisions"])
+    return "; ".join(_format_decision(decision) for decision in decision_round["decisions"])
 
 
 def _format_decision(decision: list[Any]) -> str:
@@ -136,7 +139,7 @@
         case ["lines", table, changed]:
             return f"t{table}: " + " ".join(f"{backend}={weight:g}" for backend, weight in changed.items())
         case ["level", table, groups, level, _retry_mode]:
-            return f"t{table}: groups {groups} let in {level:.0%}"
+            return f"t{table}: groups {groups} admitted at {level:.0%}"
         case ["assign", proxy, table, _groups]:
             return f"proxy {proxy} gets t{table}"
         case [verb, backend]:
@@ -145,14 +148,14 @@
 
 
 def backend_history_rows(snapshots: Snapshots, backend: str, now: float) -> list[Row]:
-    """Return the decisions on one backend, newest first: age, member, decision."""
-    entries = []
+    """Return rows of age, member and decision for the decisions on one backend, newest first."""
+    history = []
     for name, snapshot in snapshots.items():
-        for each in snapshot.rounds:
-            for decision in each["decisions"]:
+        for decision_round in snapshot.rounds:
+            for decision in decision_round["decisions"]:
                 match decision:
                     case ["withdraw" | "readmit" as verb, subject] if subject == backend:
-                        entries.append((float(each["at"]), name, str(verb)))
+                        history.append((float(decision_round["at"]), name, str(verb)))
                     case ["lines", table, changed] if backend in changed:
-                        entries.append((float(each["at"]), name, f"{changed[backend]:g} in t{table}"))
-    return [(_format_age(now - at), name, text) for at, name, text in sorted(entries, reverse=True)]
+                        history.append((float(decision_round["at"]), name, f"{changed[backend]:g} in t{table}"))
+    return [(_format_age(now - at), name, text) for at, name, text in sorted(history, reverse=True)]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: rows and alarms for members that are silent, differ or have faults, and a small terminal."""
+"""Tests of the console: rows and alarms for members that are silent, differ or have faults, and a small terminal."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 }
 
 
-def state(**more: Any) -> dict[str, Any]:
+def member_state(**changes: Any) -> dict[str, Any]:
     usual: dict[str, Any] = {
         "epoch": 2,
         "list": {"version": 7, "age_s": 1.0},
@@ -33,7 +33,7 @@
         "backends": {"b1": LINE, "b2": LINE | {"withdrawn": True, "ready": False}},
         "operators": {},
     }
-    return usual | more
+    return usual | changes
 
 
 ROUND = {
@@ -56,23 +56,29 @@
 def test_the_state_of_a_silent_member_is_shown_as_unknown() -> None:
     shown = fleet_rows(
         snapshots(
-            c1=MemberSnapshot(state(), [], None, 1.0),
+            c1=MemberSnapshot(member_state(), [], None, 1.0),
             c2=MemberSnapshot(None, [], None, 0.0),
-            c3=MemberSnapshot(state(), [], None, 60.0),
+            c3=MemberSnapshot(member_state(), [], None, 60.0),
         )
     )
     assert shown[0] == ("c1", "1 s", "2", "7", "1", "10/2000", "12")
-    assert shown[1] == ("c2", "never heard", *"?????") and shown[2] == ("c3", "silent for 60 s", *"?????")
-    gone = snapshots(c3=MemberSnapshot(state(), [], LOAD, 60.0))
-    assert backend_rows(gone) == [] and proxy_rows(gone) == [] and [each.severe for each in find_alarms(gone)] == [True]
+    assert shown[1] == ("c2", "no answer yet", *"?????") and shown[2] == ("c3", "no answer for 60 s", *"?????")
+    outdated = snapshots(c3=MemberSnapshot(member_state(), [], LOAD, 60.0))
+    assert (
+        backend_rows(outdated) == []
+        and proxy_rows(outdated) == []
+        and [alarm.severe for alarm in find_alarms(outdated)] == [True]
+    )
 
 
 def test_backend_rows_show_where_members_differ_and_whose_reports_are_doubted() -> None:
-    other = state(backends={"b1": LINE | {"draining": True, "ready": False, "lines": {}}, "b3": LINE | {"lines": {}}})
+    other = member_state(
+        backends={"b1": LINE | {"draining": True, "ready": False, "lines": {}}, "b3": LINE | {"lines": {}}}
+    )
     shown = {
         row[0]: row[1:]
         for row in backend_rows(
-            snapshots(c1=MemberSnapshot(state(), [], LOAD, 1.0), c2=MemberSnapshot(other, [], None, 1.0))
+            snapshots(c1=MemberSnapshot(member_state(), [], LOAD, 1.0), c2=MemberSnapshot(other, [], None, 1.0))
         )
     }
     assert shown["b1"] == ("north", "c1:in c2:draining", "1.00", "42%", "answers are later than its word allows")
@@ -80,19 +86,19 @@
 
 
 def test_decision_rounds_and_a_backends_history_are_shown_newest_first() -> None:
-    late = ROUND | {"at": 995.0, "sound": False}
-    shown = round_rows(snapshots(c1=MemberSnapshot(state(), [ROUND, late], None, 1.0)), 1000.0)
+    damaged = ROUND | {"at": 995.0, "sound": False}
+    shown = round_rows(snapshots(c1=MemberSnapshot(member_state(), [ROUND, damaged], None, 1.0)), 1000.0)
     assert (
         shown[0] == ("5 s", "c1", "list: 1 changes", "damaged record")
-        and shown[1][3] == "withdraw b2; t0: b1=0.5; t0: groups [1] let in 25%"
+        and shown[1][3] == "withdraw b2; t0: b1=0.5; t0: groups [1] admitted at 25%"
     )
-    assert backend_history_rows(snapshots(c1=MemberSnapshot(state(), [ROUND], None, 1.0)), "b1", 1000.0) == [
+    assert backend_history_rows(snapshots(c1=MemberSnapshot(member_state(), [ROUND], None, 1.0)), "b1", 1000.0) == [
         ("10 s", "c1", "0.5 in t0")
     ]
 
 
 def test_alarms_name_what_may_break_a_rule() -> None:
-    bad = state(
+    faulty_state = member_state(
         channel={"waiting": 1900.0, "most": 2000.0, "peak": 1900.0},
         store={"failing": "disk full", "dropped": 3},
         held=9,
@@ -101,21 +107,23 @@
         proxies={"p1": {"zone": "n", "joined_for_s": 9.0, "bound": False, "turn": 0, "tag": ""}},
         operators={"drained": ["b1"], "cordoned": []},
     )
-    found = find_alarms(snapshots(c1=MemberSnapshot(bad, [], None, 1.0), c2=MemberSnapshot(state(), [], None, 1.0)))
-    texts = " | ".join(f"{each.severe:d} {each.subject} {each.text}" for each in found)
-    for wanted in (
-        "1 c1 1900 of 2000 lines wait (rule 5)",
-        "1 c1 its store takes nothing",
-        "1 c1 no backend is in (rule 1)",
-        "0 c1 heard a list never",
+    alarms = find_alarms(
+        snapshots(c1=MemberSnapshot(faulty_state, [], None, 1.0), c2=MemberSnapshot(member_state(), [], None, 1.0))
+    )
+    texts = " | ".join(f"{each.severe:d} {each.subject} {each.text}" for each in alarms)
+    for expected in (
+        "1 c1 1900 of 2000 lines wait for the channel (rule 5)",
+        "1 c1 its store can't be written",
+        "1 c1 no backend is in use (rule 1)",
+        "0 c1 last endpoint list received: never",
         "0 c1 tables are held",
         "0 c1 1 proxies wait",
         "0 c1 drained by an operator: b1",
-        "0 p1 counted by c1 and c2",
+        "0 p1 joined at several controllers: c1 and c2",
         "0 c1 3 records",
     ):
-        assert wanted in texts, texts
-    assert [each.severe for each in found] == sorted((each.severe for each in found), reverse=True)
+        assert expected in texts, texts
+    assert [each.severe for each in alarms] == sorted((each.severe for each in alarms), reverse=True)
 
 
 def test_the_console_works_in_a_small_terminal_with_a_slow_and_a_dead_member() -> None:
@@ -126,16 +134,16 @@
             await asyncio.sleep(30)
         if target == "/v1/load":
             raise OSError("404")
-        return [ROUND] if target == "/v1/orders" else state()
+        return [ROUND] if target == "/v1/orders" else member_state()
 
-    async def work() -> None:
+    async def scenario() -> None:
         app = Console(["c1", "dead", "slow"], query, 0.05)
         async with app.run_test(size=(80, 24)) as pilot:
             await pilot.pause(0.5)
             tables = {name: app.query_one(f"#{name}") for name in TABS}
             assert [tables["fleet"].get_row_at(n)[0] for n in range(3)] == ["c1", "dead", "slow"]  # type: ignore[attr-defined]
-            assert tables["fleet"].get_row_at(0)[2] == "2" and tables["fleet"].get_row_at(1)[1] == "never heard"  # type: ignore[attr-defined]
-            assert "2 grave" in app.sub_title
+            assert tables["fleet"].get_row_at(0)[2] == "2" and tables["fleet"].get_row_at(1)[1] == "no answer yet"  # type: ignore[attr-defined]
+            assert "2 severe" in app.sub_title
             await pilot.press("3", "enter")
             await pilot.pause(0.2)
             assert app.backend == "b1" and tables["course"].row_count == 1  # type: ignore[attr-defined]
@@ -145,4 +153,4 @@
             )
             await pilot.press("q")
 
-    asyncio.run(work())
+    asyncio.run(scenario())
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -111,8 +111,12 @@
         and "2" not in overrides.completed
     )
     facts_of_many_proxies = FACTS._replace(proxies=2_000)
-    command = make_command("drain", "b1", "b2", command_id="3")
-    assert "rule 3" in overrides.execute(command, CONFIGURATION, ALL_BACKENDS, facts_of_many_proxies).effect.reason
+    assert (
+        "rule 3"
+        in overrides.execute(
+            make_command("drain", "b1", "b2", command_id="3"), CONFIGURATION, ALL_BACKENDS, facts_of_many_proxies
+        ).effect.reason
+    )
     assert execute(overrides, "drain", "nobody", command_id="4")["status"] == "refused"
 
 
