--- a/onyxhead/incident/__init__.py
+++ b/onyxhead/incident/__init__.py
@@ -1,1 +1,1 @@
-"""Incident pages: what happened in a period, from the controllers' own records."""
+"""Incident pages: reports on a period, made from the controllers' own records."""
--- a/onyxhead/incident/backend_states.py
+++ b/onyxhead/incident/backend_states.py
@@ -1,4 +1,4 @@
-"""What each backend was ordered to be at each controller over time, and where controllers differed. No I/O."""
+"""The state of each backend over time by each controller's decisions, and disagreements between controllers. No I/O."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from onyxhead.store.records import StoredPeriod
 
 FULL_WEIGHT = 0.995
-"""From this weight on a backend counts as in use without reduction."""
+"""A backend with at least this weight counts as fully in use."""
 MIN_DISAGREEMENT_S = 2.0
-"""Differences that last no longer are news on its way."""
+"""A shorter disagreement only shows that a change had not reached all controllers yet."""
 
 
 class BackendState(StrEnum):
-    """A backend's state; the values are shown on the page."""
+    """The state of a backend by a controller's decisions; the values are shown on the page."""
 
     IN = "in"
     PARTLY_IN = "part"
@@ -37,27 +37,27 @@
 
 
 StateHistory = dict[str, dict[str, list[StateInterval]]]
-"""Intervals by backend and controller."""
+"""State intervals by backend, then by controller."""
 
 
 def backend_states(periods: Iterable[StoredPeriod], since: float, until: float) -> StateHistory:
-    """Return what each backend was ordered to be, from the first decision in the records on.
+    """Return the states that the recorded decisions gave each backend.
 
-    In a gap it is not known.
+    The state is UNKNOWN before the first decision in the records and during gaps.
     """
-    stored = list(periods)
+    stored_periods = list(periods)
     gaps: dict[str, list[Gap]] = defaultdict(list)
-    for gap in find_gaps(stored, since, until):
+    for gap in find_gaps(stored_periods, since, until):
         gaps[gap.controller].append(gap)
     history: StateHistory = defaultdict(dict)
-    for period in stored:
+    for period in stored_periods:
         for backend, changes in _state_changes(period).items():
             history[backend][period.name] = _intervals(changes, gaps[period.name], since, until)
     return dict(sorted(history.items()))
 
 
 def _state_changes(period: StoredPeriod) -> dict[str, list[tuple[float, BackendState]]]:
-    """Return the times at which each backend's state was set."""
+    """Return the times and new states of all changes of state, by backend."""
     changes: dict[str, list[tuple[float, BackendState]]] = defaultdict(list)
     for record in period.decisions:
         if record.intact is False:
@@ -70,7 +70,7 @@
                     changes[backend].append((record.at, BackendState.IN))
                 case [DecisionKind.LINES, _, weights]:
                     for backend, weight in weights.items():
-                        # A withdrawal holds until the backend is readmitted, whatever weight its lines get.
+                        # A withdrawn backend stays out until it is readmitted, whatever weight its lines get meanwhile.
                         withdrawn = bool(changes[backend]) and changes[backend][-1][1] is BackendState.OUT
                         state = BackendState.OUT if withdrawn else _state_of_weight(weight)
                         changes[backend].append((record.at, state))
@@ -86,11 +86,11 @@
 def _intervals(
     changes: list[tuple[float, BackendState]], gaps: list[Gap], since: float, until: float
 ) -> list[StateInterval]:
-    """Return the intervals between changes and gaps, neighbours of the same state joined."""
-    ends_of_gaps = {gap.until or until for gap in gaps}
-    cuts = sorted({since, until, *(at for at, _ in changes), *(gap.since for gap in gaps), *ends_of_gaps})
+    """Return the intervals between changes and gaps; adjacent intervals of the same state are merged."""
+    gap_ends = {gap.until or until for gap in gaps}
+    boundaries = sorted({since, until, *(at for at, _ in changes), *(gap.since for gap in gaps), *gap_ends})
     intervals: list[StateInterval] = []
-    for begin, end in pairwise(cuts):
+    for begin, end in pairwise(boundaries):
         if begin < since or end > until:
             continue
         if any(gap.since <= begin and end <= (gap.until if gap.until is not None else until) for gap in gaps):
@@ -107,20 +107,23 @@
 def find_disagreements(
     history: Mapping[str, Mapping[str, list[StateInterval]]], min_duration: float = MIN_DISAGREEMENT_S
 ) -> list[Event]:
-    """Return where two controllers' decisions on a backend differed for longer than news takes."""
+    """Return an event for each time that two controllers disagreed for longer than `min_duration` seconds.
+
+    Two controllers disagree while a backend is out by the decisions of one and in use by those of the other.
+    """
     events = []
     for backend, controllers in history.items():
         for one, two in combinations(sorted(controllers), 2):
             for first, second in product(controllers[one], controllers[two]):
                 since, until = max(first.since, second.since), min(first.until, second.until)
                 if until - since > min_duration and _differ(first.state, second.state):
-                    text = f"{backend}: {one} has it {first.state}, {two} {second.state}, for {until - since:.0f} s"
+                    text = f"{backend}: {first.state} at {one}, {second.state} at {two}, for {until - since:.0f} s"
                     events.append(Event(since, one, EventKind.ENDPOINT_LIST, text, (backend,)))
     return sorted(events)
 
 
 def _differ(one: BackendState, two: BackendState) -> bool:
-    """Tell whether a backend is out by one state and not by the other, where both are known."""
+    """Return whether exactly one of two known states is OUT; False if either is unknown."""
     if BackendState.UNKNOWN in (one, two):
         return False
     return (one is BackendState.OUT) != (two is BackendState.OUT)
--- a/onyxhead/incident/charts.py
+++ b/onyxhead/incident/charts.py
@@ -1,4 +1,4 @@
-"""Charts of an incident page as SVG. No I/O."""
+"""SVG charts for an incident page. No I/O."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 )
 
 Points = Sequence[tuple[float, float | None]]
-"""Times and values; None where there is no value."""
+"""Pairs of time and value, in order of time; the value is None where nothing was recorded."""
 
 
 def format_clock(at: float) -> str:
@@ -36,7 +36,7 @@
 
 
 def state_bars(history: Mapping[str, Mapping[str, list[StateInterval]]], since: float, until: float) -> str:
-    """Return one bar for each backend and controller, coloured by state."""
+    """Return a chart with one bar for each backend and controller, coloured by state."""
     parts, y = [], 4
     for backend, controllers in history.items():
         for controller, intervals in controllers.items():
@@ -48,7 +48,7 @@
 
 
 def _bar(interval: StateInterval, y: int, since: float, until: float) -> str:
-    left, right = _x(interval.since, since, until), _x(interval.until, since, until)
+    left, right = _to_x(interval.since, since, until), _to_x(interval.until, since, until)
     title = f"{interval.state} {format_clock(interval.since)} to {format_clock(interval.until)}"
     return (
         f"<rect x='{left:.1f}' y='{y}' width='{max(0.5, right - left):.1f}' height='{BAR_HEIGHT}' "
@@ -57,19 +57,19 @@
 
 
 def curve(points: Points, since: float, until: float) -> str:
-    """Return a line for each run of values; where there is none, the line breaks."""
-    top = max((value for _, value in points if value is not None), default=0.0) or 1.0
+    """Return a line chart of the points; the line is interrupted wherever a value is missing."""
+    greatest = max((value for _, value in points if value is not None), default=0.0) or 1.0
     runs: list[list[str]] = [[]]
     for at, value in points:
         if value is None:
             runs.append([])
         else:
-            runs[-1].append(f"{_x(at, since, until):.1f},{CURVE_BOTTOM - CURVE_HEIGHT * value / top:.1f}")
+            runs[-1].append(f"{_to_x(at, since, until):.1f},{CURVE_BOTTOM - CURVE_HEIGHT * value / greatest:.1f}")
     lines = "".join(
         f"<polyline fill='none' stroke='#2b5d8a' points='{' '.join(run)}'/>" for run in runs if len(run) > 1
     )
     dots = "".join(_dot(*run[0].split(",")) for run in runs if len(run) == 1)
-    scale = f"<text x='0' y='16'>{top:.3g}</text><text x='0' y='{CURVE_BOTTOM}'>0</text>"
+    scale = f"<text x='0' y='16'>{greatest:.3g}</text><text x='0' y='{CURVE_BOTTOM}'>0</text>"
     return _frame(104, scale + lines + dots + _time_axis(since, until, 100))
 
 
@@ -77,7 +77,7 @@
     return f"<circle cx='{x}' cy='{y}' r='1.5'/>"
 
 
-def _x(at: float, since: float, until: float) -> float:
+def _to_x(at: float, since: float, until: float) -> float:
     return LABEL_WIDTH + (WIDTH - LABEL_WIDTH) * (at - since) / max(0.001, until - since)
 
 
@@ -86,8 +86,8 @@
 
 
 def _time_axis(since: float, until: float, y: int) -> str:
-    marks = [since + (until - since) * n / AXIS_INTERVALS for n in range(AXIS_INTERVALS + 1)]
+    marks = [since + (until - since) * mark / AXIS_INTERVALS for mark in range(AXIS_INTERVALS + 1)]
     return "".join(
-        f"<text x='{min(_x(at, since, until), WIDTH - 52):.0f}' y='{y}' fill='#666'>{format_clock(at)[:8]}</text>"
+        f"<text x='{min(_to_x(at, since, until), WIDTH - 52):.0f}' y='{y}' fill='#666'>{format_clock(at)[:8]}</text>"
         for at in marks
     )
--- a/onyxhead/incident/events.py
+++ b/onyxhead/incident/events.py
@@ -1,4 +1,4 @@
-"""The events that controllers' records tell, in the order of time. No I/O.
+"""Events from controllers' records, in order of time. No I/O.
 
 Times are seconds of the wall clock.
 """
@@ -15,7 +15,7 @@
 
 
 class EventKind(StrEnum):
-    """What an event is about; the values are shown on the page and name its style."""
+    """The kind of an event; the page shows the value and uses it as the CSS class of the event's row."""
 
     ENDPOINT_LIST = "list"
     WITHDRAWN = "withdrawn"
@@ -30,7 +30,7 @@
 
 
 class Event(NamedTuple):
-    """One event at one controller; `subjects` are the backends or proxies that it is about."""
+    """An event at one controller; `subjects` are the backends or proxies that it concerns."""
 
     at: float
     controller: str
@@ -40,20 +40,21 @@
 
 
 def collect_events(periods: Iterable[StoredPeriod], since: float, until: float) -> list[Event]:
-    """Return all recorded events between two times, in order."""
+    """Return all recorded events between two times, sorted by time."""
     events: list[Event] = []
     for period in periods:
         name = period.name
         events += [
-            Event(each.began, name, EventKind.STARTED, f"began (life {each.epoch})") for each in period.incarnations
+            Event(incarnation.began, name, EventKind.STARTED, f"controller started (incarnation {incarnation.epoch})")
+            for incarnation in period.incarnations
         ]
         events += [
-            Event(each.received_at, name, EventKind.ENDPOINT_LIST, f"followed list {each.version}")
-            for each in period.endpoint_lists
+            Event(received.received_at, name, EventKind.ENDPOINT_LIST, f"received endpoint list {received.version}")
+            for received in period.endpoint_lists
         ]
         events += [
-            Event(each.at, name, EventKind.OPERATOR, f"{each.user}: {each.what}: {each.result}")
-            for each in period.audit
+            Event(entry.at, name, EventKind.OPERATOR, f"{entry.user}: {entry.what}: {entry.result}")
+            for entry in period.audit
         ]
         for record in period.decisions:
             events += _round_events(name, record)
@@ -62,30 +63,30 @@
 
 
 def _round_events(controller: str, record: DecisionRecord) -> list[Event]:
-    """Return the events of one decision round: joins and leaves that caused it, then its decisions."""
+    """Return the events of one decision round: the joins and leaves that caused it, then its decisions."""
     if record.intact is False:
-        text = f"order {record.number} is damaged and can't be told"
+        text = f"decision record {record.number} is damaged; its decisions are unknown"
         return [Event(record.at, controller, EventKind.DAMAGED, text)]
     events = [event for cause in record.causes if (event := _cause_event(controller, record.at, cause)) is not None]
-    lines: dict[str, list[str]] = defaultdict(list)
+    weight_changes: dict[str, list[str]] = defaultdict(list)
     for decision in record.decisions:
         match decision:
             case [DecisionKind.LINES, table, changed]:
                 for backend, weight in changed.items():
-                    lines[backend].append(f"{weight:g} in table {table}")
+                    weight_changes[backend].append(f"{weight:g} in table {table}")
             case _:
                 events += _decision_events(controller, record, decision)
-    if lines:
-        text = "; ".join(f"{backend} {', '.join(changes)}" for backend, changes in sorted(lines.items()))
-        events.append(Event(record.at, controller, EventKind.WEIGHTS, text, tuple(sorted(lines))))
+    if weight_changes:
+        text = "; ".join(f"{backend} {', '.join(changes)}" for backend, changes in sorted(weight_changes.items()))
+        events.append(Event(record.at, controller, EventKind.WEIGHTS, text, tuple(sorted(weight_changes))))
     return events
 
 
 def _cause_event(controller: str, at: float, cause: str) -> Event | None:
-    proxy, _, what = cause.partition(" ")
-    if what.startswith("joined"):
+    proxy, _, change = cause.partition(" ")
+    if change.startswith("joined"):
         return Event(at, controller, EventKind.JOINED, cause, (proxy,))
-    if what.startswith("left"):
+    if change.startswith("left"):
         return Event(at, controller, EventKind.LEFT, cause, (proxy,))
     return None
 
@@ -97,8 +98,8 @@
             text = f"{backend} withdrawn ({causes})"
             return [Event(record.at, controller, EventKind.WITHDRAWN, text, (backend,))]
         case [DecisionKind.READMIT, backend]:
-            return [Event(record.at, controller, EventKind.READMITTED, f"{backend} let in again", (backend,))]
+            return [Event(record.at, controller, EventKind.READMITTED, f"{backend} readmitted", (backend,))]
         case [DecisionKind.LEVEL, table, groups, level, _retry_mode]:
-            text = f"groups {', '.join(map(str, groups))} of table {table}: {level:.0%} let in"
+            text = f"groups {', '.join(map(str, groups))} of table {table}: {level:.0%} admitted"
             return [Event(record.at, controller, EventKind.ADMISSION_LEVEL, text)]
     return []
--- a/onyxhead/incident/gaps.py
+++ b/onyxhead/incident/gaps.py
@@ -1,7 +1,7 @@
 """Periods of which a controller has no records. No I/O.
 
-What is not recorded is not filled in: a period in which a controller was down, or its store took nothing, is a gap, and
-a gap does not mean that nothing happened.
+A controller records nothing while it is down or can't write to its store. Such a period is shown as a gap, without any
+assumption about it: a gap does not mean that nothing happened.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from onyxhead.store.records import StoredPeriod
 
 HEARTBEAT_TIMEOUT_S = 5.0
-"""An incarnation records a heartbeat every second; without one for this long it kept no records."""
+"""An incarnation records a heartbeat every second; if none is recorded for this long, other records are missing too."""
 MIN_DOWNTIME_S = 1.5
 
 
 class Gap(NamedTuple):
-    """A period without records; `until` is None where it lasts to the end."""
+    """A period for which a controller has no records; `until` is None if it lasts to the end of the page's period."""
 
     controller: str
     since: float
@@ -27,7 +27,7 @@
 
 
 def find_gaps(periods: Iterable[StoredPeriod], since: float, until: float) -> list[Gap]:
-    """Return the gaps between two times, as far as the controllers' heartbeats tell."""
+    """Return the gaps between two times, found from the controllers' heartbeats."""
     gaps = [gap for period in periods for gap in _gaps_of(period, since, until)]
     return sorted(gaps, key=lambda gap: (gap.since, gap.controller))
 
@@ -39,11 +39,11 @@
     gaps: list[Gap] = []
     first, last = incarnations[0], incarnations[-1]
     if first.began > since:
-        gaps.append(Gap(name, since, min(until, first.began), "nothing is recorded before"))
+        gaps.append(Gap(name, since, min(until, first.began), "no earlier records"))
     for before, after in pairwise(incarnations):
         within = after.began > since and before.seen < until
         if within and after.began - before.seen > MIN_DOWNTIME_S:
-            gaps.append(Gap(name, max(since, before.seen), min(until, after.began), "it was down"))
+            gaps.append(Gap(name, max(since, before.seen), min(until, after.began), "controller was down"))
     if until - last.seen > HEARTBEAT_TIMEOUT_S:
-        gaps.append(Gap(name, max(since, last.seen), None, "nothing is recorded after"))
+        gaps.append(Gap(name, max(since, last.seen), None, "no later records"))
     return gaps
--- a/onyxhead/incident/page.py
+++ b/onyxhead/incident/page.py
@@ -1,4 +1,4 @@
-"""An incident as one page of HTML: no script, nothing from elsewhere, readable on paper. No I/O."""
+"""An incident as a single page of HTML, without scripts and external resources, fit for printing. No I/O."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Incident:
-    """What is shown of a period; times are seconds of the wall clock, `series` are named curves."""
+    """The content of an incident page. Times are seconds of the wall clock; `series` maps names to time series."""
 
     title: str
     since: float
@@ -41,7 +41,7 @@
     def of(
         cls, title: str, since: float, until: float, periods: Sequence[StoredPeriod], series: Mapping[str, Points]
     ) -> Incident:
-        """Return what the controllers' records tell of a period."""
+        """Return the incident that the controllers' records of a period show."""
         states = backend_states(periods, since, until)
         return cls(
             title=title,
@@ -56,16 +56,16 @@
 
 
 def render_page(incident: Incident) -> str:
-    """Return the page."""
+    """Return the HTML of an incident's page."""
     since, until = incident.since, incident.until
     sections = [_head(incident)]
     if incident.gaps:
         sections.append(_gap_list(incident.gaps))
     if incident.disagreements:
-        items = "".join(f"<li>{format_clock(each.at)}: {_escape(each.text)}</li>" for each in incident.disagreements)
-        sections.append(f"<h2>Controllers that differed</h2><ul>{items}</ul>")
+        items = "".join(f"<li>{format_clock(event.at)}: {_escape(event.text)}</li>" for event in incident.disagreements)
+        sections.append(f"<h2>Disagreements between controllers</h2><ul>{items}</ul>")
     if incident.states:
-        legend = "<h2>Backends</h2><p>Green: in use. Yellow: in part. Red: out. Hatched: not known.</p>"
+        legend = "<h2>Backends</h2><p>Green: in use. Yellow: at reduced weight. Red: out. Hatched: not known.</p>"
         sections.append(legend + state_bars(incident.states, since, until))
     sections += [f"<h2>{_escape(name)}</h2>" + curve(points, since, until) for name, points in incident.series.items()]
     sections.append(_event_table(incident))
@@ -84,22 +84,22 @@
 
 def _gap_list(gaps: Sequence[Gap]) -> str:
     items = "".join(
-        f"<li>{_escape(gap.controller)}: {format_clock(gap.since)} to {_end(gap)}: {_escape(gap.reason)}</li>"
+        f"<li>{_escape(gap.controller)}: {format_clock(gap.since)} to {_format_end(gap)}: {_escape(gap.reason)}</li>"
         for gap in gaps
     )
     return (
-        "<h2>Not recorded</h2><p>In these stretches nothing is known, which does not mean that nothing happened."
+        "<h2>Not recorded</h2><p>These periods have no records, which does not mean that nothing happened."
         f"</p><ul>{items}</ul>"
     )
 
 
 def _event_table(incident: Incident) -> str:
-    """Return events and gaps in the order of their beginnings."""
-    rows = [(event.at, _event_row(event)) for event in incident.events]
-    rows += [(gap.since, _gap_row(gap)) for gap in incident.gaps]
-    rows.sort(key=lambda row: row[0])
+    """Return a table of the events and gaps, sorted by the time at which they begin."""
+    timed_rows = [(event.at, _event_row(event)) for event in incident.events]
+    timed_rows += [(gap.since, _gap_row(gap)) for gap in incident.gaps]
+    timed_rows.sort(key=lambda timed_row: timed_row[0])
     header = "<h2>Events</h2><table><tr><th>time</th><th>controller</th><th>what</th><th></th></tr>"
-    return header + "".join(row for _, row in rows) + "</table>"
+    return header + "".join(row for _, row in timed_rows) + "</table>"
 
 
 def _event_row(event: Event) -> str:
@@ -108,14 +108,14 @@
 
 
 def _gap_row(gap: Gap) -> str:
-    text = f"{_escape(gap.reason)}: nothing is recorded until {_end(gap)}"
+    text = f"{_escape(gap.reason)}; no records until {_format_end(gap)}"
     return (
         f"<tr class='gap'><td>{format_clock(gap.since)}</td><td>{_escape(gap.controller)}</td><td>gap</td>"
         f"<td>{text}</td></tr>"
     )
 
 
-def _end(gap: Gap) -> str:
+def _format_end(gap: Gap) -> str:
     return format_clock(gap.until) if gap.until is not None else "the end"
 
 
--- a/onyxhead/incident/state_folder.py
+++ b/onyxhead/incident/state_folder.py
@@ -1,4 +1,7 @@
-"""Reads what an incident page needs from a controller's state folder, which may be in use."""
+"""Reads the records and time series for an incident page from a controller's state folder.
+
+The controller may be running and writing to the folder meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -16,15 +19,18 @@
 
 
 class MissingStateError(Exception):
-    """A folder is no controller's state folder."""
+    """The folder is not the state folder of a controller."""
 
     def __init__(self, folder: Path) -> None:
-        super().__init__(f"{folder}: no controller's state is there")
+        super().__init__(f"{folder}: not a controller's state folder: {DATABASE_NAME} is missing")
         self.folder = folder
 
 
 def read_records(folder: Path, since: float, until: float) -> StoredPeriod:
-    """Return a controller's records of a period. Raises MissingStateError, StoreUnavailableError."""
+    """Return a controller's records of a period.
+
+    Raises MissingStateError if the folder has no database, StoreUnavailableError if the database can't be read.
+    """
     database = folder / DATABASE_NAME
     if not database.is_file():
         raise MissingStateError(folder)
@@ -32,11 +38,11 @@
 
 
 def read_series(folder: Path, patterns: Sequence[str], since: float, until: float) -> dict[str, Points]:
-    """Return the time series whose names any pattern matches, by name and folder."""
+    """Return the time series whose names match any of the patterns, by a label of name and folder."""
     series_folder = folder / SERIES_FOLDER_NAME
     if not series_folder.is_dir():
         return {}
-    store, curves = TimeSeriesStore(series_folder), dict[str, Points]()
+    store, points_by_label = TimeSeriesStore(series_folder), dict[str, Points]()
     for name in store.names():
         if not any(fnmatch.fnmatchcase(name, pattern) for pattern in patterns):
             continue
@@ -44,6 +50,6 @@
             samples = store.read(name, since, until)
         except UnknownSeriesError:
             continue
-        points = [(samples.since + n * samples.step, value) for n, value in enumerate(samples.values)]
-        curves[f"{name} ({folder.name})"] = points
-    return curves
+        points = [(samples.since + index * samples.step, value) for index, value in enumerate(samples.values)]
+        points_by_label[f"{name} ({folder.name})"] = points
+    return points_by_label
