--- a/onyxhead/console/alarms.py
+++ b/onyxhead/console/alarms.py
@@ -10,7 +10,7 @@
 MAX_QUEUE_FRACTION = 0.7
 """Greatest used fraction of the channel's queue without an alarm; above it updates may be late."""
 MAX_TABLE_WAIT_S = 3.0
-"""A proxy should have received its tables this long after it joined."""
+"""Time after a join within which a proxy should have received its tables."""
 MAX_NAMED_BACKENDS = 6
 """Number of backends that an alarm lists by name."""
 
--- a/onyxhead/console/rows.py
+++ b/onyxhead/console/rows.py
@@ -61,14 +61,14 @@
     for backend in sorted({name for state in states.values() for name in state["backends"]}):
         views = {name: state["backends"].get(backend) for name, state in states.items()}
         known = [view for view in views.values() if view is not None]
-        load = _load_of(backend, snapshots)
+        load = _load_estimate(backend, snapshots)
         utilization = f"{load['busy']['value']:.0%}" if load and load.get("busy") else "-"
         doubt = load["why"] if load and load["trust"] < MIN_CREDIBILITY else ""
         rows.append((backend, known[0]["zone"], _combined_state(views), _combined_weight(known), utilization, doubt))
     return rows
 
 
-def _load_of(backend: str, snapshots: Snapshots) -> State | None:
+def _load_estimate(backend: str, snapshots: Snapshots) -> State | None:
     """Return a backend's load estimate from the first member that has a recent answer with one."""
     for snapshot in snapshots.values():
         if snapshot.load is not None and snapshot.current_state is not None and backend in snapshot.load["backends"]:
--- a/onyxhead/operate/fleet_client.py
+++ b/onyxhead/operate/fleet_client.py
@@ -28,7 +28,7 @@
     """The outcome of a command at one member.
 
     `status` is a CommandStatus, or another value if a newer version answers one. `answer` is the member's JSON answer,
-    empty if the member did not answer or refused the request.
+    empty unless the member answered with HTTP status 200.
     """
 
     member: str
@@ -78,7 +78,7 @@
 
 
 def _read_outcome(member: str, response: Response) -> CommandOutcome:
-    """Return the outcome that a response describes. Raises _ServerError if the command must be sent again."""
+    """Return the outcome that a response describes. Raises _ServerError for a server error."""
     if response.status == 404:
         return CommandOutcome(member, CommandStatus.REFUSED, "its version is too old for this command", {})
     try:
