--- a/onyxhead/console/rows.py
+++ b/onyxhead/console/rows.py
@@ -60,11 +60,13 @@
     rows: list[Row] = []
     for backend in sorted({name for state in states.values() for name in state["backends"]}):
         views = {name: state["backends"].get(backend) for name, state in states.items()}
-        known = [view for view in views.values() if view is not None]
+        known_views = [view for view in views.values() if view is not None]
         load = _load_estimate(backend, snapshots)
         utilization = f"{load['busy']['value']:.0%}" if load and load.get("busy") else "-"
         doubt = load["why"] if load and load["trust"] < MIN_CREDIBILITY else ""
-        rows.append((backend, known[0]["zone"], _combined_state(views), _combined_weight(known), utilization, doubt))
+        rows.append(
+            (backend, known_views[0]["zone"], _combined_state(views), _combined_weight(known_views), utilization, doubt)
+        )
     return rows
 
 
--- a/onyxhead/incident/backend_states.py
+++ b/onyxhead/incident/backend_states.py
@@ -113,17 +113,20 @@
     """
     events = []
     for backend, controllers in history.items():
-        for one, two in combinations(sorted(controllers), 2):
-            for first, second in product(controllers[one], controllers[two]):
-                since, until = max(first.since, second.since), min(first.until, second.until)
-                if until - since > min_duration and _differ(first.state, second.state):
-                    text = f"{backend}: {first.state} at {one}, {second.state} at {two}, for {until - since:.0f} s"
-                    events.append(Event(since, one, EventKind.ENDPOINT_LIST, text, (backend,)))
+        for controller_a, controller_b in combinations(sorted(controllers), 2):
+            for interval_a, interval_b in product(controllers[controller_a], controllers[controller_b]):
+                since, until = max(interval_a.since, interval_b.since), min(interval_a.until, interval_b.until)
+                if until - since > min_duration and _differ(interval_a.state, interval_b.state):
+                    text = (
+                        f"{backend}: {interval_a.state} at {controller_a}, {interval_b.state} at {controller_b}, "
+                        f"for {until - since:.0f} s"
+                    )
+                    events.append(Event(since, controller_a, EventKind.ENDPOINT_LIST, text, (backend,)))
     return sorted(events)
 
 
-def _differ(one: BackendState, two: BackendState) -> bool:
+def _differ(state_a: BackendState, state_b: BackendState) -> bool:
     """Return whether exactly one of two known states is OUT; False if either is unknown."""
-    if BackendState.UNKNOWN in (one, two):
+    if BackendState.UNKNOWN in (state_a, state_b):
         return False
-    return (one is BackendState.OUT) != (two is BackendState.OUT)
+    return (state_a is BackendState.OUT) != (state_b is BackendState.OUT)
--- a/onyxhead/operate/drift.py
+++ b/onyxhead/operate/drift.py
@@ -65,14 +65,14 @@
     differences = []
     for backend in sorted({backend for state in controllers.values() for backend in state["backends"]}):
         views = {name: state["backends"].get(backend) for name, state in controllers.items()}
-        known = {name: view for name, view in views.items() if view is not None}
+        known_views = {name: view for name, view in views.items() if view is not None}
         differences += [
             Difference("backend", backend, description, field != "address")
             for field in COMPARED_FIELDS
-            if (description := _describe_minority(field, known)) is not None
+            if (description := _describe_minority(field, known_views)) is not None
         ]
         missing = [name for name, view in views.items() if view is None]
-        if missing and any(view["ready"] for view in known.values()):
+        if missing and any(view["ready"] for view in known_views.values()):
             differences.append(Difference("backend", backend, f"not known to {', '.join(missing)}", True))
     return differences
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -21,7 +21,7 @@
 
 
 def member_state(**changes: Any) -> dict[str, Any]:
-    usual: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "epoch": 2,
         "list": {"version": 7, "age_s": 1.0},
         "channel": {"waiting": 10.0, "most": 2000.0, "peak": 20.0},
@@ -33,7 +33,7 @@
         "backends": {"b1": LINE, "b2": LINE | {"withdrawn": True, "ready": False}},
         "operators": {},
     }
-    return usual | changes
+    return defaults | changes
 
 
 ROUND = {
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -37,13 +37,13 @@
 
 
 def stored_period(name: str = "c1", **records: Any) -> StoredPeriod:
-    usual: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "decisions": [],
         "incarnations": [IncarnationRecord(1, NOW, NOW + 100)],
         "endpoint_lists": [],
         "audit": [],
     }
-    return StoredPeriod(name, **(usual | records))
+    return StoredPeriod(name, **(defaults | records))
 
 
 def test_records_become_events_with_their_causes() -> None:
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -36,12 +36,12 @@
 FACTS = FleetFacts(tuple(BackendFacts(each.id, each.zone, True, True) for each in ALL_BACKENDS), 10, 0.0, 6.0)
 
 
-def make_command(verb: str, *names: str, command_id: str = "1", dry_run: bool = False) -> Command:
-    return Command.parse({"id": command_id, "verb": verb, "names": list(names), "by": "ann", "dry_run": dry_run})
+def make_command(verb: str, *selectors: str, command_id: str = "1", dry_run: bool = False) -> Command:
+    return Command.parse({"id": command_id, "verb": verb, "names": list(selectors), "by": "ann", "dry_run": dry_run})
 
 
-def execute(overrides: BackendOverrides, verb: str, *names: str, **options: Any) -> dict[str, Any]:
-    return overrides.execute(make_command(verb, *names, **options), CONFIGURATION, ALL_BACKENDS, FACTS).to_json()
+def execute(overrides: BackendOverrides, verb: str, *selectors: str, **options: Any) -> dict[str, Any]:
+    return overrides.execute(make_command(verb, *selectors, **options), CONFIGURATION, ALL_BACKENDS, FACTS).to_json()
 
 
 @pytest.mark.parametrize(
@@ -261,8 +261,8 @@
             f'controllers: {{c1: "{address}"}}, agents: {{p1: "127.0.0.1:{agent_port}"}}'
         )
 
-        async def command(*words: str) -> tuple[int, str]:
-            result = await asyncio.to_thread(CliRunner().invoke, main, list(words))
+        async def command(*arguments: str) -> tuple[int, str]:
+            result = await asyncio.to_thread(CliRunner().invoke, main, list(arguments))
             return result.exit_code, result.output
 
         code, output = await command("drain", "b1", "--at", address, "--dry-run")
@@ -299,11 +299,11 @@
 
 
 def controller_state(version: int = 3, tag: str = '"t1"', **backends: dict[str, Any]) -> dict[str, Any]:
-    usual = {"address": "a:1", "ready": True, "draining": False, "withdrawn": False}
+    defaults = {"address": "a:1", "ready": True, "draining": False, "withdrawn": False}
     return {
         "list": {"version": version},
         "proxies": {"p1": {"tag": tag}},
-        "backends": {"b1": usual, **{backend: usual | fields for backend, fields in backends.items()}},
+        "backends": {"b1": defaults, **{backend: defaults | fields for backend, fields in backends.items()}},
     }
 
 
