--- a/onyxhead/cli/fleet.py
+++ b/onyxhead/cli/fleet.py
@@ -1,4 +1,4 @@
-"""Commands on the controllers that share the proxies."""
+"""Commands on a fleet: the controllers that share the proxies."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @click.group()
 def fleet() -> None:
-    """Controllers that share the proxies."""
+    """Show and change the fleet: the controllers that share the proxies."""
 
 
 @fleet.command()
@@ -22,17 +22,17 @@
 @json_option
 @identity_option
 def status(address: str, as_json: bool, identity: Path | None) -> None:
-    """What the controller at ADDRESS knows of its fellows; what it does not know is shown as -."""
+    """Show what the controller at ADDRESS knows of the fleet's members; an unknown value is shown as -."""
     state = fetch_json(address, "/v1/fleet", identity)
     if as_json:
         print_json(state)
         return
     if state["twins"]:
-        click.echo(f"another controller calls itself {state['own']}", err=True)
+        click.echo(f"another controller uses the name {state['own']} too", err=True)
     rows = [{"member": name} | member for name, member in state["members"].items()]
     print_table("members", [{key: "-" if value is None else value for key, value in row.items()} for row in rows])
     if state.get("budget"):
-        print_table("cold backends", [{"backend": name} | backend for name, backend in state["budget"].items()])
+        print_table("slow-start budget", [{"backend": name} | backend for name, backend in state["budget"].items()])
 
 
 @fleet.command()
@@ -40,10 +40,10 @@
 @click.argument("address")
 @identity_option
 def who(proxy: str, address: str, identity: Path | None) -> None:
-    """Which controller serves PROXY, as far as the one at ADDRESS knows."""
+    """Show which controller serves PROXY, as far as the controller at ADDRESS knows."""
     answer = fetch_json(address, "/v1/fleet/who", identity, {"proxy": proxy})
     if answer["served_by"] is None:
-        raise NoAnswerError(f"{proxy}: not known")
+        raise NoAnswerError(f"{proxy}: the controller that serves it is not known")
     click.echo(f"{proxy}: {answer['served_by']}")
 
 
@@ -53,18 +53,21 @@
 @click.argument("address")
 @identity_option
 def move(proxy: str, to: str, address: str, identity: Path | None) -> None:
-    """Have the controller at ADDRESS, which serves PROXY, hand it over to TO."""
+    """Ask the controller at ADDRESS, which serves PROXY, to hand it over to the controller TO."""
     answer = fetch_json(address, "/v1/fleet/move", identity, {"proxy": proxy, "to": to})
-    click.echo(f"{proxy}: to {to}" + ("" if answer["here"] else " once it joins here"))
+    click.echo(f"{proxy}: moves to {to}" + ("" if answer["here"] else " once it joins this controller"))
 
 
 @fleet.command("members")
 @click.argument("address")
-@click.option("--add", nargs=4, metavar="NAME ADDRESS ZONE PACE", help="Put a member in, or change it.")
-@click.option("--remove", metavar="NAME", help="Take a member out.")
+@click.option("--add", nargs=4, metavar="NAME ADDRESS ZONE PACE", help="Add or change a member.")
+@click.option("--remove", metavar="NAME", help="Remove a member.")
 @identity_option
 def members(address: str, add: tuple[str, str, str, str] | None, remove: str | None, identity: Path | None) -> None:
-    """Change whom the controller at ADDRESS shares with. Say it to each member; it stays over a restart."""
+    """Change the members with which the controller at ADDRESS shares the proxies.
+
+    Run the command for each member. The change persists over a restart.
+    """
     message: dict[str, object]
     if add is not None:
         name, member_address, zone, pace = add
@@ -72,7 +75,7 @@
     elif remove is not None:
         message = {"name": remove, "member": None}
     else:
-        raise FaultyInputError("one of --add and --remove is wanted")
+        raise FaultyInputError("one of --add and --remove is required")
     answer = fetch_json(address, "/v1/fleet/members", identity, message)
     click.echo(" ".join(answer["members"]))
 
@@ -81,6 +84,6 @@
 @click.argument("address")
 @identity_option
 def handover(address: str, identity: Path | None) -> None:
-    """Have the controller at ADDRESS hand over all its proxies, one by one, before it is ended."""
+    """Ask the controller at ADDRESS to hand over all its proxies, one by one, before it is stopped."""
     answer = fetch_json(address, "/v1/fleet/handover", identity, {})
     click.echo(f"{answer['proxies']} proxies are being handed over")
--- a/onyxhead/cli/requests.py
+++ b/onyxhead/cli/requests.py
@@ -1,4 +1,4 @@
-"""Requests of commands to running controllers and agents."""
+"""HTTP requests from commands to running controllers and agents."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 
 def fetch_json(address: str, target: str, identity: Path | None = None, message: object = None) -> Any:  # noqa: ANN401  # any JSON value
-    """Return the JSON answer to a GET request, or to a POST request with `message`.
+    """Send a GET request, or a POST request if `message` is given, and return the JSON in the response.
 
-    Raises RefusedError, FaultyInputError or NoAnswerError if there is none.
+    Raises RefusedError for a status other than 200, FaultyInputError for a malformed address or faulty credentials, and
+    NoAnswerError if there is no valid response in time.
     """
     tls = client_tls(identity)
     request = Request("GET", target)
@@ -38,11 +39,14 @@
     except MalformedViewError as error:
         raise FaultyInputError(error) from error
     except (OSError, HttpError, TimeoutError, ValueError) as error:
-        raise NoAnswerError(f"{address}: no answer: {error or 'in time'}") from error
+        raise NoAnswerError(f"{address}: no answer: {error or 'timed out'}") from error
 
 
 def client_tls(identity: Path | None) -> ssl.SSLContext | None:
-    """Return the TLS context for FOLDER/NAME, None without one. Raises FaultyInputError."""
+    """Return the TLS context for the key files of `identity`, a path FOLDER/NAME, or None without an identity.
+
+    Raises FaultyInputError if the key files cannot be used.
+    """
     if identity is None:
         return None
     from onyxhead.keys.credentials import TlsCredentials
@@ -57,7 +61,11 @@
 
 
 def fleet_members(fleet_file: Path | None, addresses: tuple[str, ...]) -> tuple[dict[str, Address], dict[str, Address]]:
-    """Return controllers and agents by name, from a file and from the command line. Raises FaultyInputError."""
+    """Return the addresses of controllers and of agents by name.
+
+    `fleet_file` names both; `addresses` adds controllers, each named by its address. Raises FaultyInputError for a
+    faulty file, for a malformed address, or if there is no controller.
+    """
     controllers: dict[str, Address] = {}
     agents: dict[str, Address] = {}
     try:
@@ -69,5 +77,5 @@
     except MalformedViewError as error:
         raise FaultyInputError(error) from error
     if not controllers:
-        raise FaultyInputError("nobody to ask: --at or --fleet is wanted")
+        raise FaultyInputError("no controller to query: --at or --fleet must name one")
     return controllers, agents
