--- a/onyxhead/cli/backends.py
+++ b/onyxhead/cli/backends.py
@@ -1,4 +1,4 @@
-"""Operators' commands on backends: drain, restore, cordon, uncordon, and wait."""
+"""Commands that take backends out of service, return them, and wait until no proxy uses them."""
 
 from __future__ import annotations
 
@@ -20,27 +20,38 @@
     from onyxhead.operate.fleet_client import CommandOutcome
 
 COMMAND_ID_BYTES = 8
-WAIT_INTERVAL_S = 0.1
+POLL_INTERVAL_S = 0.1
 VERB_HELP = {
-    "drain": "Take backends NAMES out of service. A name may hold * and ?; zone=Z and kind=K may be joined by &.",
-    "restore": "Take drains and cordons of backends NAMES back.",
-    "cordon": "Keep backends NAMES out that do not serve now, or start anew; those that serve go on.",
-    "uncordon": "Let cordoned backends NAMES in again.",
+    "drain": "Take backends NAMES out of service. A name may contain the wildcards * and ?; zone=Z and kind=K "
+    "select backends by zone and kind, and & combines the two.",
+    "restore": "Undo the drains and cordons of backends NAMES.",
+    "cordon": "Keep backends NAMES out of service if they do not serve now or restart later; those that serve now "
+    "go on serving.",
+    "uncordon": "Undo the cordons of backends NAMES.",
 }
 
 
 def verb_command(verb: str) -> click.Command:
-    """Return the command that sends one verb to all controllers."""
+    """Return the command that sends `verb` to all controllers and reports the outcome at each."""
 
     @click.command(verb, help=VERB_HELP[verb])
     @click.argument("names", nargs=-1, required=True)
     @address_option
     @fleet_option
-    @click.option("--within", default=5.0, show_default=True, help="Seconds; what is not known then is told.")
     @click.option(
-        "--id", "command_id", help="The command's id; with the same one it acts once, however often it is sent."
+        "--within",
+        default=5.0,
+        show_default=True,
+        help="Seconds to wait for the controllers; outcomes still missing then are reported as not known.",
+    )
+    @click.option(
+        "--id",
+        "command_id",
+        help="Id of the command; a command that is sent again with the same id takes effect only once.",
+    )
+    @click.option(
+        "--dry-run", is_flag=True, help="Only report what the command would change and whether it would be refused."
     )
-    @click.option("--dry-run", is_flag=True, help="Only say what it would do to the rules.")
     @json_option
     @identity_option
     def send(
@@ -84,7 +95,7 @@
     ]
     print_table(title, rows)
     if any(outcome.status == CommandStatus.UNKNOWN for outcome in outcomes):
-        click.echo(f"not known everywhere; send it again with --id {command_id}", err=True)
+        click.echo(f"the outcome is not known at every controller; repeat the command with --id {command_id}", err=True)
 
 
 def _exit_code(outcomes: Sequence[CommandOutcome]) -> int:
@@ -103,7 +114,7 @@
 def wait(
     names: tuple[str, ...], addresses: tuple[str, ...], fleet_file: Path | None, within: float, identity: Path | None
 ) -> None:
-    """Wait until no proxy uses backends NAMES any more, by the proxies' own answers."""
+    """Wait until all proxies have confirmed that they no longer use backends NAMES."""
     import time
     from urllib.parse import quote
 
@@ -114,29 +125,29 @@
     tls, deadline = client_tls(identity), time.monotonic() + within
     while True:
         answers = asyncio.run(query_members(controllers, target, min(REQUEST_TIMEOUT_S, within), tls))
-        silent = sorted(name for name, progress in answers.items() if progress is None)
+        unanswered = sorted(name for name, progress in answers.items() if progress is None)
         unfinished = {
-            name: progress for name, progress in answers.items() if progress is not None and not _is_out(progress)
+            name: progress for name, progress in answers.items() if progress is not None and not _is_unused(progress)
         }
-        if not silent and not unfinished:
-            click.echo("out everywhere")
+        if not unanswered and not unfinished:
+            click.echo("no proxy uses the backends any more")
             return
         if time.monotonic() > deadline:
             break
-        time.sleep(WAIT_INTERVAL_S)
-    _print_unfinished(unfinished, silent)
-    sys.exit(ExitCode.UNKNOWN if silent else ExitCode.REFUSED)
+        time.sleep(POLL_INTERVAL_S)
+    _print_unfinished(unfinished, unanswered)
+    sys.exit(ExitCode.UNKNOWN if unanswered else ExitCode.REFUSED)
 
 
-def _is_out(progress: Mapping[str, Any]) -> bool:
-    """Tell whether all proxies of one controller answered that they do not use the backends."""
+def _is_unused(progress: Mapping[str, Any]) -> bool:
+    """Return whether all proxies of one controller have confirmed that they do not use the backends."""
     return not progress["behind"] and all(backend["out"] for backend in progress["backends"].values())
 
 
-def _print_unfinished(unfinished: Mapping[str, Mapping[str, Any]], silent: Sequence[str]) -> None:
+def _print_unfinished(unfinished: Mapping[str, Mapping[str, Any]], unanswered: Sequence[str]) -> None:
     for name, progress in sorted(unfinished.items()):
-        in_use = " ".join(backend for backend, own in progress["backends"].items() if not own["out"])
-        behind = len(progress["behind"])
-        click.echo(f"{name}: still in: {in_use or '-'}; proxies that have not answered: {behind}")
-    for name in silent:
+        in_use = " ".join(backend for backend, removal in progress["backends"].items() if not removal["out"])
+        unconfirmed = len(progress["behind"])
+        click.echo(f"{name}: still in: {in_use or '-'}; proxies that have not confirmed: {unconfirmed}")
+    for name in unanswered:
         click.echo(f"{name}: not known: no answer")
--- a/onyxhead/cli/compare.py
+++ b/onyxhead/cli/compare.py
@@ -1,4 +1,4 @@
-"""The command that compares what the members of a fleet know."""
+"""The command that compares the states of a fleet's controllers and agents."""
 
 from __future__ import annotations
 
@@ -23,14 +23,21 @@
 @click.command()
 @address_option
 @fleet_option
-@click.option("--settle", default=1.0, show_default=True, help="Seconds between two looks; what passes is not told.")
+@click.option(
+    "--settle",
+    default=1.0,
+    show_default=True,
+    help="Seconds between two comparisons; a difference that ends within them is not reported.",
+)
 @json_option
 @identity_option
 def compare(
     addresses: tuple[str, ...], fleet_file: Path | None, settle: float, as_json: bool, identity: Path | None
 ) -> None:
-    """Tell where controllers, books, proxies and their files differ. Exits with 1 if they do, 3 if someone is
-    silent."""
+    """Report where controllers, the proxies that they own and the proxies' files differ.
+
+    Exits with 1 if there are differences, and with 3 if a member does not answer.
+    """
     import time
 
     from onyxhead.operate import drift
@@ -47,15 +54,15 @@
         return drift.find_differences(*states)
 
     differences = asyncio.run(find_differences())
-    if any(each.transient for each in differences):
+    if any(difference.transient for difference in differences):
         time.sleep(settle)
         differences = drift.lasting_differences(differences, asyncio.run(find_differences()))
-    rows = [each.to_json() for each in differences]
+    rows = [difference.to_json() for difference in differences]
     if as_json:
         print_json(rows)
     elif not rows:
         click.echo(f"{len(controllers)} controllers and {len(agents)} agents agree")
     else:
         print_table("differences", [{key: row[key] for key in TABLE_COLUMNS} for row in rows])
-    silent = any(each.kind == "silent" for each in differences)
-    sys.exit(ExitCode.UNKNOWN if silent else ExitCode.REFUSED if differences else 0)
+    member_silent = any(difference.kind == "silent" for difference in differences)
+    sys.exit(ExitCode.UNKNOWN if member_silent else ExitCode.REFUSED if differences else 0)
--- a/onyxhead/cli/console.py
+++ b/onyxhead/cli/console.py
@@ -16,10 +16,10 @@
 @click.command()
 @address_option
 @fleet_option
-@click.option("--every", "interval", default=2.0, show_default=True, help="Seconds between questions to a member.")
+@click.option("--every", "interval", default=2.0, show_default=True, help="Seconds between queries to a member.")
 @identity_option
 def console(addresses: tuple[str, ...], fleet_file: Path | None, interval: float, identity: Path | None) -> None:
-    """Watch a fleet in the terminal: alarms, members, backends, proxies, orders under way."""
+    """Watch a fleet in the terminal: alarms, members, backends, proxies and pending orders."""
     from onyxhead.console.app import Console
 
     controllers, _ = fleet_members(fleet_file, addresses)
