--- a/onyxhead/cli/state.py
+++ b/onyxhead/cli/state.py
@@ -17,9 +17,14 @@
 @click.command()
 @click.argument("address")
 @full_json_option
-@click.option("--as", "identity", type=PATH, help="FOLDER/NAME: with NAME.crt, NAME.key and authorities.pem there.")
+@click.option(
+    "--as",
+    "identity",
+    type=PATH,
+    help="FOLDER/NAME of the client certificate; FOLDER holds NAME.crt, NAME.key and authorities.pem.",
+)
 def show(address: str, as_json: bool, identity: Path | None) -> None:
-    """Show what a controller or an agent knows."""
+    """Show the state of the controller or agent at ADDRESS."""
     state = fetch_json(address, "/v1/state", identity)
     if as_json:
         print_json(state)
@@ -33,7 +38,7 @@
 @click.argument("address")
 @identity_option
 def config(address: str, identity: Path | None) -> None:
-    """Write what the controller at ADDRESS runs with as settings; edits by NETCONF are in it."""
+    """Write the settings that the controller at ADDRESS uses now, including edits by NETCONF."""
     click.echo(fetch_json(address, "/v1/config", identity)["records"], nl=False)
 
 
@@ -42,7 +47,11 @@
 @full_json_option
 @identity_option
 def show_load(address: str, as_json: bool, identity: Path | None) -> None:
-    """Show what the controller at ADDRESS takes for true of its backends' load, how sure it is, and whom it doubts."""
+    """Show the controller's estimates of its backends' load.
+
+    Each estimate is shown with its error. The table also shows how far the controller at ADDRESS doubts the backends'
+    load reports.
+    """
     state = fetch_json(address, "/v1/load", identity)
     if as_json:
         print_json(state)
@@ -56,7 +65,7 @@
 
 
 def _format_estimate(value: object) -> str:
-    """Return an estimate with its error, or a plain value."""
+    """Format an estimate with its error, or a plain value."""
     if isinstance(value, dict):
         return f"{value['value']:.3g}±{value['error']:.2g}"
     return "-" if value is None else str(value)
--- a/onyxhead/cli/tables.py
+++ b/onyxhead/cli/tables.py
@@ -1,4 +1,4 @@
-"""Commands on the versions of a controller's tables."""
+"""Commands that list, compare, hold and restore versions of a controller's tables."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 DEFAULT_HOLD_S = 600.0
 hold_seconds_option = click.option(
-    "--seconds", default=DEFAULT_HOLD_S, show_default=True, help="How long the tables are held."
+    "--seconds", default=DEFAULT_HOLD_S, show_default=True, help="Seconds for which the tables are held."
 )
 
 
 @click.group()
 def tables() -> None:
-    """Versions of a controller's tables, and the way back."""
+    """Show the versions of a controller's tables, and roll back to one."""
 
 
 def _print_answer(title: str, answer: Any, as_json: bool) -> None:  # noqa: ANN401  # any JSON value
@@ -37,7 +37,7 @@
 @json_option
 @identity_option
 def tables_log(address: str, limit: int, as_json: bool, identity: Path | None) -> None:
-    """The last versions, newest first."""
+    """List the last versions, newest first."""
     _print_answer("versions", fetch_json(address, "/v1/tables/log", identity, {"most": limit}), as_json)
 
 
@@ -47,7 +47,7 @@
 @json_option
 @identity_option
 def tables_show(version: str, address: str, as_json: bool, identity: Path | None) -> None:
-    """One version's lines; VERSION is a number, a label or `last`."""
+    """Show the lines of VERSION, which is a number, a label or `last`."""
     _print_answer("version", fetch_json(address, "/v1/tables/show", identity, {"version": version}), as_json)
 
 
@@ -58,7 +58,7 @@
 @json_option
 @identity_option
 def tables_diff(one: str, two: str, address: str, as_json: bool, identity: Path | None) -> None:
-    """Lines that differ between two versions."""
+    """Show the lines that differ between versions ONE and TWO."""
     answer = fetch_json(address, "/v1/tables/diff", identity, {"one": one, "two": two})
     _print_answer("differences", answer, as_json)
 
@@ -69,7 +69,7 @@
 @json_option
 @identity_option
 def tables_blame(backend: str, address: str, as_json: bool, identity: Path | None) -> None:
-    """Versions that changed BACKEND's lines, and why."""
+    """List the versions that changed the lines of BACKEND, with the cause of each."""
     _print_answer("changes", fetch_json(address, "/v1/tables/blame", identity, {"backend": backend}), as_json)
 
 
@@ -77,13 +77,13 @@
 @click.argument("version")
 @click.argument("address")
 @hold_seconds_option
-@click.option("--dry-run", is_flag=True, help="Only say what it would do.")
+@click.option("--dry-run", is_flag=True, help="Only report what the rollback would change.")
 @json_option
 @identity_option
 def tables_rollback(
     version: str, address: str, seconds: float, dry_run: bool, as_json: bool, identity: Path | None
 ) -> None:
-    """Go back to VERSION and hold it; withdrawals, levels and ramps go on."""
+    """Roll back to VERSION and hold it; withdrawals, admission levels and slow start stay in effect."""
     action = "preview" if dry_run else "rollback"
     message = {"version": version, "seconds": seconds}
     _print_answer(action, fetch_json(address, f"/v1/tables/{action}", identity, message), as_json)
@@ -92,12 +92,23 @@
 @tables.command("try")
 @click.argument("version")
 @click.argument("address")
-@click.option("--share", default=0.1, show_default=True, help="Of the proxies, half at most.")
-@click.option("--seconds", default=DEFAULT_HOLD_S, show_default=True, help="How long it is tried before all hold it.")
+@click.option(
+    "--share", default=0.1, show_default=True, help="Share of the proxies that get VERSION first; 0.5 at most."
+)
+@click.option(
+    "--seconds",
+    default=DEFAULT_HOLD_S,
+    show_default=True,
+    help="Longest time of the trial in seconds; if it succeeds, all proxies hold VERSION as long.",
+)
 @json_option
 @identity_option
 def tables_try(version: str, address: str, share: float, seconds: float, as_json: bool, identity: Path | None) -> None:
-    """Go back to VERSION on a share of the proxies first; it returns by itself where they lose more than the others."""
+    """Roll back to VERSION on a share of the proxies first.
+
+    If more attempts fail on these proxies than on the others, the rollback is undone. If enough attempts show that
+    VERSION is no worse, all proxies hold it.
+    """
     message = {"version": version, "share": share, "seconds": seconds}
     _print_answer("trial", fetch_json(address, "/v1/tables/try", identity, message), as_json)
 
@@ -107,7 +118,7 @@
 @hold_seconds_option
 @identity_option
 def tables_pin(address: str, seconds: float, identity: Path | None) -> None:
-    """Hold the tables as they are; withdrawals, levels and ramps go on."""
+    """Hold the tables as they are; withdrawals, admission levels and slow start stay in effect."""
     answer = fetch_json(address, "/v1/tables/pin", identity, {"seconds": seconds})
     click.echo(f"held as in version {answer['version']}")
 
@@ -127,6 +138,6 @@
 @click.argument("address")
 @identity_option
 def tables_label(version: int, label: str, address: str, identity: Path | None) -> None:
-    """Name a version, and keep it."""
+    """Give VERSION a label, which also exempts it from removal."""
     fetch_json(address, "/v1/tables/label", identity, {"version": version, "label": label})
     click.echo(f"{version}: {label}")
