--- a/onyxhead/cli/routing.py
+++ b/onyxhead/cli/routing.py
@@ -1,4 +1,4 @@
-"""Commands on routing: import and export of nginx configurations, and the route of one request."""
+"""Commands on routing: import and export nginx configurations, and show the route of one request."""
 
 from __future__ import annotations
 
@@ -19,17 +19,19 @@
 
 @click.group("import")
 def import_group() -> None:
-    """Carry another program's configuration over."""
+    """Convert another program's configuration to records."""
 
 
 @import_group.command("nginx")
 @click.argument("file", type=PATH)
 @click.option("--out", type=PATH, help="Write the records here instead of to standard output.")
 @click.option("--report", type=PATH, help="Write the report here instead of to standard error.")
-@click.option("--strict", is_flag=True, help="Exit with 1 if anything was not carried.")
+@click.option("--strict", is_flag=True, help="Exit with 1 if a directive was not carried over.")
 def import_nginx(file: Path, out: Path | None, report: Path | None, strict: bool) -> None:
-    """Read nginx blocks from FILE and what it includes; say line by line what was carried whole, with a difference, or
-    not at all."""
+    """Convert the nginx configuration in FILE and in the files that it includes to records.
+
+    A report says line by line which directives were carried over in full, with a difference, or not at all.
+    """
     from onyxhead.fronts.nginx.import_report import SYNTAX_ERROR, Verdict
     from onyxhead.fronts.nginx.importer import NginxImporter
     from onyxhead.routing.routing_file import format_routing
@@ -41,7 +43,7 @@
     else:
         click.echo(report_text, err=True, nl=False)
     if any(line.directive == SYNTAX_ERROR for line in lines):
-        raise FaultyInputError(f"{file}: nothing is written, since not all of it could be read")
+        raise FaultyInputError(f"{file}: nothing was written, because a part of the configuration could not be parsed")
     if out is not None:
         replace_file(out, format_routing(routing))
     else:
@@ -51,7 +53,7 @@
 
 
 def _parse_nginx(file: Path) -> Any:  # noqa: ANN401  # crossplane's untyped syntax tree
-    """Return the syntax trees of an nginx configuration's files. Raises FaultyInputError."""
+    """Return the syntax tree of each file of an nginx configuration. Raises FaultyInputError for an unreadable file."""
     import crossplane
 
     if not file.is_file():
@@ -64,13 +66,13 @@
 
 @click.group("export")
 def export_group() -> None:
-    """Write records as another program's configuration."""
+    """Convert records to another program's configuration."""
 
 
 @export_group.command("nginx")
 @click.argument("file", type=PATH)
 def export_nginx(file: Path) -> None:
-    """Write the routing in FILE as nginx's upstream, server and location blocks."""
+    """Write the routing in FILE as nginx upstream, server and location blocks."""
     from onyxhead.fronts.nginx.errors import ExportError
     from onyxhead.fronts.nginx.exporter import export_blocks
 
@@ -84,9 +86,15 @@
 @click.argument("file", type=PATH)
 @click.argument("host")
 @click.argument("path")
-@click.option("--known", "variables", multiple=True, metavar="NAME=VALUE", help="A variable, such as http_x_team=red.")
+@click.option(
+    "--known",
+    "variables",
+    multiple=True,
+    metavar="NAME=VALUE",
+    help="The value of a request variable, such as http_x_team=red; any number of them.",
+)
 def route(file: Path, host: str, path: str, variables: tuple[str, ...]) -> None:
-    """Say where a flow to HOST and PATH goes by the routing in FILE, and why."""
+    """Show the pool to which the routing in FILE sends a request for PATH at HOST, and the location that decides it."""
     from onyxhead.routing.router import Router
 
     values = dict(variable.partition("=")[::2] for variable in variables)
--- a/onyxhead/cli/settings_files.py
+++ b/onyxhead/cli/settings_files.py
@@ -1,4 +1,4 @@
-"""Commands on settings files: check, format, compare, and their JSON Schema."""
+"""Commands that check, format and compare settings files and write their JSON Schema."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=PATH)
 def check(files: tuple[Path, ...]) -> None:
-    """Check settings files; every fault is named with its place."""
+    """Check settings files and report every fault with its position."""
     diagnostics: list[Diagnostic] = []
     for path in files:
         try:
@@ -32,9 +32,14 @@
 
 @click.command()
 @click.argument("files", nargs=-1, required=True, type=PATH)
-@click.option("--check", "only_check", is_flag=True, help="Change nothing; exit with 1 if a file is not laid out so.")
+@click.option(
+    "--check", "only_check", is_flag=True, help="Change no file; exit with 1 if a file is not in the standard layout."
+)
 def fmt(files: tuple[Path, ...], only_check: bool) -> None:
-    """Lay settings files out evenly. Comments stay, the meaning can't change, and a file with faults is left alone."""
+    """Format settings files in the standard layout.
+
+    Comments and meaning are preserved. A file with faults is not changed.
+    """
     from onyxhead.configuration_language.formatter import format_text
     from onyxhead.configuration_language.parser import parse
 
@@ -56,7 +61,7 @@
             if not only_check:
                 replace_file(path, formatted)
     for path in differing:
-        click.echo(f"{path}: {'is not laid out so' if only_check else 'laid out'}")
+        click.echo(f"{path}: {'not in the standard layout' if only_check else 'laid out'}")
     if diagnostics:
         raise FaultyInputError(*diagnostics)
     sys.exit(ExitCode.REFUSED if only_check and differing else 0)
@@ -67,7 +72,7 @@
 @click.argument("two", type=PATH)
 @json_option
 def diff(one: Path, two: Path, as_json: bool) -> None:
-    """Tell what differs in meaning between settings ONE and TWO, and which rules each change presses on."""
+    """Show how settings ONE and TWO differ in meaning, and which of the five rules each difference affects."""
     from onyxhead.configuration_language.differences import field_kinds, find_differences
     from onyxhead.configuration_language.loader import evaluate_files, load_files
 
@@ -88,18 +93,18 @@
         raise FaultyInputError(f"{one} holds a {kind}, {two} a {other_kind}")
     differences = find_differences(records[0], records[1], field_kinds(schema_text))
     if as_json:
-        print_json([each.to_json() for each in differences])
+        print_json([difference.to_json() for difference in differences])
     else:
-        for each in differences:
-            rules = f"  (rule {', '.join(each.rules.split())})" if each.rules else ""
-            click.echo(each.text + rules)
+        for difference in differences:
+            rules = f"  (rule {', '.join(difference.rules.split())})" if difference.rules else ""
+            click.echo(difference.text + rules)
     sys.exit(ExitCode.REFUSED if differences else 0)
 
 
 @click.command("schema")
 @click.argument("kind", type=click.Choice(["controller", "agent", "operators", "routing"]))
 def json_schema(kind: str) -> None:
-    """Write the JSON Schema of a kind of settings, for editors."""
+    """Write the JSON Schema of settings of the given kind, for use in editors."""
     from onyxhead.configuration_language.json_schema import json_schema as write_json_schema
     from onyxhead.routing.routing_file import schema_text as routing_schema
 
