--- a/onyxhead/cli/incident.py
+++ b/onyxhead/cli/incident.py
@@ -1,4 +1,4 @@
-"""The command that writes an incident page."""
+"""The command that writes a page of HTML about an incident."""
 
 from __future__ import annotations
 
@@ -19,15 +19,17 @@
 
 @click.command()
 @click.argument("states", nargs=-1, required=True, type=PATH)
-@click.option("--since", required=True, help="UTC: 2026-12-01T16:00:00, or seconds before the end, such as -600.")
-@click.option("--until", help="UTC; now if left out.")
+@click.option(
+    "--since", required=True, help="Begin in UTC, such as 2026-12-01T16:00:00, or seconds before the end, such as -600."
+)
+@click.option("--until", help="End in UTC, in the same form; now if left out.")
 @click.option("--title", default="Incident", show_default=True)
-@click.option("--course", "patterns", multiple=True, help="A course to draw, such as busy.b*.")
+@click.option("--course", "patterns", multiple=True, help="A time series to draw, such as busy.b*; any number of them.")
 @click.option("--out", type=PATH, required=True)
 def incident(
     states: tuple[Path, ...], since: str, until: str | None, title: str, patterns: tuple[str, ...], out: Path
 ) -> None:
-    """Write what happened as a page of HTML, from controllers' state folders STATES alone."""
+    """Write an HTML page about an incident, from the controllers' state folders STATES alone."""
     from onyxhead.incident.page import Incident, render_page
     from onyxhead.incident.state_folder import MissingStateError, read_records, read_series
     from onyxhead.store.errors import StoreUnavailableError
@@ -50,10 +52,13 @@
 
 
 def _parse_time(text: str, end: float) -> float:
-    """Return a UTC time, or with a minus sign the seconds before `end`. Raises FaultyInputError."""
+    """Return the timestamp of an ISO 8601 time in UTC, or of a negative number of seconds counted from `end`.
+
+    Raises FaultyInputError for any other text.
+    """
     try:
         if text.startswith("-"):
             return end + float(text)
         return datetime.fromisoformat(text).replace(tzinfo=UTC).timestamp()
     except ValueError as error:
-        raise FaultyInputError(f"{text!r} is no moment") from error
+        raise FaultyInputError(f"{text!r} is neither a UTC time nor a negative number of seconds") from error
--- a/onyxhead/cli/keys.py
+++ b/onyxhead/cli/keys.py
@@ -1,4 +1,4 @@
-"""Commands of the private certificate authority."""
+"""Commands that manage the fleet's private certificate authority."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 @click.group()
 def keys() -> None:
-    """A small private authority for the fleet's certificates."""
+    """Manage a private certificate authority for the fleet."""
 
 
 @contextmanager
-def _authority(folder: Path) -> Iterator[CertificateAuthority]:
-    """Give the authority in a folder. Raises RefusedError where its work fails."""
+def _open_authority(folder: Path) -> Iterator[CertificateAuthority]:
+    """Provide the authority in a folder. Raises RefusedError if an operation on it fails."""
     from onyxhead.keys.authority import CertificateAuthority
     from onyxhead.keys.errors import IssuanceError
 
@@ -39,8 +39,8 @@
 @click.option("--name", default="onyxhead", show_default=True)
 @click.option("--days", default=3650, show_default=True)
 def keys_init(folder: Path, name: str, days: int) -> None:
-    """Make an authority in FOLDER, or replace it; the one before stays trusted until `keys forget`."""
-    with _authority(folder) as authority:
+    """Create an authority in FOLDER, or replace it; the previous one stays trusted until `keys forget`."""
+    with _open_authority(folder) as authority:
         authority.create(name, days)
     click.echo(f"{folder}: authorities.pem, revoked.pem")
 
@@ -49,13 +49,15 @@
 @click.argument("folder", type=PATH)
 @click.argument("name")
 @click.option("--role", type=click.Choice(["controller", "agent", "operator"]), required=True)
-@click.option("--host", "hosts", multiple=True, help="An address or name that it answers at.")
+@click.option(
+    "--host", "hosts", multiple=True, help="A host name or IP address for the certificate; any number of them."
+)
 @click.option("--days", default=90, show_default=True)
 def keys_issue(folder: Path, name: str, role: str, hosts: tuple[str, ...], days: int) -> None:
     """Issue a key and a certificate to NAME."""
-    with _authority(folder) as authority:
+    with _open_authority(folder) as authority:
         certificate = authority.issue(name, role, hosts, days)
-    click.echo(f"{name}: until {certificate.not_valid_after_utc.isoformat()}")
+    click.echo(f"{name}: valid until {certificate.not_valid_after_utc.isoformat()}")
 
 
 @keys.command("renew")
@@ -63,18 +65,18 @@
 @click.argument("name")
 @click.option("--days", default=90, show_default=True)
 def keys_renew(folder: Path, name: str, days: int) -> None:
-    """Issue a new key and certificate to NAME, like its last."""
-    with _authority(folder) as authority:
+    """Issue a new key and certificate to NAME, with the role and hosts of its last certificate."""
+    with _open_authority(folder) as authority:
         certificate = authority.renew(name, days)
-    click.echo(f"{name}: until {certificate.not_valid_after_utc.isoformat()}")
+    click.echo(f"{name}: valid until {certificate.not_valid_after_utc.isoformat()}")
 
 
 @keys.command("revoke")
 @click.argument("folder", type=PATH)
 @click.argument("name")
 def keys_revoke(folder: Path, name: str) -> None:
-    """Revoke all that was issued to NAME."""
-    with _authority(folder) as authority:
+    """Revoke all certificates that were issued to NAME."""
+    with _open_authority(folder) as authority:
         count = authority.revoke(name)
     click.echo(f"{name}: {count} revoked")
 
@@ -82,8 +84,8 @@
 @keys.command("forget")
 @click.argument("folder", type=PATH)
 def keys_forget(folder: Path) -> None:
-    """Trust only the newest authority from now on."""
-    with _authority(folder) as authority:
+    """Stop trusting all authorities but the newest."""
+    with _open_authority(folder) as authority:
         authority.forget()
 
 
@@ -91,8 +93,8 @@
 @click.argument("folder", type=PATH)
 @json_option
 def keys_show(folder: Path, as_json: bool) -> None:
-    """List what was issued."""
-    with _authority(folder) as authority:
+    """List the issued certificates."""
+    with _open_authority(folder) as authority:
         certificates = authority.issued()
     if as_json:
         print_json(certificates)
