--- a/onyxhead/cli/__init__.py
+++ b/onyxhead/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module for each group of commands, output and requests in modules of their own."""
+"""The command line: one module for each group of commands, and shared modules for output, requests and exit codes."""
--- a/onyxhead/cli/daemons.py
+++ b/onyxhead/cli/daemons.py
@@ -1,4 +1,4 @@
-"""Commands that run a process: a controller, an agent, a node on the platform."""
+"""Commands that run a long-lived process: a controller, an agent, or a controller on the platform."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 @click.command()
 @click.argument("settings_file", metavar="SETTINGS", type=PATH)
 def serve(settings_file: Path) -> None:
-    """Run a controller."""
+    """Run a controller with the settings file SETTINGS."""
     from onyxhead.controller.server import ControllerServer
     from onyxhead.keys.errors import KeyFileError
     from onyxhead.store.errors import StoreUnavailableError
@@ -45,7 +45,7 @@
 @click.command()
 @click.argument("settings_file", metavar="SETTINGS", type=PATH)
 def agent(settings_file: Path) -> None:
-    """Run the agent beside a proxy."""
+    """Run the agent of a proxy, on the proxy's host, with the settings file SETTINGS."""
     from onyxhead.agent.server import AgentServer
     from onyxhead.keys.errors import KeyFileError
 
@@ -65,7 +65,7 @@
 
 @click.command()
 def node() -> None:
-    """Run a controller on the platform, from the BALANCER_ variables (docs/node.md)."""
+    """Run a controller on the platform, configured by the BALANCER_ environment variables (docs/node.md)."""
     import os
 
     from onyxhead.node.serve import main as run_node
@@ -74,7 +74,7 @@
 
 
 def _read_settings(path: Path, kind: type[Settings], other_kind: str) -> Settings:
-    """Return settings of this kind. Raises FaultyInputError for faulty files, and for settings of the other kind."""
+    """Read a settings file of the given kind. Raises FaultyInputError for a faulty file or settings of another kind."""
     try:
         settings = load.read_settings(path)
     except InvalidConfigurationError as error:
@@ -85,7 +85,7 @@
 
 
 def set_up_logs(settings: LogSettings) -> None:
-    """Log to standard error, from the least level on, in the format that the settings name."""
+    """Log to standard error, at the minimum level and in the format that the settings name."""
     level = logging.getLevelNamesMapping()[settings.level.upper()]
     as_json = settings.format == "json"
     renderer: Any = structlog.processors.JSONRenderer() if as_json else structlog.dev.ConsoleRenderer()
--- a/onyxhead/cli/exits.py
+++ b/onyxhead/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes, and the errors that end a command with one."""
+"""Exit codes of commands, and an error class for each code other than 0."""
 
 from __future__ import annotations
 
@@ -9,42 +9,42 @@
 
 
 class ExitCode(IntEnum):
-    """What a command's exit code says; 0 stands for done."""
+    """Exit codes of commands that did not succeed; success is 0."""
 
     REFUSED = 1
-    """What was asked for does not hold, or was refused."""
+    """The checked condition does not hold, or the request was refused."""
     FAULTY = 2
-    """Wrong use, or faulty files."""
+    """The command was used wrongly, or a file is faulty."""
     UNKNOWN = 3
-    """Not known, since someone did not answer."""
+    """The outcome is not known, because a controller or an agent did not answer."""
 
 
 class CommandFailedError(click.ClickException):
-    """Ends a command with its exit code, after its lines on standard error."""
+    """Ends a command with the class's exit code, after printing its lines to standard error."""
 
     def __init__(self, *lines: object) -> None:
         super().__init__("\n".join(map(str, lines)))
         self.lines = lines
 
     def show(self, file: IO[Any] | None = None) -> None:
-        """Write the lines."""
+        """Print the lines."""
         for line in self.lines:
             click.echo(str(line), file=file, err=True)
 
 
 class RefusedError(CommandFailedError):
-    """What was asked for does not hold, or was refused."""
+    """The checked condition does not hold, or the request was refused."""
 
     exit_code = ExitCode.REFUSED
 
 
 class FaultyInputError(CommandFailedError):
-    """Wrong use, or faulty files."""
+    """The command was used wrongly, or a file is faulty."""
 
     exit_code = ExitCode.FAULTY
 
 
 class NoAnswerError(CommandFailedError):
-    """Someone did not answer, so the outcome is not known."""
+    """A controller or an agent did not answer, so the outcome is not known."""
 
     exit_code = ExitCode.UNKNOWN
--- a/onyxhead/cli/main.py
+++ b/onyxhead/cli/main.py
@@ -1,9 +1,12 @@
 """The `onyxhead` command.
 
-Exit codes: 0 done; 1 what was asked for does not hold, or was refused; 2 wrong use or faulty files; 3 not known,
-since someone did not answer.
+Exit codes:
+0: success
+1: the checked condition does not hold, or the request was refused
+2: the command was used wrongly, or a file is faulty
+3: the outcome is not known, because a controller or an agent did not answer
 
-Commands import what only they need when they run, so that the others start quickly.
+A module that only some commands need is imported when they run, so that the other commands start quickly.
 """
 
 from __future__ import annotations
@@ -29,7 +32,7 @@
 @click.group()
 @click.version_option(package_name="onyxhead")
 def main() -> None:
-    """Assigns backends to plain proxies."""
+    """Assign backends to plain proxies."""
 
 
 COMMANDS: tuple[click.Command, ...] = (
@@ -60,7 +63,7 @@
 
 for command in COMMANDS:
     main.add_command(command)
-# An earlier name of `load`, kept for scripts that call it.
+# The former name of `load`, kept for scripts that use it.
 main.add_command(state.show_load, "load-view")
 
 
--- a/onyxhead/cli/options.py
+++ b/onyxhead/cli/options.py
@@ -1,4 +1,4 @@
-"""Parameters that several commands share."""
+"""Options and parameter types that several commands share."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 import click
 
 PATH = click.Path(path_type=Path)
-"""A path of a file or folder, which need not exist."""
+"""The type of a parameter that is the path of a file or folder, which need not exist."""
 
 json_option = click.option("--json", "as_json", is_flag=True)
-full_json_option = click.option("--json", "as_json", is_flag=True, help="All that is known, as JSON.")
-identity_option = click.option("--as", "identity", type=PATH, help="FOLDER/NAME of the certificate to show.")
-fleet_option = click.option("--fleet", "fleet_file", type=PATH, help="Records: controllers and agents by name.")
+full_json_option = click.option("--json", "as_json", is_flag=True, help="Print the full state as JSON.")
+identity_option = click.option("--as", "identity", type=PATH, help="FOLDER/NAME of the client certificate.")
+fleet_option = click.option(
+    "--fleet", "fleet_file", type=PATH, help="A file of records that lists controllers and agents by name."
+)
 address_option = click.option(
-    "--at", "addresses", multiple=True, metavar="ADDRESS", help="A controller; any number of them."
+    "--at", "addresses", multiple=True, metavar="ADDRESS", help="Address of a controller; any number of them."
 )
--- a/onyxhead/cli/output.py
+++ b/onyxhead/cli/output.py
@@ -1,4 +1,4 @@
-"""Output of commands: JSON documents and tables of text."""
+"""Output of commands: JSON documents and text tables."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def print_table(title: str, rows: Sequence[Row]) -> None:
-    """Print rows that have the same columns, under a title."""
+    """Print a title and a table of rows, which all have the columns of the first row."""
     if not rows:
         click.echo(f"no {title}")
         return
@@ -31,12 +31,12 @@
 
 
 def print_fields(title: str, fields: Row) -> None:
-    """Print named values as a table with one row for each."""
+    """Print a table with one row for each named value."""
     print_table(title, [{"what": name, "value": value} for name, value in fields.items()])
 
 
 def format_cell(value: object) -> str:
-    """Return a JSON value as the text of one table cell."""
+    """Format a JSON value as the text of one table cell."""
     if isinstance(value, dict):
-        return " ".join(f"{key}={each}" for key, each in value.items())
+        return " ".join(f"{key}={item}" for key, item in value.items())
     return ", ".join(map(str, value)) if isinstance(value, list) else str(value)
