--- a/onyxhead/cli/compare.py
+++ b/onyxhead/cli/compare.py
@@ -34,7 +34,7 @@
 def compare(
     addresses: tuple[str, ...], fleet_file: Path | None, settle: float, as_json: bool, identity: Path | None
 ) -> None:
-    """Report where controllers, the proxies that they own and the proxies' files differ.
+    """Report differences among controllers, between proxies and their controllers, and between proxies and their files.
 
     Exits with 1 if there are differences, and with 3 if a member does not answer.
     """
--- a/onyxhead/cli/fleet.py
+++ b/onyxhead/cli/fleet.py
@@ -66,7 +66,7 @@
 def members(address: str, add: tuple[str, str, str, str] | None, remove: str | None, identity: Path | None) -> None:
     """Change the members with which the controller at ADDRESS shares the proxies.
 
-    Run the command for each member. The change persists over a restart.
+    Run the command once for each member's ADDRESS. The change persists over a restart.
     """
     message: dict[str, object]
     if add is not None:
--- a/onyxhead/cli/state.py
+++ b/onyxhead/cli/state.py
@@ -47,10 +47,10 @@
 @full_json_option
 @identity_option
 def show_load(address: str, as_json: bool, identity: Path | None) -> None:
-    """Show the controller's estimates of its backends' load.
+    """Show the estimates of the backends' load at the controller at ADDRESS.
 
-    Each estimate is shown with its error. The table also shows how far the controller at ADDRESS doubts the backends'
-    load reports.
+    Each estimate is shown with its error, and each backend with the credibility of its load reports and the reason to
+    doubt them.
     """
     state = fetch_json(address, "/v1/load", identity)
     if as_json:
--- a/onyxhead/cli/tables.py
+++ b/onyxhead/cli/tables.py
@@ -93,13 +93,16 @@
 @click.argument("version")
 @click.argument("address")
 @click.option(
-    "--share", default=0.1, show_default=True, help="Share of the proxies that get VERSION first; 0.5 at most."
+    "--share",
+    default=0.1,
+    show_default=True,
+    help="Share of the proxies that get VERSION first; half of them at most.",
 )
 @click.option(
     "--seconds",
     default=DEFAULT_HOLD_S,
     show_default=True,
-    help="Longest time of the trial in seconds; if it succeeds, all proxies hold VERSION as long.",
+    help="Longest time of the trial in seconds; if it succeeds, all proxies hold VERSION for the same time.",
 )
 @json_option
 @identity_option
