--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,4 @@
-"""Measurements, each beside the limit it is compared with: `python -m benchmarks NAME` prints its figures as JSON."""
+"""Benchmarks; `python -m benchmarks NAME` runs one and prints its results as JSON.
+
+Where there is one, a result comes with a baseline: the cost of the bare system calls or of a simpler method.
+"""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one measurement and prints its figures as JSON."""
+"""Command line of the benchmarks: runs one and prints its results as JSON."""
 
 from __future__ import annotations
 
@@ -7,11 +7,14 @@
 import sys
 
 NAMES = ("swaps", "batch", "fan", "days", "commits", "tables", "intake", "routes", "operate")
-"""The measurements: each is the module of its name, whose `measure` takes the arguments and returns the figures."""
+"""The benchmarks, each in the module of that name.
+
+The `measure` function of a module takes the remaining command line arguments and returns the results.
+"""
 
 
 def main() -> int:
-    """Run the measurement that the command line names and return the exit code."""
+    """Run the benchmark that the command line names and return the exit code."""
     if len(sys.argv) < 2 or sys.argv[1] not in NAMES:
         print(f"usage: python -m benchmarks {'|'.join(NAMES)}", file=sys.stderr)
         return 2
--- a/benchmarks/batch.py
+++ b/benchmarks/batch.py
@@ -1,4 +1,7 @@
-"""One step of a controller: events in, the policy's decisions, rounds for the proxies. No sockets."""
+"""Time of one decision round in the controller's core, without sockets.
+
+A step takes in pending endpoint changes and statistics, has the policy decide and builds the messages to the proxies.
+"""
 
 from __future__ import annotations
 
@@ -27,11 +30,11 @@
 TICKS_PER_SECOND = 10_000
 WARMUP_STEPS = 100
 LIST_CHANGE_STEPS, STATISTICS_STEPS = 20, 20
-"""How many steps there are between two changes of the endpoint list, and between two reports of statistics."""
+"""Number of steps from one endpoint list change to the next, and from one statistics report to the next."""
 
 
 class LoadedCore(NamedTuple):
-    """A controller's core that knows its endpoints and proxies, and the list that it follows."""
+    """A controller's core with its endpoints and proxies, and the endpoint list that it follows."""
 
     core: ControllerCore
     follower: EndpointListFollower
@@ -39,8 +42,10 @@
 
 
 def deployment(proxies: int) -> Deployment:
-    """Return the policy's settings for a number of proxies."""
-    groups = tuple(TrafficGroup(n, 1.0, 5000, 15000, RetrySafety.IDEMPOTENT, "all", 0, None, False) for n in ("a", "b"))
+    """Return policy settings with two traffic groups and channel limits in proportion to the number of proxies."""
+    groups = tuple(
+        TrafficGroup(name, 1.0, 5000, 15000, RetrySafety.IDEMPOTENT, "all", 0, None, False) for name in ("a", "b")
+    )
     channel = ChannelLimits(100.0 * proxies * 3, 6, 400.0 * proxies, 100, 500, 0, 100_000)
     limits = SafetyLimits(30_000, 20_000, False, 0.2, 150_000, 3, 15_000, False, 0)
     return Deployment(
@@ -49,7 +54,7 @@
 
 
 def loaded_core(proxies: int, backends: int) -> LoadedCore:
-    """Return the core of a controller that all proxies have joined."""
+    """Return a core with this many backends in its endpoint list, after this many proxies have joined."""
     core = ControllerCore(deployment(proxies), ("a", "b"), ZONES, 1, 1, 20_000, START_TICKS)
     entries = tuple(
         EndpointEntry(f"b{i}", f"127.0.0.1:{1000 + i}", ZONES[i % 3], "k", "ready", 1.0, 0.0) for i in range(backends)
@@ -71,22 +76,24 @@
 
 
 def step_times(proxies: int, backends: int, steps: int = 600) -> dict[str, float]:
-    """Return quantiles of the time of a step, after some to warm up."""
+    """Return quantiles of the time of a step in milliseconds, without the first `WARMUP_STEPS`."""
     core, follower, endpoint_list = loaded_core(proxies, backends)
-    chance, now, times = random.Random(1), START_TICKS, list[float]()
+    rng, now, times = random.Random(1), START_TICKS, list[float]()
     for step in range(steps):
         now += STEP_TICKS
         started_at = time.perf_counter()
         if step % LIST_CHANGE_STEPS == 0 and step > WARMUP_STEPS:
-            endpoint_list = _with_one_state_changed(endpoint_list, chance.randrange(backends), now)
+            endpoint_list = _with_one_state_changed(endpoint_list, rng.randrange(backends), now)
             _update_endpoints(core, follower, endpoint_list, now)
         if step % STATISTICS_STEPS == STATISTICS_STEPS // 2:
-            _report_statistics(core, proxies, now, chance)
+            _report_statistics(core, proxies, now, rng)
         effects = core.decide(now)
         times.append(time.perf_counter() - started_at)
-        for sent in effects.deliveries:
-            core.delivery_queue.on_written(sent.proxy)
-            core.on_acknowledgement(now, sent.proxy, sent.message, sent.message.result.etag, sent.queued_at)
+        for delivery in effects.deliveries:
+            core.delivery_queue.on_written(delivery.proxy)
+            core.on_acknowledgement(
+                now, delivery.proxy, delivery.message, delivery.message.result.etag, delivery.queued_at
+            )
     return quantiles(times[WARMUP_STEPS:])
 
 
@@ -97,14 +104,14 @@
     return EndpointList(endpoint_list.version + 1, tuple(entries))
 
 
-def _report_statistics(core: ControllerCore, proxies: int, now: int, chance: random.Random) -> None:
+def _report_statistics(core: ControllerCore, proxies: int, now: int, rng: random.Random) -> None:
     for name in core.endpoints:
-        core.policy.on_attempt_statistics(now, name, 0, 20, chance.randint(0, 2), 1000, 10_000, LoadReport(0.5))
+        core.policy.on_attempt_statistics(now, name, 0, 20, rng.randint(0, 2), 1000, 10_000, LoadReport(0.5))
     for proxy in range(proxies):
         core.policy.on_request_rate(now, proxy, 0, 10, 10_000)
 
 
 def measure(_arguments: list[str]) -> Figures:
-    """Measure two sizes of fleets."""
+    """Measure steps for a small fleet and for one ten times as large."""
     sizes = ((143, 82), (1430, 820))
     return {f"{proxies} x {backends}": step_times(proxies, backends) for proxies, backends in sizes}
--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -1,4 +1,7 @@
-"""Edits a second, and a commit to the last swap at many agents against the same change through the list file."""
+"""Rate of configuration edits, and the time from a commit until every agent applies the change.
+
+The same kind of change made in the endpoint list file is timed for comparison.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 
 def measure(arguments: list[str]) -> Figures:
-    """Measure a fleet; the argument is the number of agents."""
+    """Start a fleet and run both measurements on it; the optional argument is the number of agents."""
     agents = int(arguments[0]) if arguments else DEFAULT_AGENTS
     with memory_folder() as folder:
         (folder / "host").write_bytes(asyncssh.generate_private_key("ssh-ed25519").export_private_key())
@@ -37,15 +40,15 @@
         configuration = fleet.server.configuration
         assert configuration is not None
         edits_per_second = _measure_edits(configuration)
-        by_commit, by_file = list[float](), list[float]()
+        commit_times, list_change_times = list[float](), list[float]()
         for number in range(REPETITIONS):
-            by_commit.append(await _time_commit(fleet, configuration, 2 * number + 2))
-            by_file.append(await _time_list_change(fleet, 2 * number + 3))
+            commit_times.append(await _time_commit(fleet, configuration, 2 * number + 2))
+            list_change_times.append(await _time_list_change(fleet, 2 * number + 3))
     return {
         "agents": agents,
-        "edits a second, checked": round(edits_per_second),
-        "commit to last swap, ms": quantiles(by_commit),
-        "list file to last swap, ms": quantiles(by_file),
+        "validated edits per second": round(edits_per_second),
+        "commit to last acknowledgement, ms": quantiles(commit_times),
+        "list change to last acknowledgement, ms": quantiles(list_change_times),
     }
 
 
@@ -56,7 +59,7 @@
 
 
 def _measure_edits(configuration: ConfigurationService) -> float:
-    """Return how many edits of the candidate a second are checked; none of them is committed."""
+    """Return how many edits of the candidate configuration per second are validated; discard them afterwards."""
     started_at, edits = time.perf_counter(), 0
     while time.perf_counter() < started_at + EDITING_S:
         edit = _drain_edit("b1", drained=bool(edits % 2))
@@ -71,21 +74,26 @@
     started_at = time.perf_counter()
     configuration.edit(USER, SESSION, "candidate", _drain_edit(f"b{number}", drained=True), "merge", "set")
     configuration.commit(USER, SESSION)
-    return await _time_swaps(fleet, f"b{number}", started_at)
+    return await _time_withdrawal(fleet, f"b{number}", started_at)
 
 
 async def _time_list_change(fleet: LiveFleet, number: int) -> float:
     started_at = time.perf_counter()
     fleet.drain(number)
-    return await _time_swaps(fleet, f"b{number}", started_at)
+    return await _time_withdrawal(fleet, f"b{number}", started_at)
+
 
+async def _time_withdrawal(fleet: LiveFleet, backend: str, started_at: float) -> float:
+    """Return the seconds from `started_at` until all agents have acknowledged the withdrawal of a backend.
 
-async def _time_swaps(fleet: LiveFleet, backend: str, started_at: float) -> float:
-    """Return how long after a start all agents have swapped the withdrawal of a backend in, and pause."""
+    Then pause, so that the next measurement starts from an idle fleet.
+    """
     core = fleet.server.core
     await wait_until(lambda: backend in core.proxy_tables.withdrawn)
-    withdrawn_in = core.policy.round_number
-    await wait_until(lambda: all(applied[0] >= withdrawn_in for applied in list(core.acknowledged.values())))
-    took = time.perf_counter() - started_at
+    withdrawal_round = core.policy.round_number
+    await wait_until(
+        lambda: all(acknowledgement[0] >= withdrawal_round for acknowledgement in list(core.acknowledged.values()))
+    )
+    elapsed = time.perf_counter() - started_at
     await asyncio.sleep(PAUSE_S)
-    return took
+    return elapsed
--- a/benchmarks/days.py
+++ b/benchmarks/days.py
@@ -1,4 +1,7 @@
-"""A live scenario on this tree and on an older commit in turn: `python -m benchmarks days REV [SCENARIO]`."""
+"""Comparison of a live scenario on this work tree and on another commit.
+
+Usage: `python -m benchmarks days [REVISION [SCENARIO]]`.
+"""
 
 from __future__ import annotations
 
@@ -15,23 +18,23 @@
 
 SEEDS = (1, 2)
 FIELDS = ("service", "withdrawal_max_ms", "lines", "pushes", "swaps", "joins", "rules")
-"""The fields of `onyxhead trial run --json` that are compared."""
+"""The fields of the verdict of `onyxhead trial run --json` that the results show."""
 
 
 def measure(arguments: list[str]) -> Figures:
-    """Run the scenario on both trees, once for each seed."""
+    """Run the scenario on both trees in turn, once for each seed."""
     revision, scenario = (arguments + ["HEAD", "storm"][len(arguments) :])[:2]
     results: dict[str, list[Figures]] = {"here": [], revision: []}
-    with _checked_out(revision) as other:
+    with _checked_out(revision) as other_tree:
         for seed in SEEDS:
-            for name, tree in (("here", Path.cwd()), (revision, other)):
+            for name, tree in (("here", Path.cwd()), (revision, other_tree)):
                 results[name].append(_run_scenario(tree, scenario, seed))
     return {"day": scenario, **results}
 
 
 @contextmanager
 def _checked_out(revision: str) -> Iterator[Path]:
-    """Yield a worktree of a revision that is removed at the end."""
+    """Check a revision out into a temporary Git worktree, yield its path and remove it at the end."""
     with tempfile.TemporaryDirectory() as name:
         tree = Path(name) / "tree"
         subprocess.run(["git", "worktree", "add", "--detach", str(tree), revision], check=True, capture_output=True)
--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -1,7 +1,8 @@
-"""A round's change and a withdrawal to many agents on sockets while others join; against bare writes of the same bytes.
+"""Time to send a withdrawal and a table change to many agents over sockets while some of them rejoin.
 
-Agents run in several processes, each with a view and files of its own in memory. `fan 143 50000` has so many load
-reports a second come in meanwhile; with `fan 143 50000 2` two ingest workers take them.
+Bare writes of as many bytes to as many connections are the baseline. The agents run in several processes; each agent
+has its own view, and its own files in a folder in memory. `fan 143 50000` measures 143 agents while 50,000 load reports
+per second come in; with `fan 143 50000 2` two ingest workers receive the reports.
 """
 
 from __future__ import annotations
@@ -22,12 +23,16 @@
 FIRST_DRAINED = 2
 PAUSE_S = 0.6
 BODY_BYTES = 420
-"""The usual size of a withdrawal's request, header fields included."""
+"""Typical size of the HTTP request that carries a withdrawal, including its header fields."""
 
 
 class FanOut(NamedTuple):
-    """Times in seconds: of a withdrawal from the list's change to the last acknowledgement, of it what the channel's
-    stated rate takes, and of a table change from its first round to the last acknowledgement."""
+    """The times in seconds that one drain took to reach all agents.
+
+    `withdrawal` runs from the change of the endpoint list to the last acknowledgement of the withdrawal; `channel_time`
+    is the part of it that the configured channel rate accounts for. `table_change` runs from the moment at which no
+    table has the backend to the last acknowledgement of that change.
+    """
 
     agents: int
     withdrawal: float
@@ -36,7 +41,7 @@
 
 
 def measure(arguments: list[str]) -> Figures:
-    """Measure a fleet; the arguments are the agents, the load reports a second and the ingest workers."""
+    """Measure a fleet; the arguments are the numbers of agents, of load reports per second and of ingest workers."""
     defaults = (DEFAULT_AGENTS, 0, 0)
     agents, rate, workers = (
         int(arguments[position]) if len(arguments) > position else default for position, default in enumerate(defaults)
@@ -46,45 +51,49 @@
 
 
 async def _measure_fleet(folder: Path, agents: int, load: ReportLoad) -> Figures:
-    joining = max(2, agents // 10)
+    rejoining = max(2, agents // 10)
     async with LiveFleet(folder, agents, BACKENDS, load) as fleet:
         started_at, reports_before = time.perf_counter(), _reports_received(fleet.server)
         results = []
         for drained in range(FIRST_DRAINED, FIRST_DRAINED + REPETITIONS):
-            results.append(await _measure_drain(fleet, drained, joining))
+            results.append(await _measure_drain(fleet, drained, rejoining))
             await asyncio.sleep(PAUSE_S)
         report_rate = (_reports_received(fleet.server) - reports_before) / (time.perf_counter() - started_at)
     body = json.dumps({"withdrawn": {"b1": True}}).encode().ljust(BODY_BYTES)
     bare_writes = [await time_bare_writes(results[-1].agents, body) for _ in range(REPETITIONS)]
     return {
         "agents": agents,
-        "joins in each round": joining,
-        "reports taken in a second": round(report_rate),
-        "withdrawal, list written to last answer, ms": quantiles([each.withdrawal for each in results]),
-        "of it the stated pace, ms": round(results[-1].channel_time * 1000, 1),
-        "a turn's change, first order to last answer, ms": quantiles([each.table_change for each in results]),
-        "bare writes and answers of the same bytes, ms": quantiles(bare_writes),
+        "rejoining agents per repetition": rejoining,
+        "reports received per second": round(report_rate),
+        "withdrawal, list change to last acknowledgement, ms": quantiles([result.withdrawal for result in results]),
+        "part of the withdrawal due to the channel rate, ms": round(results[-1].channel_time * 1000, 1),
+        "table change to last acknowledgement, ms": quantiles([result.table_change for result in results]),
+        "bare writes and replies, ms": quantiles(bare_writes),
     }
 
 
-async def _measure_drain(fleet: LiveFleet, drained: int, joining: int) -> FanOut:
-    """Drain a backend while some of the agents join again."""
+async def _measure_drain(fleet: LiveFleet, drained: int, rejoining: int) -> FanOut:
+    """Drain a backend while some of the agents rejoin, and return the times that this takes."""
     core, backend = fleet.server.core, f"b{drained}"
-    await _disconnect(fleet.server, joining)
+    await _disconnect(fleet.server, rejoining)
     started_at = time.perf_counter()
     fleet.drain(drained)
     joined = list(core.joined)
     await wait_until(lambda: backend in core.proxy_tables.withdrawn)
-    withdrawn_in = core.policy.round_number
-    await wait_until(lambda: all(core.acknowledged.get(proxy, (withdrawn_in,))[0] >= withdrawn_in for proxy in joined))
+    withdrawal_round = core.policy.round_number
+    await wait_until(
+        lambda: all(core.acknowledged.get(proxy, (withdrawal_round,))[0] >= withdrawal_round for proxy in joined)
+    )
     withdrawal = time.perf_counter() - started_at
     lines_per_message = core.delivery_queue.limits.message_overhead + 2
     channel_time = lines_per_message * len(joined) / fleet.lines_per_second
     await wait_until(lambda: all(backend not in lines for lines in core.proxy_tables.tables.values()))
-    # Not the newest round: that may have gone to one that joins alone.
-    changed_in = max(core.policy.endpoints.by_id[backend].changed_in_round.values())
+    # The newest round is the wrong one to wait for: it may have been sent only to an agent that has just rejoined.
+    change_round = max(core.policy.endpoints.by_id[backend].changed_in_round.values())
     changed_at = time.perf_counter()
-    await wait_until(lambda: all(applied[0] >= changed_in for applied in list(core.acknowledged.values())))
+    await wait_until(
+        lambda: all(acknowledgement[0] >= change_round for acknowledgement in list(core.acknowledged.values()))
+    )
     return FanOut(len(joined), withdrawal, channel_time, time.perf_counter() - changed_at)
 
 
@@ -100,7 +109,7 @@
 
 
 async def time_bare_writes(count: int, body: bytes) -> float:
-    """Return the time in which as many connections are written the bytes and each answers a line."""
+    """Return the seconds to write `body` to `count` connections and to read a one-line reply from each."""
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -114,8 +123,8 @@
     for _, writer in connections:
         writer.write(body)
     await asyncio.gather(*(reader.readline() for reader, _ in connections))
-    took = time.perf_counter() - started_at
+    elapsed = time.perf_counter() - started_at
     for _, writer in connections:
         writer.close()
     server.close()
-    return took
+    return elapsed
--- a/benchmarks/memory_folder.py
+++ b/benchmarks/memory_folder.py
@@ -1,4 +1,4 @@
-"""A temporary folder in memory, so that a measurement is not about how busy this disk is."""
+"""Temporary folders in memory, which keep the load on the disk from affecting a measurement."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 
 @contextmanager
 def memory_folder() -> Iterator[Path]:
-    """Yield a folder that is removed at the end; on disk where there is none in memory."""
+    """Yield a temporary folder, on disk if `MEMORY_FOLDER` is not writable, and remove it at the end."""
     with tempfile.TemporaryDirectory(dir=MEMORY_FOLDER if os.access(MEMORY_FOLDER, os.W_OK) else None) as name:
         yield Path(name)
