--- a/benchmarks/intake.py
+++ b/benchmarks/intake.py
@@ -1,8 +1,12 @@
-"""Load reports at a stated rate on loopback, from senders whose true load is known, while decision rounds go on.
+"""Accuracy and cost of the controller's load estimates while load reports come in at a given rate.
 
-The controller's estimate is asked for over HTTP and compared with the truth of that moment. Beside it, in the same
-run, are the moving average over the last second of the same reports, and the last response's header once a second,
-which is what a controller without load reports has. Arguments: rate, numbers of ingest workers, seconds, budget.
+The senders report a simulated load, so the true load of each backend is known at every moment. The benchmark polls the
+controller's estimates over HTTP and compares them with it. The results also show the errors of two simpler estimates
+that are simulated in the same run: the moving average of the reports of the last second, and one report once a second,
+which stands for the load in a response header and is all that a controller without load reports has.
+
+Arguments: reports per second, numbers of ingest workers separated by commas, seconds, the `budget` of the setting
+`intake`.
 """
 
 from __future__ import annotations
@@ -40,26 +44,30 @@
 POLLS_PER_AVERAGE = 10
 REPORTS_PER_POLL = 200
 ACCURATE_ERROR = 0.1
-"""An estimate within it of the truth has followed a jump."""
+"""Relative error below which an estimate counts as having followed a jump of the true load."""
 STARTUP_S, SETTLE_S = 1.5, 2.0
 
 
 @dataclass(slots=True)
 class BackendObservation:
-    """What is remembered of one backend between polls."""
+    """The state that is kept for one backend from poll to poll.
+
+    `jump_followed` is the time of the last jump that the estimate has followed, `recent` holds the mean of the reports
+    between two polls for each poll of the last second, and `last_header` is the report of this second.
+    """
 
     jump_followed: float
     recent: deque[float] = field(default_factory=lambda: deque(maxlen=POLLS_PER_AVERAGE))
     last_header: float = 0.5
 
     def moving_average(self) -> float:
-        """Return the mean of the reports of the last second."""
+        """Return the moving average of the reports over the last second."""
         return sum(self.recent) / len(self.recent)
 
 
 @dataclass(slots=True)
 class EstimateErrors:
-    """Relative errors of the estimate and of what it is compared with, and delays after jumps in seconds."""
+    """Relative errors of the estimate and of the two simpler estimates, and the seconds it took to follow each jump."""
 
     estimate: list[float] = field(default_factory=list)
     moving_average: list[float] = field(default_factory=list)
@@ -67,11 +75,14 @@
     jump_delays: list[float] = field(default_factory=list)
 
     def add(self, backend: int, observation: BackendObservation, estimate: float, now: float) -> None:
-        """Add an estimate of this moment; one that has not followed the last jump yet is no error, but a delay."""
+        """Record an estimate at the time `now`.
+
+        Until the estimate has followed the last jump, only its delay counts and no errors are recorded.
+        """
         truth = true_load(backend, now)
         error = abs(estimate - truth) / truth
         if (jump := last_jump(backend, now)) != observation.jump_followed:
-            # From the jump itself to the first poll within a tenth of the truth; no jump counts twice.
+            # The delay ends at the first poll with an accurate estimate; each jump is counted once.
             if error < ACCURATE_ERROR:
                 self.jump_delays.append(now - jump)
                 observation.jump_followed = jump
@@ -86,23 +97,23 @@
 
 
 async def compare_estimates(port: int, seconds: float) -> Figures:
-    """Poll the controller's estimates for a time and compare them with the truth."""
+    """Poll the controller's estimates for this many seconds and compare them with the true loads."""
     observations = [BackendObservation(last_jump(backend, time.time())) for backend in range(BACKENDS)]
     errors, response_times = EstimateErrors(), list[float]()
-    chance, last_second = random.Random(5), 0
-    answer: dict[str, Any] = {}
+    rng, last_second = random.Random(5), 0
+    body: dict[str, Any] = {}
     deadline = time.monotonic() + seconds
     while time.monotonic() < deadline:
         started_at = time.monotonic()
-        answer = (await fetch_once(("127.0.0.1", port), Request("GET", "/v1/load/busy"), 3.0)).json()
+        body = (await fetch_once(("127.0.0.1", port), Request("GET", "/v1/load/busy"), 3.0)).json()
         response_times.append(time.monotonic() - started_at)
         now = time.time()
         for backend, observation in enumerate(observations):
-            # The same noise that the reports since the last poll carry, in the mean.
-            observation.recent.append(true_load(backend, now) + chance.gauss(0, NOISE / math.sqrt(REPORTS_PER_POLL)))
+            # The mean of the reports since the last poll has less noise than one report: NOISE / sqrt(reports).
+            observation.recent.append(true_load(backend, now) + rng.gauss(0, NOISE / math.sqrt(REPORTS_PER_POLL)))
             if int(now) != last_second:
-                observation.last_header = true_load(backend, now) + chance.gauss(0, NOISE)
-            if (estimate := answer["busy"].get(f"b{backend}")) is not None:
+                observation.last_header = true_load(backend, now) + rng.gauss(0, NOISE)
+            if (estimate := body["busy"].get(f"b{backend}")) is not None:
                 errors.add(backend, observation, estimate["value"], now)
         last_second = int(now)
         await asyncio.sleep(max(0.0, POLL_PERIOD_S - (time.monotonic() - started_at)))
@@ -113,26 +124,26 @@
         "mean_error_last_header": _mean(errors.last_header),
         "delay_after_jumps_s": quantiles(errors.jump_delays),
         "answer_s": quantiles(response_times),
-        "counts": answer["counts"],
+        "counts": body["counts"],
     }
 
 
 class RunningController(NamedTuple):
-    """A controller process, its port and the port for load reports, which is the same without ingest workers."""
+    """A controller process, its port, and the port for load reports, which differs only with ingest workers."""
 
     process: subprocess.Popen[bytes]
     port: int
     report_port: int
 
     def cpu_seconds(self) -> float:
-        """Return the processor time that the process has used."""
+        """Return the CPU time that the controller's main process has used, without its ingest workers."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 @contextmanager
 def running_controller(workers: int, budget: int) -> Iterator[RunningController]:
-    """Start a controller with so many ingest workers, and end it at the end."""
+    """Run a controller with this many ingest workers until the context ends."""
     port, worker_port = free_ports(2)
     with memory_folder() as folder:
         (folder / "list.json").write_text(json.dumps({"version": 1, "backends": _endpoint_entries()}))
@@ -164,7 +175,7 @@
 
 
 def measure_ingest(rate: float, workers: int, seconds: float, budget: int) -> Figures:
-    """Measure one number of ingest workers; 0 has the controller's own process take the reports."""
+    """Measure with this many ingest workers; with 0, the controller's main process receives the reports."""
     with running_controller(workers, budget) as controller:
         time.sleep(STARTUP_S)
         senders = start_senders(controller.report_port, BACKENDS, rate, SENDERS)
@@ -188,12 +199,12 @@
 
 
 def measure(arguments: list[str]) -> Figures:
-    """Measure each number of ingest workers in turn."""
+    """Measure with each number of ingest workers in turn."""
     rate = float(arguments[0]) if arguments else 50_000.0
-    worker_counts = [int(each) for each in arguments[1].split(",")] if len(arguments) > 1 else [0, 1, 2, 4, 8]
+    worker_counts = [int(count) for count in arguments[1].split(",")] if len(arguments) > 1 else [0, 1, 2, 4, 8]
     seconds = float(arguments[2]) if len(arguments) > 2 else 10.0
     budget = int(arguments[3]) if len(arguments) > 3 else 20_000_000
     return {
-        f"{workers} receivers" if workers else "in the controller": measure_ingest(rate, workers, seconds, budget)
+        f"{workers} ingest workers" if workers else "in the controller": measure_ingest(rate, workers, seconds, budget)
         for workers in worker_counts
     }
--- a/benchmarks/live_fleet.py
+++ b/benchmarks/live_fleet.py
@@ -1,4 +1,4 @@
-"""A controller in this process and agents in processes of their own, joined over loopback, for measurements."""
+"""A fleet for benchmarks: a controller in this process and agents in other processes, connected over loopback."""
 
 from __future__ import annotations
 
@@ -36,13 +36,13 @@
 """
 LINES_PER_SECOND_PER_AGENT = 100
 QUEUE_SECONDS = 4
-NO_LOGS = 50
+MIN_LOG_LEVEL = 50
 CONDITION_TIMEOUT_S, CONDITION_POLL_S = 20.0, 0.0005
 SETTLE_S = 2.0
 
 
 class ReportLoad(NamedTuple):
-    """How many load reports a second come in, and how many ingest workers take them (0: the controller itself)."""
+    """The load reports sent per second, and the ingest workers that receive them (0: the controller itself does)."""
 
     rate: int = 0
     workers: int = 0
@@ -52,14 +52,18 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Return once the condition holds. Raises TimeoutError."""
+    """Wait until the condition holds; raise TimeoutError after `CONDITION_TIMEOUT_S`."""
     async with asyncio.timeout(CONDITION_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(CONDITION_POLL_S)
 
 
 class LiveFleet:
-    """A controller here and agents in processes of their own, which have their tables; all end with the context."""
+    """A controller in this process and agents in other processes, for the duration of the context.
+
+    Entering the context waits until all agents have joined and have their tables, then starts the load report senders
+    if there is a `load`. Leaving it stops everything.
+    """
 
     def __init__(
         self, folder: Path, agents: int, backends: int, load: ReportLoad = NO_REPORTS, extra_settings: str = ""
@@ -73,7 +77,7 @@
         (self._worker_port,) = free_ports(1)
 
     async def __aenter__(self) -> Self:
-        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(NO_LOGS))
+        structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(MIN_LOG_LEVEL))
         self._publish_list()
         self.server = ControllerServer(self._controller_settings())
         self._server_task = asyncio.create_task(self.server.run())
@@ -83,7 +87,7 @@
         self._start_agents(port)
         core = self.server.core
         await wait_until(
-            lambda: len(core.joined) == self.agents and all(core.proxy_tables.tables_of(n) for n in core.joined)
+            lambda: len(core.joined) == self.agents and all(core.proxy_tables.tables_of(proxy) for proxy in core.joined)
         )
         await asyncio.sleep(SETTLE_S)
         if self.load.rate:
@@ -118,19 +122,19 @@
 
     def _start_agents(self, controller_port: int) -> None:
         names = [f"p{number}" for number in range(self.agents)]
-        # Spawned, not forked: a fork would share the running loop's own descriptors.
+        # Processes are spawned because forked ones would share the file descriptors of the running event loop.
         context = multiprocessing.get_context("spawn")
         for number in range(AGENT_PROCESSES):
-            here, there = context.Pipe()
+            control, child_control = context.Pipe()
             process = context.Process(
                 target=run_agents,
-                args=(str(self.folder), names[number::AGENT_PROCESSES], controller_port, there, os.getpid()),
+                args=(str(self.folder), names[number::AGENT_PROCESSES], controller_port, child_control, os.getpid()),
             )
             process.start()
-            self._processes.append((process, here))
+            self._processes.append((process, control))
 
     def drain(self, number: int) -> None:
-        """Publish a list in which one more backend drains."""
+        """Publish an endpoint list in which this backend drains too."""
         self._list_version += 1
         self._drained.add(number)
         self._publish_list()
@@ -150,13 +154,13 @@
         temporary.rename(self.folder / "list.json")
 
 
-def run_agents(folder: str, names: list[str], controller_port: int, control: Pipe, parent: int) -> None:
-    """Run agents until told to stop, or until the parent process ends."""
-    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(NO_LOGS))
-    asyncio.run(_serve_agents(Path(folder), names, controller_port, control, parent))
+def run_agents(folder: str, names: list[str], controller_port: int, control: Pipe, parent_pid: int) -> None:
+    """Run agents until a message comes over `control` or the parent process ends."""
+    structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(MIN_LOG_LEVEL))
+    asyncio.run(_serve_agents(Path(folder), names, controller_port, control, parent_pid))
 
 
-async def _serve_agents(folder: Path, names: list[str], controller_port: int, control: Pipe, parent: int) -> None:
+async def _serve_agents(folder: Path, names: list[str], controller_port: int, control: Pipe, parent_pid: int) -> None:
     tasks = []
     for name in names:
         path = folder / f"{name}.rec"
@@ -164,7 +168,7 @@
         settings = read_settings(path)
         assert isinstance(settings, AgentSettings)
         tasks.append(asyncio.create_task(AgentServer(settings).run()))
-    while not control.poll() and os.getppid() == parent:
+    while not control.poll() and os.getppid() == parent_pid:
         await asyncio.sleep(0.05)
     for task in tasks:
         task.cancel()
