--- a/benchmarks/operate.py
+++ b/benchmarks/operate.py
@@ -1,4 +1,7 @@
-"""A command to many members at once against the slowest member's own answer; and checking settings of 100,000 lines."""
+"""Time to send an operator's command to many members, and time to read and check a large settings file.
+
+The baseline of the command is the slowest member's delay, since the command goes to all members at the same time.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +29,7 @@
 
 
 def _delayed_member(delay: float) -> Callable[[Request, asyncio.StreamWriter], Awaitable[Response]]:
-    """Return the handler of a member that takes `delay` seconds for each command."""
+    """Return the request handler of a member that takes `delay` seconds to answer a command."""
 
     async def handle(_request: Request, _writer: asyncio.StreamWriter) -> Response:
         await asyncio.sleep(delay)
@@ -36,25 +39,25 @@
 
 
 async def measure_command(count: int) -> Figures:
-    """Send a command to members in this process that take up to a third of a second each."""
-    chance, servers, members, slowest = random.Random(1), list[Server](), {}, 0.0
+    """Time one command to members in this process, each of which answers after up to `MAX_DELAY_S`."""
+    rng, servers, members, slowest = random.Random(1), list[Server](), {}, 0.0
     for number in range(count):
-        delay = chance.uniform(0.0, MAX_DELAY_S)
+        delay = rng.uniform(0.0, MAX_DELAY_S)
         slowest = max(slowest, delay)
         servers.append(Server(_delayed_member(delay)))
         members[f"m{number}"] = await servers[-1].start("127.0.0.1", 0)
     started_at = time.perf_counter()
     command = {"id": "x", "verb": "drain", "names": ["b1"], "by": "bench"}
     outcomes = await send_command(members, command, COMMAND_TIMEOUT_S)
-    took = time.perf_counter() - started_at
-    assert all(each.status == "applied" for each in outcomes)
+    elapsed = time.perf_counter() - started_at
+    assert all(outcome.status == "applied" for outcome in outcomes)
     for server in servers:
         server.close()
-    return {"members": count, "command_s": round(took, 3), "slowest_own_s": round(slowest, 3)}
+    return {"members": count, "command_s": round(elapsed, 3), "slowest_member_s": round(slowest, 3)}
 
 
 def measure_settings(lines: int) -> Figures:
-    """Read and check a settings file with so many lines of backends."""
+    """Time the reading and checking of a settings file that has this many lines of backends."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "c.rec"
         rows = "".join(f"    b{number}: {{weight: {1 + number % 9}}}\n" for number in range(lines))
@@ -65,6 +68,6 @@
 
 
 def measure(arguments: list[str]) -> Figures:
-    """Measure both; the argument is the settings' number of lines."""
+    """Run both measurements; the optional argument is the number of lines in the settings file."""
     lines = int(arguments[0]) if arguments else DEFAULT_LINES
     return {"fleet": asyncio.run(measure_command(MEMBERS)), "settings": measure_settings(lines)}
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,5 +1,7 @@
-"""What it takes to find a request's location among 10, 1,000 and 100,000, compiled and by the linear matcher; and to
-read the routing records."""
+"""Time to look up the location of a request among up to 100,000 locations, and to read a large routing file.
+
+The compiled matcher is measured beside the linear matcher, which is the baseline.
+"""
 
 from __future__ import annotations
 
@@ -16,16 +18,19 @@
 
 LOCATION_COUNTS = (10, 1_000, 100_000)
 PATHS = 2_000
-LINEAR_PATHS_AT_MOST_LOCATIONS = 20
-"""How many paths the linear matcher looks up among the most locations, where one takes it long."""
+LINEAR_PATHS_AT_MAX_COUNT = 20
+"""Number of paths for the linear matcher at the highest location count, where each lookup takes long."""
 DEFAULT_RECORDS = 20_000
-FREE_PATTERNS = (r"\.php$", r"\.(gif|png)$", "/edit/")
-"""Expressions that may match anywhere in a path."""
+UNANCHORED_PATTERNS = (r"\.php$", r"\.(gif|png)$", "/edit/")
+"""Regular expressions that are not anchored, so they may match anywhere in a path."""
 
 
 def create_locations(count: int) -> list[Location]:
-    """Return locations of which nine in ten are prefixes of two depths, the rest expressions that begin with text."""
-    locations = [Location("regex", pattern, Target("p")) for pattern in FREE_PATTERNS]
+    """Return the unanchored patterns and `count` other locations.
+
+    Nine in ten of those are prefixes of two path segments; the rest are regular expressions that match a literal text at the start of the path.
+    """
+    locations = [Location("regex", pattern, Target("p")) for pattern in UNANCHORED_PATTERNS]
     for number in range(count):
         if number % 10 == 9:
             locations.append(Location("regex", f"^/r{number}/", Target("p")))
@@ -35,30 +40,37 @@
 
 
 def create_paths(locations: int) -> list[str]:
-    """Return paths of requests, most of which one of the locations matches."""
-    chance, paths = random.Random(1), []
+    """Return random request paths for the result of `create_locations(locations)`, most of which match a location."""
+    rng, paths = random.Random(1), []
     for _ in range(PATHS):
-        n = chance.randrange(locations)
-        paths.append(chance.choice([f"/{n % 997}/{n}/a/b", f"/r{n}/x", f"/none/{n}", f"/{n % 997}/{n}/a.php"]))
+        number = rng.randrange(locations)
+        paths.append(
+            rng.choice(
+                [f"/{number % 997}/{number}/a/b", f"/r{number}/x", f"/none/{number}", f"/{number % 997}/{number}/a.php"]
+            )
+        )
     return paths
 
 
 def measure_lookups(count: int) -> Figures:
-    """Measure lookups among so many locations; both ways have to find the same."""
+    """Time lookups among this many locations, and check that both matchers find the same location.
+
+    `linear_and_compiled_us` is the time of a lookup in both matchers, since each is checked against the other.
+    """
     locations, paths = create_locations(count), create_paths(count)
     started_at = time.perf_counter()
     compiled = CompiledLocationMatcher(locations)
     compiling_time = time.perf_counter() - started_at
     linear = LinearLocationMatcher(locations)
-    linear_paths = paths if count < max(LOCATION_COUNTS) else paths[:LINEAR_PATHS_AT_MOST_LOCATIONS]
+    linear_paths = paths if count < max(LOCATION_COUNTS) else paths[:LINEAR_PATHS_AT_MAX_COUNT]
     compiled_time = _time_per_path(paths, compiled.find)
 
     def find_both(path: str) -> None:
         assert linear.find(path) is compiled.find(path)
 
     return {
-        "flow_us": round(compiled_time * 1e6, 2),
-        "plain_us": round(_time_per_path(linear_paths, find_both) * 1e6, 1),
+        "compiled_us": round(compiled_time * 1e6, 2),
+        "linear_and_compiled_us": round(_time_per_path(linear_paths, find_both) * 1e6, 1),
         "compiling_s": round(compiling_time, 3),
     }
 
@@ -71,7 +83,7 @@
 
 
 def measure_reading(count: int) -> Figures:
-    """Measure reading the routing records of so many locations."""
+    """Time the reading of a routing file with this many locations."""
     host = VirtualHost(("x",), locations=tuple(create_locations(count)))
     routing = Routing({"p": Pool("p", (Server("a:1"),))}, (host,))
     with tempfile.TemporaryDirectory() as folder:
@@ -79,12 +91,12 @@
         file.write_text(format_routing(routing), encoding="utf-8")
         started_at = time.perf_counter()
         read_routing(file)
-        took = time.perf_counter() - started_at
-        return {"lines": len(file.read_text().splitlines()), "read_s": round(took, 2)}
+        elapsed = time.perf_counter() - started_at
+        return {"lines": len(file.read_text().splitlines()), "read_s": round(elapsed, 2)}
 
 
 def measure(arguments: list[str]) -> Figures:
-    """Measure both; the argument is the number of locations in the records."""
+    """Run both measurements; the optional argument is the number of locations in the routing file."""
     figures: Figures = {str(count): measure_lookups(count) for count in LOCATION_COUNTS}
     figures["records"] = measure_reading(int(arguments[0]) if arguments else DEFAULT_RECORDS)
     return figures
--- a/benchmarks/swaps.py
+++ b/benchmarks/swaps.py
@@ -1,6 +1,7 @@
-"""Swaps a second of one agent against a bare write, flush and rename of the same bytes.
+"""Updates per second that one agent can apply and write to its files.
 
-Arguments: the number of backends, and the folder in which the files are.
+The baseline is a bare write, fsync and rename of the same files. Optional arguments: the number of backends, and the
+parent folder for the files.
 """
 
 from __future__ import annotations
@@ -28,11 +29,11 @@
 TABLE = "1.0"
 ROUTES = (GroupRoute("read", "/r", 0.5, 1), GroupRoute("write", "/w", 1.0, 0))
 CHANGED_FILES = (STATE_FILE_NAME, ENVOY_ENDPOINTS, NGINX_UPSTREAMS)
-"""The files that a changed weight changes."""
+"""The names of the files whose contents depend on a backend's weight."""
 
 
 class MeasuredAgent:
-    """An agent's replica and files, without its sockets."""
+    """The table replica and the proxy files of an agent, without its sockets."""
 
     def __init__(self, folder: Path, backends: int) -> None:
         self.backends = backends
@@ -45,7 +46,7 @@
         self._apply("PUT", JSON_MEDIA_TYPE, View.from_entries(entries).to_document())
 
     def change_weight(self, number: int) -> None:
-        """Swap in another weight of one backend, as a controller's patch has it."""
+        """Change the weight of one backend by a merge patch like those that a controller sends."""
         backend = number % self.backends
         lines = {f"b{backend}": table_line(backend, 1 + number)}
         self._apply("PATCH", MERGE_PATCH_MEDIA_TYPE, {"tables": {TABLE: {"lines": lines}}})
@@ -64,7 +65,7 @@
         self.replica.commit(update)
 
     def changed_files(self) -> list[tuple[Path, bytes]]:
-        """Return the files that a changed weight changes, as they are now."""
+        """Return the paths and current contents of `CHANGED_FILES`."""
         view = self.replica.view
         files = [(self.files.state_path, encode_state(view)), *self.files.render(view)]
         return [(path, body) for path, body in files if path.name in CHANGED_FILES]
@@ -93,16 +94,16 @@
 
 
 def table_line(number: int, weight: int) -> dict[str, ViewValue]:
-    """Return a line of a table as views hold it."""
+    """Return the line of a backend in a table, in the format of views."""
     return {"address": f"127.0.0.1:{9000 + number}", "weight": weight, "zone": "z"}
 
 
-def _change_weight(agent: MeasuredAgent, first: int, number: int) -> None:
-    agent.change_weight(first + number)
+def _change_weight(agent: MeasuredAgent, first_number: int, number: int) -> None:
+    agent.change_weight(first_number + number)
 
 
 def _write_files(files: list[tuple[Path, bytes]], _number: int) -> None:
-    """Replace files one by one with nothing but write, flush and rename."""
+    """Replace files one by one by a write, fsync and rename, and fsync the folder after each."""
     for path, body in files:
         temporary = path.with_name(".bare")
         file = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
@@ -116,7 +117,7 @@
 
 
 def calls_per_second(call: Callable[[int], None]) -> float:
-    """Return how often a second a function can be called, with the number of the call."""
+    """Return how many calls per second a function completes; its argument is the number of the call, from 0."""
     started_at, count = time.perf_counter(), 0
     while time.perf_counter() < started_at + MEASURING_S:
         call(count)
@@ -125,17 +126,17 @@
 
 
 def measure(arguments: list[str]) -> Figures:
-    """Measure the agent and the bare writes in turn."""
+    """Measure the agent and the bare writes alternately."""
     backends = int(arguments[0]) if arguments else DEFAULT_BACKENDS
     with tempfile.TemporaryDirectory(dir=arguments[1] if len(arguments) > 1 else None) as name:
         agent = MeasuredAgent(Path(name), backends)
-        swaps, bare = [], []
+        swap_rates, bare_rates = [], []
         for repetition in range(REPETITIONS):
-            swaps.append(calls_per_second(partial(_change_weight, agent, repetition * 1000)))
-            bare.append(calls_per_second(partial(_write_files, agent.changed_files())))
+            swap_rates.append(calls_per_second(partial(_change_weight, agent, repetition * 1000)))
+            bare_rates.append(calls_per_second(partial(_write_files, agent.changed_files())))
     return {
         "backends": backends,
-        "swaps a second": round(max(swaps)),
-        "bare": round(max(bare)),
-        "ours/bare": ratio(swaps, bare),
+        "updates per second": round(max(swap_rates)),
+        "bare writes per second": round(max(bare_rates)),
+        "updates/bare writes": ratio(swap_rates, bare_rates),
     }
--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -1,4 +1,4 @@
-"""Digest and delta work per changed line, memory of a thousand versions, store writes, a restart. No sockets."""
+"""Costs of the tables without sockets: changing a line, keeping and storing versions, and restarting."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
 
 
 def table_line(number: int, weight: int) -> dict[str, object]:
-    """Return a line of a table as views hold it."""
+    """Return the line of a backend in a table, in the format of views."""
     return {"address": f"127.0.0.1:{1000 + number}", "weight": weight, "zone": "z"}
 
 
 def time_changed_line(backends: int) -> float:
-    """Return the microseconds for one changed line of a view, its digest included."""
-    view = View.from_entries({("tables", "t0", "lines", f"b{n}"): table_line(n, 1) for n in range(backends)})
+    """Return the microseconds to change one line of a view, including the digest of the new view."""
+    view = View.from_entries(
+        {("tables", "t0", "lines", f"b{number}"): table_line(number, 1) for number in range(backends)}
+    )
     started_at = time.perf_counter()
     for step in range(CHANGED_LINES):
         number = step % backends
@@ -36,7 +38,7 @@
 
 
 def measure_memory(tables: int, backends: int, versions: int) -> float:
-    """Return the megabytes of a history in which every version changes two lines of each of ten tables."""
+    """Return the megabytes of a history of `versions` versions, each of which changes two lines in ten tables."""
     history = History(versions)
     tracemalloc.start()
     history.append(1, 0, "", {(table, f"b{n}"): 1 for table in range(tables) for n in range(backends)})
@@ -59,14 +61,17 @@
 
 
 def measure_writes(folder: Path) -> dict[str, int]:
-    """Return versions a second through the store, and bare appends with a flush each and with one for a hundred."""
+    """Return the versions per second that the store appends, and two baselines: bare appends per second to a file.
+
+    One baseline flushes the file after each append, the other after every hundred.
+    """
     store = Store(folder / "store")
     started_at = time.perf_counter()
     _store_versions(store, STORED_VERSIONS)
     return {
         "store": round(STORED_VERSIONS / (time.perf_counter() - started_at)),
-        "bare, flush each": round(_append_rate(folder / "bare", writes_per_flush=1)),
-        "bare, flush a hundred": round(_append_rate(folder / "bare", writes_per_flush=100)),
+        "bare, flush after each": round(_append_rate(folder / "bare", writes_per_flush=1)),
+        "bare, flush after a hundred": round(_append_rate(folder / "bare", writes_per_flush=100)),
     }
 
 
@@ -83,31 +88,35 @@
 
 
 def measure_restart(folder: Path) -> dict[str, float]:
-    """Return the milliseconds from opening a store of a thousand versions to the first step; and of the bare read."""
-    _store_versions(Store(folder / "again"), RESTORED_VERSIONS)
+    """Return the milliseconds of a controller's restart, and of only reading the same versions from the database.
+
+    The restart opens a store with `RESTORED_VERSIONS` versions, restores the history, adds backends and proxies to a
+    new core and runs the first decision round.
+    """
+    _store_versions(Store(folder / "restart"), RESTORED_VERSIONS)
     started_at = time.perf_counter()
-    store = Store(folder / "again")
+    store = Store(folder / "restart")
     history = History()
     history.restore(store.load_versions())
     loaded_core(143, 82).core.decide(START_TICKS + TICKS_PER_SECOND)
-    took = time.perf_counter() - started_at
+    elapsed = time.perf_counter() - started_at
     store.close()
     started_at = time.perf_counter()
-    with sqlite3.connect(folder / "again" / "onyxhead.db") as database:
+    with sqlite3.connect(folder / "restart" / "onyxhead.db") as database:
         rows = [json.loads(row[0]) for row in database.execute("select changes from versions")]
     assert len(rows) == RESTORED_VERSIONS == len(history.versions)
     return {
-        "to first orders, ms": round(took * 1000, 1),
+        "to the first decision round, ms": round(elapsed * 1000, 1),
         "bare read, ms": round((time.perf_counter() - started_at) * 1000, 1),
     }
 
 
 def measure(_arguments: list[str]) -> Figures:
-    """Measure all four."""
+    """Run all measurements of this module."""
     with tempfile.TemporaryDirectory() as name:
         return {
             "one changed line, us": {str(size): round(time_changed_line(size), 1) for size in (82, 820, 8200)},
             "a thousand versions of 100 tables of 820 lines, MB": round(measure_memory(100, 820, 1000), 1),
-            "writes a second": measure_writes(Path(name)),
+            "writes per second": measure_writes(Path(name)),
             "restart": measure_restart(Path(name)),
         }
