--- a/benchmarks/fan.py
+++ b/benchmarks/fan.py
@@ -30,8 +30,8 @@
     """The times in seconds that one drain took to reach all agents.
 
     `withdrawal` runs from the change of the endpoint list to the last acknowledgement of the withdrawal; `channel_time`
-    is the part of it that the configured channel rate accounts for. `table_change` runs from the moment at which no
-    table has the backend to the last acknowledgement of that change.
+    is the part of it that the configured channel rate accounts for. `table_change` runs from the moment at which the
+    controller has removed the backend from all tables to the last acknowledgement of that change.
     """
 
     agents: int
--- a/benchmarks/intake.py
+++ b/benchmarks/intake.py
@@ -117,13 +117,14 @@
                 errors.add(backend, observation, estimate["value"], now)
         last_second = int(now)
         await asyncio.sleep(max(0.0, POLL_PERIOD_S - (time.monotonic() - started_at)))
+    # `quantiles` multiplies by 1000: seconds become milliseconds, and relative errors become thousandths.
     return {
         "error": quantiles(errors.estimate),
         "mean_error": _mean(errors.estimate),
         "mean_error_moving_average": _mean(errors.moving_average),
         "mean_error_last_header": _mean(errors.last_header),
-        "delay_after_jumps_s": quantiles(errors.jump_delays),
-        "answer_s": quantiles(response_times),
+        "delay_after_jumps_ms": quantiles(errors.jump_delays),
+        "response_ms": quantiles(response_times),
         "counts": body["counts"],
     }
 
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -28,7 +28,8 @@
 def create_locations(count: int) -> list[Location]:
     """Return the unanchored patterns and `count` other locations.
 
-    Nine in ten of those are prefixes of two path segments; the rest are regular expressions that match a literal text at the start of the path.
+    Nine in ten of those are prefixes of two path segments; the rest are regular expressions that match a literal text
+    at the start of the path.
     """
     locations = [Location("regex", pattern, Target("p")) for pattern in UNANCHORED_PATTERNS]
     for number in range(count):
