--- a/onyxhead/testbed/__init__.py
+++ b/onyxhead/testbed/__init__.py
@@ -1,8 +1,9 @@
-"""Test doubles of everything around onyxhead: clients, proxies, backends, service discovery, the network between.
+"""Test doubles of the systems around onyxhead: clients, proxies, backends, service discovery and the network.
 
-Each runs as a process of its own and records what its sockets carried:
+Each test double runs in a process of its own, and records what it sent, received and did as events in a file:
 
     python -m onyxhead.testbed.process KIND
 
-It reads its parameters as one line of JSON from standard input, and changes of its faults from the lines after that.
+The process reads its parameters from the first line of standard input. Each later line changes some of its faults.
+Both are JSON objects.
 """
--- a/onyxhead/testbed/events.py
+++ b/onyxhead/testbed/events.py
@@ -1,4 +1,4 @@
-"""What test doubles record: one JSON object a line, with the time and the kind of each event."""
+"""The events that test doubles record, as one JSON object per line."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 class EventKind(StrEnum):
-    """The kinds of events; the values are what the records hold."""
+    """The kinds of events, with their names in the records as values."""
 
     BACKEND_STARTED = "up"
     BACKEND_OVERLOADED = "fell"
-    """A warming backend received more work than it can bear, and crashed."""
+    """A backend that was warming up received too much work and crashed."""
     REQUEST_RECEIVED = "came"
     REQUEST_EXECUTED = "effect"
-    """A backend completed a request whose effect counts: a repeat that was deduplicated is not recorded."""
+    """A backend executed a request. A repeat that the backend recognised by its idempotency key is not recorded."""
     REQUEST_STARTED = "asked"
     REQUEST_FINISHED = "ended"
     ENDPOINT_LIST_SERVED = "listed"
     FILE_SWAPPED = "swap"
     FILE_UNREADABLE = "torn"
-    """A proxy read a file that was incomplete or mixed."""
+    """A proxy read a file that was incomplete, or mixed from two versions."""
     ATTEMPT_SENT = "sent"
     NO_ENDPOINT = "bare"
     """A proxy had no endpoint for a request."""
@@ -39,20 +39,20 @@
 
 
 class EventRecorder:
-    """Appends events to a file, each with one write, so that a killed process leaves at most its last line in part."""
+    """Appends events to a file, each with one write, so a killed process leaves at most its last line incomplete."""
 
     def __init__(self, path: Path) -> None:
         path.parent.mkdir(parents=True, exist_ok=True)
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND)
 
     def record(self, kind: EventKind, **fields: object) -> None:
-        """Append an event of this moment."""
+        """Append an event with the current time."""
         event = {"t": time.time(), "what": kind, **fields}
         os.write(self._file, json.dumps(event).encode() + b"\n")
 
 
 def read_events(folder: Path) -> list[Event]:
-    """Return all events of a folder of records, ordered by time; lines written in part are skipped."""
+    """Return the events of all record files in a folder, ordered by time; incomplete lines are skipped."""
     events: list[Event] = []
     for path in sorted(folder.glob("*.jsonl")):
         for line in path.read_text(encoding="utf-8").splitlines():
--- a/onyxhead/testbed/parameters.py
+++ b/onyxhead/testbed/parameters.py
@@ -1,4 +1,4 @@
-"""Parameters and faults of the test doubles, as they are sent to their processes. Times are in seconds."""
+"""Parameters and faults of the test doubles, as their processes receive them. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Parameters(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What a test double is started with. `record` is the file that it records its events in."""
+    """The parameters that a test double starts with. `record` is the file that it records its events in."""
 
     record: str
 
 
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What is wrong with a test double at the moment; by default nothing is."""
+    """The faults that a test double shows now; by default none."""
 
 
 class TrafficGroupParameters(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """The requests of one traffic group; `work` is the mean time that one takes on an idle core."""
+    """The requests of one traffic group. `work` is the mean time that a request occupies a core of speed 1."""
 
     name: str
     prefix: str
@@ -36,11 +36,11 @@
 
 
 class BackendParameters(Parameters):
-    """A backend with `cores` cores and a queue. `warming_up` says that it has to warm up from its start on.
+    """The parameters of a backend. `warming_up` tells whether its warm-up begins when it starts.
 
-    A warming backend crashes if it receives more than `overload_factor` times its momentary capacity over
-    `overload_time`. `deduplication_windows` has the traffic groups whose requests are deduplicated, in a folder that
-    the backends of a zone share.
+    A backend that warms up crashes if the work that it receives within `overload_time` exceeds `overload_factor`
+    times its current capacity. `deduplication_windows` holds the window of each traffic group whose requests are
+    deduplicated; the backends of a zone share the executed idempotency keys in `deduplication_folder`.
     """
 
     name: str
@@ -60,7 +60,7 @@
 
 
 class BackendFaults(Faults):
-    """`slowdown` multiplies the time of a request; `load_report_factor` what the load reports say."""
+    """Faults of a backend. `slowdown` multiplies execution times, `load_report_factor` the reported utilization."""
 
     silent: bool = False
     error_share: float = 0.0
@@ -72,14 +72,14 @@
 
 
 class ProxyAddress(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """Where clients reach a proxy."""
+    """The port that clients reach a proxy at, and its zone."""
 
     port: int
     zone: str
 
 
 class ClientParameters(Parameters):
-    """Clients that send `rate` requests a second in all, spread over the proxies."""
+    """The parameters of all clients; `rate` is their total number of requests per second."""
 
     proxies: list[ProxyAddress]
     groups: list[TrafficGroupParameters]
@@ -89,8 +89,11 @@
 
 
 class ClientFaults(Faults):
-    """`rate_factor` multiplies the rate. `shifted_share` of the requests go to `shifted_to_zone`, and
-    `most_work_share` are of the traffic group with the most work."""
+    """Faults of the clients.
+
+    `rate_factor` multiplies the rate. A share `shifted_share` of the requests goes to the zone `shifted_to_zone`, and
+    a share `most_work_share` is moved to the traffic group with the most work per request.
+    """
 
     stopped: bool = False
     rate_factor: float = 1.0
@@ -100,7 +103,7 @@
 
 
 class DiscoveryParameters(Parameters):
-    """Service discovery over HTTP; later lists go to `file` too."""
+    """The parameters of service discovery. `endpoint_list` is the first list; later ones are also written to `file`."""
 
     port: int
     endpoint_list: EndpointListDocument
@@ -108,15 +111,17 @@
 
 
 class DiscoveryFaults(Faults):
-    """The list that is published now, and whether requests for it are refused."""
+    """The endpoint list that is published now, and whether discovery refuses requests for the list."""
 
     endpoint_list: EndpointListDocument
     refusing: bool = False
 
 
 class ProxyParameters(Parameters):
-    """A proxy that follows the files in `files`, and avoids a backend after `failures_to_avoid` failures in a row
-    (never for 0)."""
+    """The parameters of a proxy, which reads its tables from the folder `files`.
+
+    The proxy avoids a backend after `failures_to_avoid` consecutive failures; 0 disables this.
+    """
 
     name: str
     zone: str
@@ -126,13 +131,13 @@
 
 
 class ProxyFaults(Faults):
-    """Zones that are cut off from all others."""
+    """Faults of a proxy: the zones that are cut off from all others."""
 
     cut_zones: list[str] = []
 
 
 class Link(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """A relay from `port` to `target`; an empty `source` is learnt from the first bytes of each connection."""
+    """A relay from `port` to the port `target`. An empty `source` is learnt from the first bytes of each connection."""
 
     port: int
     target: int
@@ -143,15 +148,18 @@
 
 
 class NetworkParameters(Parameters):
-    """All relays, and the zones of those that may be a link's unknown source."""
+    """The parameters of the network: all relays, and the zones of the nodes that a link may learn as its source."""
 
     links: list[Link]
     zones: dict[str, str]
 
 
 class NetworkFaults(Faults):
-    """`disconnect_share` of the open connections are closed once, when it is set. `isolated` are names that reach no
-    one, `cut_zones` zones that are cut off from all others; 0 bytes a second is no limit."""
+    """Faults of the network.
+
+    Setting `disconnect_share` closes that share of the open connections once. The nodes in `isolated` reach no other
+    node, and the zones in `cut_zones` no other zone. A `bytes_per_second` of 0 means no limit.
+    """
 
     disconnect_share: float = 0.0
     isolated: list[str] = []
@@ -160,7 +168,7 @@
 
 
 class RoutingProxyParameters(Parameters):
-    """A proxy that follows the routing records in the file `routing`."""
+    """The parameters of a proxy that follows the routing records in the file `routing`."""
 
     port: int
     routing: str
--- a/onyxhead/testbed/ports.py
+++ b/onyxhead/testbed/ports.py
@@ -1,4 +1,4 @@
-"""Free ports on loopback."""
+"""Finds free TCP ports on loopback."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return different TCP ports that nothing listens on at the moment."""
+    """Return distinct TCP ports that nothing listens on now; the ports are not reserved."""
     sockets = [socket.socket() for _ in range(count)]
     try:
-        for each in sockets:
-            each.bind(("127.0.0.1", 0))
-        return [int(each.getsockname()[1]) for each in sockets]
+        for sock in sockets:
+            sock.bind(("127.0.0.1", 0))
+        return [int(sock.getsockname()[1]) for sock in sockets]
     finally:
-        for each in sockets:
-            each.close()
+        for sock in sockets:
+            sock.close()
--- a/onyxhead/testbed/process.py
+++ b/onyxhead/testbed/process.py
@@ -1,4 +1,4 @@
-"""The process of one test double: parameters from the first line of standard input, faults from the lines after it."""
+"""Runs one test double: reads its parameters from the first line of standard input, its faults from later lines."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 MAX_LINE_BYTES = 16 * 1024 * 1024
 FOREVER_S = 3600.0
-"""How long a request that is never answered is held; no scenario lasts as long."""
+"""How long a request that gets no answer is held; every scenario is shorter."""
 
 ParametersT = TypeVar("ParametersT", bound=Parameters)
 FaultsT = TypeVar("FaultsT", bound=Faults)
 
 
 class SimulatedProcess(Generic[ParametersT, FaultsT]):
-    """Base of the test doubles: holds what one was started with and what is wrong with it, and records events."""
+    """Base class of the test doubles: holds the parameters and the current faults of one, and records its events."""
 
     def __init__(self, parameters: ParametersT, faults: FaultsT) -> None:
         self.parameters, self.faults = parameters, faults
@@ -36,21 +36,21 @@
         raise NotImplementedError
 
     def record(self, kind: EventKind, **fields: object) -> None:
-        """Record an event of this moment."""
+        """Record an event with the current time."""
         self._recorder.record(kind, **fields)
 
     def update_faults(self, changes: dict[str, object]) -> None:
-        """Change some of the faults. Raises msgspec.ValidationError."""
+        """Change some of the faults, by field. Raises msgspec.ValidationError."""
         current = msgspec.structs.asdict(self.faults)
         self.faults = msgspec.convert(current | changes, type(self.faults))
         self.on_faults_changed(changes.keys())
 
     def on_faults_changed(self, changed: Set[str]) -> None:
-        """Act on a change of the named faults, where reading `self.faults` later is not enough."""
+        """React to a change of the named faults; for doubles that have to act at the moment of the change."""
 
 
 class DoubleKind(NamedTuple):
-    """Where a kind of test double is defined; the module is imported only by the process that runs it."""
+    """The definition of a kind of test double. Only a process that runs this kind imports the module."""
 
     module: str
     class_name: str
@@ -68,7 +68,7 @@
 
 
 def create_double(kind: str, parameters_line: bytes) -> SimulatedProcess[Any, Any]:
-    """Return the test double of a kind. Raises KeyError, msgspec.ValidationError."""
+    """Create a test double of a kind from its encoded parameters. Raises KeyError, msgspec.ValidationError."""
     definition = KINDS[kind]
     module = importlib.import_module(f"onyxhead.testbed.{definition.module}")
     decoded = msgspec.json.decode(parameters_line, type=definition.parameters)
@@ -77,7 +77,7 @@
 
 
 async def run_double(kind: str) -> None:
-    """Run a test double until it fails or standard input ends, so that none outlives the scenario that started it."""
+    """Run a test double until it fails, or until the scenario that started it ends and so closes standard input."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
