--- a/onyxhead/testbed/backend.py
+++ b/onyxhead/testbed/backend.py
@@ -1,6 +1,7 @@
-"""A backend: cores that work occupies, a queue, a limit on connections, a warm-up that too much work makes it crash in.
+"""A simulated backend with a number of cores, a request queue, a connection limit and a warm-up phase.
 
-A request's headers say how much work it is and until when its response is of use.
+The header `x-work` of a request holds the time that it occupies a core of speed 1, and `x-until` its deadline. A
+backend that receives too much work while it warms up crashes.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 from onyxhead.testbed.process import FOREVER_S, SimulatedProcess
 
 OVERLOAD_TOLERANCE = 1.1
-"""How far over the rule's limit the work of a window may be, as its measurement here is coarse."""
+"""Factor by which the work of a window may exceed the limit of rule 4, because the backend measures it coarsely."""
 
 
 class SimulatedBackend(SimulatedProcess[BackendParameters, BackendFaults]):
-    """Answers requests after the time that their work takes, and health checks at once, both with a load report."""
+    """Executes requests on its cores and answers health checks at once; most responses carry a load report."""
 
     def __init__(self, parameters: BackendParameters) -> None:
         super().__init__(parameters, BackendFaults())
@@ -41,13 +42,13 @@
         await asyncio.Event().wait()
 
     def warmup_fraction(self) -> float:
-        """Return the share of its full speed that the backend has reached."""
+        """Return the share of its full speed that the backend has reached, from `warmup_share` at its start to 1."""
         parameters = self.parameters
-        warmed_up = (time.time() - self.started_at) / max(0.01, parameters.warmup_time)
-        return min(1.0, parameters.warmup_share + (1 - parameters.warmup_share) * warmed_up)
+        progress = (time.time() - self.started_at) / max(0.01, parameters.warmup_time)
+        return min(1.0, parameters.warmup_share + (1 - parameters.warmup_share) * progress)
 
-    def overloaded_by(self, work: float) -> bool:
-        """Whether with this request the work of the last window is more than a warming backend bears (rule 4)."""
+    def add_and_check_overload(self, work: float) -> bool:
+        """Add a request's work to the recent window; return whether the sum overloads a warming backend (rule 4)."""
         now, parameters = time.time(), self.parameters
         self.recent_work.append((now, work))
         while self.recent_work[0][0] < now - parameters.overload_time:
@@ -57,7 +58,7 @@
         return self.warmup_fraction() < 1 and sum(work for _, work in self.recent_work) > limit
 
     async def handle(self, request: Request, _writer: asyncio.StreamWriter) -> Response | None:
-        """Answer a request; None closes the connection without a response."""
+        """Return the response to a request, or None to close the connection without a response."""
         if self.faults.silent:
             await asyncio.sleep(FOREVER_S)
         if self.crashed or len(self.server.connections) > self._connection_limit():
@@ -75,15 +76,15 @@
         return self.parameters.connection_limit if limit is None else limit
 
     def _load_report(self) -> Headers:
-        busy = (self.busy_cores / self.parameters.cores) * self.faults.load_report_factor
-        return {"endpoint-load-metrics": f"TEXT cpu_utilization={min(1.0, busy):.3f},queue={self.queued}"}
+        utilization = (self.busy_cores / self.parameters.cores) * self.faults.load_report_factor
+        return {"endpoint-load-metrics": f"TEXT cpu_utilization={min(1.0, utilization):.3f},queue={self.queued}"}
 
     async def _admit(self, headers: Headers, group: str, load_report: Headers) -> Response | None:
         name, request_id, work = self.parameters.name, headers["x-flow"], float(headers["x-work"])
         self.record(
             EventKind.REQUEST_RECEIVED, backend=name, proxy=headers["x-proxy"], flow=request_id, group=group, work=work
         )
-        if self.overloaded_by(work):
+        if self.add_and_check_overload(work):
             self.crashed = True
             self.record(EventKind.BACKEND_OVERLOADED, backend=name)
             return None
@@ -91,7 +92,7 @@
             return Response(503, load_report)
         if not await self._execute(work, float(headers["x-until"])):
             return Response(504, load_report)
-        if self.is_first(headers.get("x-mark", ""), group):
+        if self.is_first_execution(headers.get("x-mark", ""), group):
             self.record(
                 EventKind.REQUEST_EXECUTED, flow=request_id, attempt=headers["x-try"], group=group, backend=name
             )
@@ -100,7 +101,7 @@
         return Response(200, load_report)
 
     async def _execute(self, work: float, deadline: float) -> bool:
-        """Wait for a core and occupy it; False if the deadline has passed by then."""
+        """Execute a request on the next free core; return False if its deadline passed before a core was free."""
         self.queued += 1
         async with self.cores:
             self.queued -= 1
@@ -111,18 +112,19 @@
             self.busy_cores -= 1
         return True
 
-    def is_first(self, idempotency_key: str, group: str) -> bool:
-        """Whether no backend of the zone executed the key within the group's window.
+    def is_first_execution(self, idempotency_key: str, group: str) -> bool:
+        """Return whether no backend of the zone has executed the key within the group's deduplication window.
 
-        The backends of a zone share a folder with a file for each key. Without a key or a window each request counts.
+        The backends of a zone share a folder with one file per key, whose modification time is the time of the key's
+        first execution. Every execution counts as the first if the request has no key or its group no window.
         """
         window = self.parameters.deduplication_windows.get(group)
         if not idempotency_key or window is None:
             return True
-        path = Path(self.parameters.deduplication_folder) / self.parameters.zone / idempotency_key
-        path.parent.mkdir(parents=True, exist_ok=True)
+        key_file = Path(self.parameters.deduplication_folder) / self.parameters.zone / idempotency_key
+        key_file.parent.mkdir(parents=True, exist_ok=True)
         try:
-            os.close(os.open(path, os.O_CREAT | os.O_EXCL))
+            os.close(os.open(key_file, os.O_CREAT | os.O_EXCL))
         except FileExistsError:
-            return time.time() - path.stat().st_mtime > window
+            return time.time() - key_file.stat().st_mtime > window
         return True
--- a/onyxhead/testbed/client.py
+++ b/onyxhead/testbed/client.py
@@ -1,4 +1,7 @@
-"""All clients: requests that start at random times and wait for no other, with retries, over a plain front layer."""
+"""Simulated clients behind a simple load balancer that spreads their requests over the proxies.
+
+Requests start at random times, whether or not earlier ones have ended, and are retried.
+"""
 
 from __future__ import annotations
 
@@ -17,14 +20,14 @@
 
 FIRST_BACKOFF_S = 0.1
 MIN_ATTEMPT_TIMEOUT_S = 0.05
-DEAD_PROXY_TIME_S = 1.0
-"""For how long the front layer avoids a proxy that failed."""
-DEAD_PROXY_NOTICE_S = 2.0
-"""How long after it avoided a proxy the front layer notices another failure of it."""
+PROXY_AVOIDANCE_S = 1.0
+"""How long the load balancer avoids a proxy after a failure."""
+FAILURES_IGNORED_S = 2.0
+"""How long the load balancer ignores further failures of a proxy after it has stopped avoiding the proxy."""
 
 
 class ClientRequest(NamedTuple):
-    """A request of a client; `deadline` in seconds since the epoch."""
+    """A request: `work` is the time that it occupies a core of speed 1, `deadline` is in seconds since the epoch."""
 
     id: str
     group: TrafficGroupParameters
@@ -33,13 +36,13 @@
 
 
 class SimulatedClients(SimulatedProcess[ClientParameters, ClientFaults]):
-    """Sends requests with exponential gaps, and records when each started and how it ended."""
+    """Sends requests at exponentially distributed intervals, and records when each started and how it ended."""
 
     def __init__(self, parameters: ClientParameters) -> None:
         super().__init__(parameters, ClientFaults())
         self.random = random.Random(parameters.seed)
         self.connections = ConnectionPool()
-        self.dead_until: dict[int, float] = {}
+        self.avoided_until: dict[int, float] = {}
 
     async def run(self) -> None:
         """Send requests until cancelled."""
@@ -55,24 +58,30 @@
             task.add_done_callback(tasks.discard)
 
     def choose_proxy(self) -> int:
-        """Return a proxy's port, as the front layer spreads requests: evenly over all it does not hold for dead."""
+        """Return the port of a random proxy. Avoided proxies are chosen only if all are avoided.
+
+        While traffic is shifted to a zone, a share of the requests goes to proxies of that zone only.
+        """
         proxies, shifted_to_zone = self.parameters.proxies, self.faults.shifted_to_zone
         if shifted_to_zone is not None and self.random.random() < self.faults.shifted_share:
             proxies = [proxy for proxy in proxies if proxy.zone == shifted_to_zone]
         ports = [proxy.port for proxy in proxies]
-        alive = [port for port in ports if self.dead_until.get(port, 0) < time.time()]
-        return self.random.choice(alive or ports)
+        not_avoided = [port for port in ports if self.avoided_until.get(port, 0) < time.time()]
+        return self.random.choice(not_avoided or ports)
 
     def choose_group(self) -> TrafficGroupParameters:
-        """Return a traffic group at random, by their shares."""
+        """Return a random traffic group, weighted by the groups' shares of the traffic."""
         groups = self.parameters.groups
-        group = self.random.choices(groups, [each.share for each in groups])[0]
+        group = self.random.choices(groups, [candidate.share for candidate in groups])[0]
         if self.random.random() < self.faults.most_work_share:
-            group = max(groups, key=lambda each: each.work)
+            group = max(groups, key=lambda candidate: candidate.work)
         return group
 
     async def send_request(self, number: int) -> None:
-        """Send one request, with retries as its traffic group allows until it expires."""
+        """Send one request and record its outcome. Failed attempts are retried until the request expires.
+
+        A request that is not idempotent is retried only after status 503.
+        """
         group = self.choose_group()
         started_at = time.time()
         work = group.work * self.random.uniform(0.5, 1.5)
@@ -85,12 +94,12 @@
             if status == 200 or not retry_safe or time.time() > request.deadline:
                 break
             await asyncio.sleep(FIRST_BACKOFF_S * 2**attempt)
-        took = time.time() - started_at
-        good = status == 200 and took <= group.latency_budget
-        self.record(EventKind.REQUEST_FINISHED, flow=request.id, status=status, took=took, good=good)
+        duration = time.time() - started_at
+        good = status == 200 and duration <= group.latency_budget
+        self.record(EventKind.REQUEST_FINISHED, flow=request.id, status=status, took=duration, good=good)
 
     async def send_attempt(self, request: ClientRequest, attempt: int) -> int:
-        """Send a request to some proxy; return the response's status, or 504 or 502 for none."""
+        """Send a request to a proxy; return its response's status, 504 on a timeout or 502 if the connection fails."""
         headers = {
             "x-flow": request.id,
             "x-try": str(attempt),
@@ -109,9 +118,9 @@
         except TimeoutError:
             return 504
         except (OSError, HttpError):
-            self._notice_failure(port)
+            self._avoid_after_failure(port)
             return 502
 
-    def _notice_failure(self, port: int) -> None:
-        if self.dead_until.get(port, 0) < time.time() - DEAD_PROXY_NOTICE_S:
-            self.dead_until[port] = time.time() + DEAD_PROXY_TIME_S
+    def _avoid_after_failure(self, port: int) -> None:
+        if self.avoided_until.get(port, 0) < time.time() - FAILURES_IGNORED_S:
+            self.avoided_until[port] = time.time() + PROXY_AVOIDANCE_S
--- a/onyxhead/testbed/connection_pool.py
+++ b/onyxhead/testbed/connection_pool.py
@@ -1,4 +1,4 @@
-"""Idle HTTP connections, kept for the next request to the same address."""
+"""A pool of idle HTTP connections for reuse by later requests to the same address."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ConnectionPool:
-    """Connections between requests, by host and port. One whose exchange failed is not given back."""
+    """Holds idle connections by host and port. The caller must not release a connection whose exchange failed."""
 
     def __init__(self) -> None:
         self._idle: defaultdict[tuple[str, int], list[Connection]] = defaultdict(list)
@@ -21,5 +21,5 @@
         return connection
 
     def release(self, host: str, port: int, connection: Connection) -> None:
-        """Keep a connection whose exchange is complete."""
+        """Return a connection to the pool after a complete exchange."""
         self._idle[host, port].append(connection)
