--- a/onyxhead/testbed/discovery.py
+++ b/onyxhead/testbed/discovery.py
@@ -1,4 +1,4 @@
-"""Service discovery: publishes the endpoint list over HTTP, with long polls by entity tag, and in a file."""
+"""Simulated service discovery: publishes the endpoint list over HTTP, with long polls by entity tag, and in a file."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class SimulatedDiscovery(SimulatedProcess[DiscoveryParameters, DiscoveryFaults]):
-    """Serves the endpoint list; the scenario replaces the list by a change of `faults`."""
+    """Serves the endpoint list, which the scenario replaces through the fault `endpoint_list`."""
 
     def __init__(self, parameters: DiscoveryParameters) -> None:
         super().__init__(parameters, DiscoveryFaults(endpoint_list=parameters.endpoint_list))
@@ -31,7 +31,7 @@
         await asyncio.Event().wait()
 
     def on_faults_changed(self, changed: Set[str]) -> None:
-        """Publish a new list in the file too, and wake up the long polls."""
+        """Write a new endpoint list to the file, and wake up the pending long polls."""
         if "endpoint_list" in changed:
             path = Path(self.parameters.file)
             temporary = path.with_suffix(".tmp")
@@ -46,21 +46,24 @@
             self.list_changed.notify_all()
 
     async def handle(self, request: Request, _writer: asyncio.StreamWriter) -> Response:
-        """Return the list; a request that has it already is held until it changes."""
+        """Return the endpoint list.
+
+        A request whose entity tag is current waits for a change for up to LONG_POLL_S, and then gets status 304.
+        """
         if self.faults.refusing:
             return Response(503)
-        body, tag = self.encoded_list()
-        if request.headers.get("if-none-match") == tag:
+        body, entity_tag = self.encoded_list()
+        if request.headers.get("if-none-match") == entity_tag:
             try:
                 async with asyncio.timeout(LONG_POLL_S), self.list_changed:
-                    await self.list_changed.wait_for(lambda: self.encoded_list()[1] != tag)
+                    await self.list_changed.wait_for(lambda: self.encoded_list()[1] != entity_tag)
             except TimeoutError:
-                return Response(304, {"etag": tag})
-            body, tag = self.encoded_list()
+                return Response(304, {"etag": entity_tag})
+            body, entity_tag = self.encoded_list()
         self.record(EventKind.ENDPOINT_LIST_SERVED, to=request.headers.get("from", ""), list=json.loads(body))
-        return Response(200, {"etag": tag}, body)
+        return Response(200, {"etag": entity_tag}, body)
 
     def encoded_list(self) -> tuple[bytes, str]:
-        """Return the list's bytes and their entity tag."""
+        """Return the endpoint list as JSON, and its entity tag."""
         body = json.dumps(self.faults.endpoint_list).encode()
         return body, f'"{hashlib.sha256(body).hexdigest()[:16]}"'
--- a/onyxhead/testbed/network.py
+++ b/onyxhead/testbed/network.py
@@ -1,4 +1,7 @@
-"""The network between controllers and agents: relays that record all bytes, and can cut, close and slow connections."""
+"""The simulated network between controllers and agents.
+
+Its relays record all bytes that pass, and can block, close and slow down connections.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class Direction(StrEnum):
-    """Which way bytes went: from the side that opened the connection, or back to it."""
+    """The direction of relayed bytes: from the side that opened the connection, or back to it."""
 
     FORWARD = ">"
     BACK = "<"
@@ -30,7 +33,7 @@
 
 @dataclass(slots=True)
 class RelayedConnection:
-    """One connection over a link; `blocked` says that a cut kept bytes of it from going on."""
+    """One connection over a link. `blocked` tells whether a cut has held back bytes of the connection."""
 
     number: int
     source: str
@@ -42,7 +45,7 @@
 
 
 class SimulatedNetwork(SimulatedProcess[NetworkParameters, NetworkFaults]):
-    """Relays every link's connections, each in both directions."""
+    """Relays the connections of all links in both directions."""
 
     def __init__(self, parameters: NetworkParameters) -> None:
         super().__init__(parameters, NetworkFaults())
@@ -56,24 +59,27 @@
         await asyncio.Event().wait()
 
     def on_faults_changed(self, changed: Set[str]) -> None:
-        """Close a share of the connections, and those whose cut is over: their peers gave them up meanwhile."""
+        """Close a share of the connections, and all that were blocked by a cut that is over.
+
+        The peers of a blocked connection have given it up in the meantime.
+        """
         share = self.faults.disconnect_share if "disconnect_share" in changed else 0.0
         for connection in list(self.open.values()):
-            if random.random() < share or ("cut_zones" in changed and self._cut_is_over(connection)):
+            if random.random() < share or ("cut_zones" in changed and self._unblock_after_cut(connection)):
                 for writer in connection.writers:
                     writer.close()
 
-    def _cut_is_over(self, connection: RelayedConnection) -> bool:
+    def _unblock_after_cut(self, connection: RelayedConnection) -> bool:
         if self.is_cut(connection) or not connection.blocked:
             return False
         connection.blocked = False
         return True
 
     def is_cut(self, connection: RelayedConnection) -> bool:
-        """Whether no bytes pass at the moment.
+        """Return whether a cut holds back the connection's bytes now.
 
-        The source of some connections is known only from their first bytes; until then a zone's cut does not hold
-        them back.
+        The source of some connections is learnt from their first bytes; a zone's cut blocks such a connection only
+        after that.
         """
         isolated = {connection.source, connection.destination} & set(self.faults.isolated)
         zones = {connection.source_zone, connection.destination_zone}
@@ -97,8 +103,8 @@
                 EventKind.CONNECTION_OPENED, link=connection.number, of=connection.source, to=connection.destination
             )
             directions = (
-                self._pump(connection, reader, target_writer, Direction.FORWARD),
-                self._pump(connection, target_reader, writer, Direction.BACK),
+                self._relay_direction(connection, reader, target_writer, Direction.FORWARD),
+                self._relay_direction(connection, target_reader, writer, Direction.BACK),
             )
             tasks = [asyncio.create_task(direction) for direction in directions]
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -109,11 +115,11 @@
         finally:
             self.open.pop(connection.number, None)
             self.record(EventKind.CONNECTION_CLOSED, link=connection.number)
-            for each in (writer, target_writer):
-                if each is not None:
-                    each.close()
+            for open_writer in (writer, target_writer):
+                if open_writer is not None:
+                    open_writer.close()
 
-    async def _pump(
+    async def _relay_direction(
         self,
         connection: RelayedConnection,
         reader: asyncio.StreamReader,
--- a/onyxhead/testbed/proxy.py
+++ b/onyxhead/testbed/proxy.py
@@ -1,4 +1,7 @@
-"""A plain proxy: follows only the swapped files, picks endpoints by weight, retries as its routes say."""
+"""A simulated plain proxy, controlled only by the files that its agent replaces.
+
+It chooses endpoints at random by weight and retries by the policy of the route.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
 
 @dataclass(slots=True)
 class AttemptCounts:
-    """A group's attempts at one backend; `ms` is the time of the good ones."""
+    """The attempts of a group at one backend; `ms` is the total duration of the good ones in milliseconds."""
 
     good: int = 0
     bad: int = 0
@@ -45,7 +48,7 @@
 
 @dataclass(slots=True)
 class GroupCounts:
-    """A group's requests, and its attempts by backend address, under the names that `/stats` has for them."""
+    """The requests of a group, and its attempts by backend address. The field names are those in `/stats`."""
 
     flows: int = 0
     dropped: int = 0
@@ -53,21 +56,21 @@
 
 
 class AttemptResult(NamedTuple):
-    """The response of one attempt, and whether the backend may have run the request."""
+    """The response to one attempt, and whether the backend may have executed the request."""
 
     response: Response
     may_have_run: bool
 
 
 class SimulatedProxy(SimulatedProcess[ProxyParameters, ProxyFaults]):
-    """Serves requests by the files, and `/stats` for the agent beside it."""
+    """Forwards requests as the files tell, and serves its statistics at `/stats` to its agent."""
 
     def __init__(self, parameters: ProxyParameters) -> None:
         super().__init__(parameters, ProxyFaults())
         self.tables = ProxyTables()
         self.connections = ConnectionPool()
         self.rate_limits: dict[str, TokenBucket] = {}
-        self.failures_in_a_row: Counter[str] = Counter()
+        self.consecutive_failures: Counter[str] = Counter()
         self.avoided_until: dict[str, float] = {}
         self.counts: defaultdict[str, GroupCounts] = defaultdict(GroupCounts)
         self.loads: dict[str, float] = {}
@@ -83,7 +86,7 @@
             await asyncio.sleep(FILE_POLL_S)
 
     def read_if_swapped(self, path: Path) -> None:
-        """Read a file that is another one than before, by its inode and time."""
+        """Read a file if it has been replaced since the last read, as its inode or modification time shows."""
         try:
             status = path.stat()
         except FileNotFoundError:
@@ -103,10 +106,10 @@
         )
 
     async def handle(self, request: Request, _writer: asyncio.StreamWriter) -> Response:
-        """Answer a request after attempts at up to all endpoints of its group."""
+        """Forward a request by its route, with retries at other endpoints, or return the statistics for `/stats`."""
         if request.target == "/stats":
             return json_response(200, msgspec.to_builtins({"groups": self.counts, "loads": self.loads}))
-        route = self.tables.route_of(request.target)
+        route = self.tables.find_route(request.target)
         if route is None:
             return Response(404)
         self.counts[route.group].flows += 1
@@ -116,7 +119,7 @@
         return await self._forward(route, request)
 
     def admits(self, route: ProxyRoute) -> bool:
-        """Whether the route's rate limit and its group's drops let a request through."""
+        """Return whether the route's rate limit and the random drops of its group admit a request."""
         if route.rate_limit is not None:
             bucket = self.rate_limits.get(route.group)
             if bucket is None or bucket.settings != route.rate_limit:
@@ -142,11 +145,14 @@
         return response
 
     def pick_endpoint(self, group: str, tried: set[str]) -> WeightedEndpoint | None:
-        """Return an untried endpoint at random by weight; avoided ones only where there are no others."""
+        """Return a random untried endpoint, by weight, or None if all were tried.
+
+        Avoided endpoints are candidates only if all untried ones are avoided.
+        """
         now = time.time()
-        untried = [each for each in self.tables.endpoints.get(group, ()) if each.address not in tried]
-        candidates = [each for each in untried if self.avoided_until.get(each.address, 0) < now] or untried
-        return random.choices(candidates, [each.weight for each in candidates])[0] if candidates else None
+        untried = [endpoint for endpoint in self.tables.endpoints.get(group, ()) if endpoint.address not in tried]
+        candidates = [endpoint for endpoint in untried if self.avoided_until.get(endpoint.address, 0) < now] or untried
+        return random.choices(candidates, [endpoint.weight for endpoint in candidates])[0] if candidates else None
 
     async def _attempt(
         self, route: ProxyRoute, endpoint: WeightedEndpoint, request: Request, attempt: int
@@ -167,7 +173,7 @@
         else:
             counts.good += 1
             counts.ms += (time.time() - started_at) * 1000
-        self._note_outcome(address, result.response)
+        self._update_endpoint_state(address, result.response)
         return AttemptResult(result.response._replace(headers={}), result.may_have_run)
 
     async def _exchange(self, endpoint: WeightedEndpoint, request: Request, timeout: float) -> AttemptResult:
@@ -175,7 +181,7 @@
         host, _, port = endpoint.address.rpartition(":")
         try:
             async with asyncio.timeout(timeout):
-                if self._is_cut_off(endpoint):
+                if self._is_unreachable(endpoint):
                     await asyncio.sleep(FOREVER_S)
                 connection = await self.connections.acquire(host, int(port))
                 may_have_run = True
@@ -187,15 +193,15 @@
             response = Response(502)
         return AttemptResult(response, may_have_run)
 
-    def _is_cut_off(self, endpoint: WeightedEndpoint) -> bool:
+    def _is_unreachable(self, endpoint: WeightedEndpoint) -> bool:
         own_zone, cut_zones = self.parameters.zone, self.faults.cut_zones
         return endpoint.zone != own_zone and (endpoint.zone in cut_zones or own_zone in cut_zones)
 
-    def _note_outcome(self, address: str, response: Response) -> None:
-        busy = parse_load_header(response.headers).get("cpu_utilization")
-        if busy is not None:
-            self.loads[address] = busy
-        self.failures_in_a_row[address] = self.failures_in_a_row[address] + 1 if response.status >= 500 else 0
+    def _update_endpoint_state(self, address: str, response: Response) -> None:
+        utilization = parse_load_header(response.headers).get("cpu_utilization")
+        if utilization is not None:
+            self.loads[address] = utilization
+        self.consecutive_failures[address] = self.consecutive_failures[address] + 1 if response.status >= 500 else 0
         limit = self.parameters.failures_to_avoid
-        if limit and self.failures_in_a_row[address] >= limit:
-            self.failures_in_a_row[address], self.avoided_until[address] = 0, time.time() + AVOID_TIME_S
+        if limit and self.consecutive_failures[address] >= limit:
+            self.consecutive_failures[address], self.avoided_until[address] = 0, time.time() + AVOID_TIME_S
--- a/onyxhead/testbed/proxy_files.py
+++ b/onyxhead/testbed/proxy_files.py
@@ -1,4 +1,4 @@
-"""The files that a proxy follows, parsed: endpoints with weights and drops by traffic group, and routes."""
+"""Parses the files that a proxy reads: the endpoints and drops of each traffic group, and the routes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class TokenBucket:
-    """A rate limit with a burst, as a route's `token_bucket` sets it."""
+    """A rate limit with a burst, configured by the `token_bucket` of a route."""
 
     def __init__(self, settings: dict[str, Any]) -> None:
         self.settings = settings
@@ -29,10 +29,10 @@
         self.tokens, self.updated_at = float(self.max_tokens), time.time()
 
     def take(self) -> bool:
-        """Take a token; False if there is none."""
+        """Take a token; return False if none is left."""
         now = time.time()
-        filled = self.tokens + (now - self.updated_at) / self.seconds_per_token
-        self.tokens, self.updated_at = min(self.max_tokens, filled), now
+        refilled = self.tokens + (now - self.updated_at) / self.seconds_per_token
+        self.tokens, self.updated_at = min(self.max_tokens, refilled), now
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -40,7 +40,7 @@
 
 
 class RetryPolicy(NamedTuple):
-    """When a route's requests are retried, how often, and the limit of one attempt in seconds, if there is any."""
+    """The retry policy of a route. `attempt_timeout` is in seconds; None means no limit for one attempt."""
 
     retries: int
     retry_on_5xx: bool
@@ -48,7 +48,7 @@
 
 
 class ProxyRoute(NamedTuple):
-    """Where the requests below a path prefix go; `rate_limit` is a `token_bucket`."""
+    """The traffic group and the policies of all requests below a path prefix; `rate_limit` is a `token_bucket`."""
 
     prefix: str
     group: str
@@ -58,14 +58,14 @@
 
 @dataclass(slots=True)
 class ProxyTables:
-    """What the proxy's files say now; `drop_shares` of the requests of a group are rejected."""
+    """The content of the proxy's files. `drop_shares` holds the share of each group's requests that is rejected."""
 
     endpoints: dict[str, list[WeightedEndpoint]] = field(default_factory=dict)
     drop_shares: dict[str, float] = field(default_factory=dict)
     routes: list[ProxyRoute] = field(default_factory=list)
 
     def update(self, file_name: str, resources: list[Any]) -> None:
-        """Take over a file's resources. Raises KeyError, ValueError for a file that is incomplete."""
+        """Apply the resources of a file. Raises KeyError or ValueError for an incomplete file."""
         if file_name == ENDPOINTS_FILE:
             self._update_endpoints(resources)
         else:
@@ -78,7 +78,7 @@
             drops = assignment.get("policy", {}).get("drop_overloads", [])
             self.drop_shares[group] = sum(drop["drop_percentage"]["numerator"] / DROP_DENOMINATOR for drop in drops)
 
-    def route_of(self, target: str) -> ProxyRoute | None:
+    def find_route(self, target: str) -> ProxyRoute | None:
         """Return the first route whose prefix the request target has."""
         return next((route for route in self.routes if target.startswith(route.prefix)), None)
 
@@ -87,11 +87,11 @@
     endpoints = []
     for locality in assignment["endpoints"]:
         zone = locality["locality"]["zone"]
-        for each in locality["lb_endpoints"]:
-            socket_address = each["endpoint"]["address"]["socket_address"]
-            if each["health_status"] == "HEALTHY":
+        for entry in locality["lb_endpoints"]:
+            socket_address = entry["endpoint"]["address"]["socket_address"]
+            if entry["health_status"] == "HEALTHY":
                 address = f"{socket_address['address']}:{socket_address['port_value']}"
-                endpoints.append(WeightedEndpoint(address, zone, each["load_balancing_weight"]))
+                endpoints.append(WeightedEndpoint(address, zone, entry["load_balancing_weight"]))
     return endpoints
 
 
--- a/onyxhead/testbed/routing_proxy.py
+++ b/onyxhead/testbed/routing_proxy.py
@@ -1,4 +1,4 @@
-"""A plain proxy that follows imported routing records: hosts, locations, weights, backups, retries, limits."""
+"""A simulated plain proxy that follows imported routing records: hosts, locations, pools, retries and limits."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 ATTEMPT_TIMEOUT_S = 2.0
 
 LimitKey = tuple[str, str]
-"""A limit and the value of its key that a request has."""
+"""A limit, and the value of the limit's key for a request."""
 
 
 class SimulatedRoutingProxy(SimulatedProcess[RoutingProxyParameters, Faults]):
-    """Forwards each request to a server of the pool that the routing records choose for it."""
+    """Forwards each request to a server of the pool that the routing records select."""
 
     def __init__(self, parameters: RoutingProxyParameters) -> None:
         super().__init__(parameters, Faults())
@@ -41,28 +41,28 @@
         await asyncio.Event().wait()
 
     async def handle(self, request: Request, _writer: asyncio.StreamWriter) -> Response:
-        """Route a request, and forward it if its location's limits admit it."""
+        """Route a request, and forward it if the limits of its location admit it."""
         variables = {f"http_{name.replace('-', '_')}": value for name, value in request.headers.items()}
         variables["binary_remote_addr"] = variables["remote_addr"] = request.headers.get("x-client", "")
         route = self.router.route(request.headers.get("host", ""), request.target, variables)
         if not route.pool or route.location is None:
             return Response(route.status)
-        counted: list[LimitKey] = []
+        counted_keys: list[LimitKey] = []
         try:
             for limit in route.location.limits:
                 key = (repr(limit), self.router.variables.expand(limit.key, variables))
                 if limit.max_concurrent:
                     self.in_flight[key] += 1
-                    counted.append(key)
+                    counted_keys.append(key)
                 if not self.admits(limit, key):
                     return Response(503, {"x-blocked": "limit"})
             return await self.forward(route, route.location.retry, request, variables)
         finally:
-            for key in counted:
+            for key in counted_keys:
                 self.in_flight[key] -= 1
 
     def admits(self, limit: model.RequestLimit, key: LimitKey) -> bool:
-        """Whether a limit lets a request through: one on requests in flight, or a token bucket."""
+        """Return whether a limit, on requests in flight or on their rate (a token bucket), admits a request."""
         if limit.max_concurrent:
             return self.in_flight[key] <= limit.max_concurrent
         now, max_tokens = time.time(), limit.burst + 1.0
@@ -74,7 +74,7 @@
     async def forward(
         self, route: RouteDecision, retry_policy: model.RetryPolicy, request: Request, variables: dict[str, str]
     ) -> Response:
-        """Forward a request, with retries at other servers of its pool; `x-met` lists the servers that were tried."""
+        """Forward a request, with retries at other servers of its pool. The header `x-met` lists the tried servers."""
         pool, response = self.router.routing.pools[route.pool], Response(502)
         deadline = time.time() + (retry_policy.timeout or DEFAULT_RETRY_TIME_S)
         max_attempts = (retry_policy.max_attempts or len(pool.servers)) if retry_policy.conditions else 1
@@ -95,14 +95,14 @@
         return response._replace(headers={**response.headers, "x-met": " ".join(tried)})
 
     def pick_server(self, pool: model.Pool, tried: list[str], variables: dict[str, str]) -> model.Server | None:
-        """Return an untried server by the pool's method; a backup server only when no other is left."""
-        available = [each for each in pool.servers if not each.down and each.address not in tried]
+        """Return an untried server by the pool's method, or None. Backup servers are used only if no other is left."""
+        available = [server for server in pool.servers if not server.down and server.address not in tried]
         for backup in (False, True):
-            if candidates := [each for each in available if each.backup is backup]:
+            if candidates := [server for server in available if server.backup is backup]:
                 if pool.method in ("hash", "address-hash"):
                     key = self.router.variables.expand(pool.hash_key or "$remote_addr", variables)
                     return min(candidates, key=lambda server: _hash(key, server.address))
-                return random.choices(candidates, [each.weight for each in candidates])[0]
+                return random.choices(candidates, [server.weight for server in candidates])[0]
         return None
 
 
