--- a/onyxhead/scenarios/__init__.py
+++ b/onyxhead/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""Fault scenarios played live on loopback, and their evaluation from recorded traffic alone."""
+"""Fault scenarios that run live on loopback, and their evaluation from recorded events only."""
--- a/onyxhead/scenarios/backends.py
+++ b/onyxhead/scenarios/backends.py
@@ -1,4 +1,4 @@
-"""The backends of a scenario, and the endpoint list that discovery publishes of them."""
+"""The backends of a scenario, and the endpoint list in which discovery publishes them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     WARMUP_SHARE,
     WARMUP_TIME_S,
     ZONES,
-    loopback,
+    loopback_address,
 )
 from onyxhead.scenarios.processes import DISCOVERY, ProcessGroup
 from onyxhead.testbed.parameters import BackendParameters, EndpointListDocument
@@ -25,22 +25,24 @@
 
 
 class ScenarioBackends:
-    """Backends that run as processes. `entries` are those of the endpoint list by backend; a change of them takes
-    effect with `publish`."""
+    """The backends of a scenario, each a process.
+
+    `entries` holds the endpoint list's entries by backend name. `publish` puts changes of them into effect.
+    """
 
     def __init__(self, processes: ProcessGroup, folder: Path, record_folder: Path, ports: Iterator[int]) -> None:
         self.entries: dict[str, dict[str, Any]] = {}
         self._processes, self._folder, self._record_folder, self._ports = processes, folder, record_folder, ports
-        self._list_version, self._count_added = 0, 0
+        self._list_version, self._added_count = 0, 0
 
     def add(self, warming_up: bool) -> str:
-        """Start another backend and list it, unpublished; return its name."""
-        name, port, zone = f"b{self._count_added}", next(self._ports), ZONES[self._count_added % len(ZONES)]
-        self._count_added += 1
+        """Start another backend and add it to the entries without publishing them; return its name."""
+        name, port, zone = f"b{self._added_count}", next(self._ports), ZONES[self._added_count % len(ZONES)]
+        self._added_count += 1
         self._start(name, port, zone, warming_up)
         self.entries[name] = {
             "id": name,
-            "address": loopback(port),
+            "address": loopback_address(port),
             "zone": zone,
             "kind": "std",
             "state": "ready",
@@ -50,7 +52,7 @@
         return name
 
     def restart(self, name: str) -> None:
-        """Start a backend that ended again, which has to warm up, and publish it as ready."""
+        """Start a backend again after its process has ended, with a new warm-up, and publish it as ready."""
         entry = self.entries[name]
         self._start(name, int(entry["address"].rpartition(":")[2]), entry["zone"], warming_up=True)
         entry.update(state="ready", started=round(time.time(), 3))
@@ -80,15 +82,15 @@
         )
         self._processes.start_double("backend", name, parameters)
 
-    def ready(self) -> list[str]:
+    def ready_names(self) -> list[str]:
         """Return the names of the backends that are listed as ready."""
         return [name for name, entry in self.entries.items() if entry["state"] == "ready"]
 
     def publish(self) -> None:
-        """Publish the endpoint list as it is now."""
+        """Have discovery publish the current entries."""
         self._processes.set_faults(DISCOVERY, endpoint_list=self.next_list())
 
     def next_list(self) -> EndpointListDocument:
-        """Return the endpoint list as it is now, under a new version."""
+        """Return the endpoint list of the current entries, with a new version."""
         self._list_version += 1
         return {"version": self._list_version, "backends": list(self.entries.values())}
--- a/onyxhead/scenarios/faults.py
+++ b/onyxhead/scenarios/faults.py
@@ -1,4 +1,7 @@
-"""Each kind of fault that the operators named, as actions from a start for a duration, both in seconds."""
+"""The kinds of faults that operators have named.
+
+A fault is a function of its start and duration, both in seconds, that returns timed actions on the fleet.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,13 @@
     TimedAction,
     all_backends,
     all_controllers,
-    faults_for,
     kill_for,
-    only,
     sample,
+    set_faults_for,
     share_of_backends,
     share_of_controllers,
     share_of_proxies,
+    single_process,
 )
 from onyxhead.testbed.events import EventKind
 
@@ -32,7 +35,7 @@
 DISCOVERY_DELAY_S = 1.5
 """How long discovery takes to notice that backends crashed."""
 DRAIN_TIME_S = 3.0
-"""How long after a backend was listed as draining a deploy ends it."""
+"""How long a deploy leaves a backend listed as draining before the backend is killed."""
 DEPLOY_BATCHES, DEPLOY_BATCH_SIZE = 4, 2
 WRONG_WEIGHT = 0.02
 ROLLBACK_DELAY_S, ROLLBACK_HOLD_S = 2.5, 600.0
@@ -42,8 +45,8 @@
     fleet.backends.restart(name)
 
 
-def crash(start: float, duration: float) -> list[TimedAction]:
-    """Kill some backends, which discovery notices late; they have to warm up when they come back."""
+def crash_backends(start: float, duration: float) -> list[TimedAction]:
+    """Kill some backends; discovery notices this late, and restarted backends have to warm up."""
 
     def list_as_draining(fleet: ScenarioFleet) -> None:
         for name, entry in fleet.backends.entries.items():
@@ -55,28 +58,30 @@
     return [*crashes, TimedAction(start + DISCOVERY_DELAY_S, list_as_draining)]
 
 
-def vanish(start: float, duration: float) -> list[TimedAction]:
-    """Some backends answer nothing, but keep their connections."""
-    return faults_for(start, duration, share_of_backends(0.2), {"silent": True}, {"silent": False})
+def silence_backends(start: float, duration: float) -> list[TimedAction]:
+    """Make some backends stop answering while they keep their connections open."""
+    return set_faults_for(start, duration, share_of_backends(0.2), {"silent": True}, {"silent": False})
 
 
-def fast_errors(start: float, duration: float) -> list[TimedAction]:
-    """Some backends answer most requests with an error at once."""
-    return faults_for(start, duration, share_of_backends(0.2), {"error_share": 0.8}, {"error_share": 0.0})
+def fail_requests_fast(start: float, duration: float) -> list[TimedAction]:
+    """Make some backends answer most requests with an immediate error."""
+    return set_faults_for(start, duration, share_of_backends(0.2), {"error_share": 0.8}, {"error_share": 0.0})
 
 
-def neighbour(start: float, duration: float) -> list[TimedAction]:
-    """Some backends are slower, as beside a busy neighbour."""
-    return faults_for(start, duration, share_of_backends(0.4), {"slowdown": 2.0}, {"slowdown": 1.0})
+def slow_some_backends(start: float, duration: float) -> list[TimedAction]:
+    """Slow down some backends, as another busy process on their hosts would."""
+    return set_faults_for(start, duration, share_of_backends(0.4), {"slowdown": 2.0}, {"slowdown": 1.0})
 
 
-def burst(start: float, duration: float) -> list[TimedAction]:
-    """Clients send more requests."""
-    return faults_for(start, min(duration, MAX_BURST_S), only(CLIENTS), {"rate_factor": 1.8}, {"rate_factor": 1.0})
+def raise_request_rate(start: float, duration: float) -> list[TimedAction]:
+    """Raise the clients' request rate for a few seconds."""
+    return set_faults_for(
+        start, min(duration, MAX_BURST_S), single_process(CLIENTS), {"rate_factor": 1.8}, {"rate_factor": 1.0}
+    )
 
 
-def zone_cut(start: float, duration: float) -> list[TimedAction]:
-    """A zone is cut off from the others, for controllers, agents and proxies."""
+def cut_off_zone(start: float, duration: float) -> list[TimedAction]:
+    """Cut off a zone from the others for controllers, agents and proxies."""
 
     def cut(zones: list[str]) -> Action:
         def set_cut_zones(fleet: ScenarioFleet) -> None:
@@ -88,12 +93,12 @@
     return [TimedAction(start, cut([ZONES[0]])), TimedAction(start + duration, cut([]))]
 
 
-def deploy(start: float, duration: float) -> list[TimedAction]:
-    """Replace most backends in batches: new ones have to warm up, old ones drain and end."""
+def replace_backends(start: float, duration: float) -> list[TimedAction]:
+    """Replace most backends in batches: new ones have to warm up, old ones are drained and then killed."""
     draining_batches: list[list[str]] = []
 
     def replace_batch(fleet: ScenarioFleet) -> None:
-        original = [name for name in fleet.backends.ready() if not fleet.backends.entries[name]["started"]]
+        original = [name for name in fleet.backends.ready_names() if not fleet.backends.entries[name]["started"]]
         batch = original[:DEPLOY_BATCH_SIZE]
         draining_batches.append(batch)
         for name in batch:
@@ -114,36 +119,36 @@
     return actions
 
 
-def balancer_crash(start: float, duration: float) -> list[TimedAction]:
+def crash_agents(start: float, duration: float) -> list[TimedAction]:
     """Kill and restart the agents of half of the proxies."""
     downtime = min(duration, MAX_NODE_DOWNTIME_S)
     return kill_for(start, downtime, share_of_proxies(0.5), ScenarioFleet.start_node)
 
 
-def controller_crash(start: float, duration: float) -> list[TimedAction]:
+def crash_controllers(start: float, duration: float) -> list[TimedAction]:
     """Kill and restart half of the controllers."""
     downtime = min(duration, MAX_NODE_DOWNTIME_S)
     return kill_for(start, downtime, share_of_controllers(0.5), ScenarioFleet.start_node)
 
 
-def restart(start: float, duration: float) -> list[TimedAction]:
-    """Kill all controllers without warning; they come back on what their disks hold."""
+def restart_all_controllers(start: float, duration: float) -> list[TimedAction]:
+    """Kill all controllers at once; they restart from their stored state."""
     return kill_for(start + duration / 3, 1.0, all_controllers, ScenarioFleet.start_node)
 
 
-def siege(start: float, duration: float) -> list[TimedAction]:
-    """Kill, stop and cut off controllers at random, most of the time one or two at once."""
+def disrupt_controllers(start: float, duration: float) -> list[TimedAction]:
+    """Kill, stop, isolate or disconnect random controllers, mostly one or two at a time."""
     actions: list[TimedAction] = []
-    chance = random.Random(start)
+    rng = random.Random(start)
     at = start
     while at < start + duration:
-        hold, kind = chance.uniform(0.6, 3.0), chance.choice(("kill", "stop", "cut", "break"))
-        actions += _attack_controllers(at, hold, kind)
-        at += hold + chance.uniform(0.2, 2.0)
+        hold, kind = rng.uniform(0.6, 3.0), rng.choice(("kill", "stop", "cut", "break"))
+        actions += _disrupt_sampled_controllers(at, hold, kind)
+        at += hold + rng.uniform(0.2, 2.0)
     return actions
 
 
-def _attack_controllers(start: float, duration: float, kind: str) -> list[TimedAction]:
+def _disrupt_sampled_controllers(start: float, duration: float, kind: str) -> list[TimedAction]:
     selected: list[str] = []
 
     def begin(fleet: ScenarioFleet) -> None:
@@ -171,29 +176,33 @@
     return [TimedAction(start, begin), TimedAction(start + duration, end)]
 
 
-def shared_slow(start: float, duration: float) -> list[TimedAction]:
-    """All backends are slower, as with a shared dependency."""
-    return faults_for(start, duration, all_backends, {"slowdown": 1.6}, {"slowdown": 1.0})
+def slow_all_backends(start: float, duration: float) -> list[TimedAction]:
+    """Slow down all backends, as a slow dependency that they share would."""
+    return set_faults_for(start, duration, all_backends, {"slowdown": 1.6}, {"slowdown": 1.0})
 
 
-def origin_slow(start: float, duration: float) -> list[TimedAction]:
-    """The network between controllers and agents is slow."""
-    return faults_for(start, duration, only(NETWORK), {"bytes_per_second": 40_000}, {"bytes_per_second": 0})
+def slow_control_network(start: float, duration: float) -> list[TimedAction]:
+    """Slow down the network between controllers and agents."""
+    return set_faults_for(
+        start, duration, single_process(NETWORK), {"bytes_per_second": 40_000}, {"bytes_per_second": 0}
+    )
 
 
-def counter_down(start: float, duration: float) -> list[TimedAction]:
-    """Some agents reach no controller."""
+def isolate_agents(start: float, duration: float) -> list[TimedAction]:
+    """Isolate some agents from all controllers."""
     isolated = [f"p{number}" for number in range(3)]
-    return faults_for(start, min(duration, MAX_BURST_S), only(NETWORK), {"isolated": isolated}, {"isolated": []})
+    return set_faults_for(
+        start, min(duration, MAX_BURST_S), single_process(NETWORK), {"isolated": isolated}, {"isolated": []}
+    )
 
 
-def reconnect(start: float, _duration: float) -> list[TimedAction]:
-    """Most connections between controllers and agents are closed at once."""
-    return faults_for(start, 0.5, only(NETWORK), {"disconnect_share": 0.6}, {"disconnect_share": 0.0})
+def close_connections(start: float, _duration: float) -> list[TimedAction]:
+    """Close most connections between controllers and agents at the same time."""
+    return set_faults_for(start, 0.5, single_process(NETWORK), {"disconnect_share": 0.6}, {"disconnect_share": 0.0})
 
 
-def balancer_stall(start: float, duration: float) -> list[TimedAction]:
-    """Controllers and agents stop for most of a second, others each time."""
+def stall_nodes_repeatedly(start: float, duration: float) -> list[TimedAction]:
+    """Stop a new random selection of controllers and agents every two seconds, for most of a second."""
     actions: list[TimedAction] = []
     for number in range(max(1, int(duration // 2))):
         actions += _stall_nodes(start + 2 * number, 0.8)
@@ -215,8 +224,8 @@
     return [TimedAction(start, stop), TimedAction(start + duration, resume)]
 
 
-def grow(start: float, duration: float) -> list[TimedAction]:
-    """Add backends that have to warm up, and more requests later."""
+def grow_fleet(start: float, duration: float) -> list[TimedAction]:
+    """Add backends that have to warm up, and later raise the request rate."""
 
     def add_backends(fleet: ScenarioFleet) -> None:
         for _ in range(max(2, fleet.size.backends // 3)):
@@ -229,8 +238,8 @@
     return [TimedAction(start, add_backends), TimedAction(start + duration / 3, raise_rate)]
 
 
-def shift(start: float, _duration: float) -> list[TimedAction]:
-    """Most requests come to one zone's proxies, and more of them are of the group with the most work."""
+def shift_traffic(start: float, _duration: float) -> list[TimedAction]:
+    """Send most requests to the proxies of one zone, and more requests of the group with the most work."""
 
     def shift_requests(fleet: ScenarioFleet) -> None:
         fleet.processes.set_faults(CLIENTS, shifted_to_zone=ZONES[1], shifted_share=0.6, most_work_share=0.1)
@@ -238,67 +247,69 @@
     return [TimedAction(start, shift_requests)]
 
 
-def limit_connections(start: float, duration: float) -> list[TimedAction]:
-    """All backends take few connections."""
-    return faults_for(start, duration, all_backends, {"connection_limit": 12}, {"connection_limit": 400})
+def limit_backend_connections(start: float, duration: float) -> list[TimedAction]:
+    """Lower the connection limit of all backends."""
+    return set_faults_for(start, duration, all_backends, {"connection_limit": 12}, {"connection_limit": 400})
 
 
-def false_reports(start: float, duration: float) -> list[TimedAction]:
-    """Some backends are slower and report little load."""
-    begin: dict[str, object] = {"slowdown": 2.0, "load_report_factor": 0.2}
-    end: dict[str, object] = {"slowdown": 1.0, "load_report_factor": 1.0}
-    return faults_for(start, duration, share_of_backends(0.25), begin, end)
+def underreport_load(start: float, duration: float) -> list[TimedAction]:
+    """Slow down some backends and make them report too little load."""
+    fault_settings: dict[str, object] = {"slowdown": 2.0, "load_report_factor": 0.2}
+    reset_settings: dict[str, object] = {"slowdown": 1.0, "load_report_factor": 1.0}
+    return set_faults_for(start, duration, share_of_backends(0.25), fault_settings, reset_settings)
 
 
-def answer_lost(start: float, duration: float) -> list[TimedAction]:
-    """Most backends lose some responses after they executed the request."""
-    return faults_for(
+def lose_responses(start: float, duration: float) -> list[TimedAction]:
+    """Make most backends close some connections without a response after they executed the request."""
+    return set_faults_for(
         start, duration, share_of_backends(0.7), {"lost_response_share": 0.2}, {"lost_response_share": 0.0}
     )
 
 
-def class_fail(start: float, duration: float) -> list[TimedAction]:
-    """Some backends fail one traffic group's requests."""
-    return faults_for(start, duration, share_of_backends(0.4), {"failing_group": "report"}, {"failing_group": ""})
+def fail_traffic_group(start: float, duration: float) -> list[TimedAction]:
+    """Make some backends answer all requests of one traffic group with an error."""
+    return set_faults_for(start, duration, share_of_backends(0.4), {"failing_group": "report"}, {"failing_group": ""})
 
 
-def flapping(start: float, duration: float) -> list[TimedAction]:
-    """Two backends take no connections every other second."""
+def flap_backends(start: float, duration: float) -> list[TimedAction]:
+    """Make two backends refuse all connections every other second."""
     actions: list[TimedAction] = []
     for number in range(int(duration // 2)):
-        actions += faults_for(
+        actions += set_faults_for(
             start + 2 * number,
             1.0,
-            lambda fleet: fleet.backends.ready()[:2],
+            lambda fleet: fleet.backends.ready_names()[:2],
             {"connection_limit": 0},
             {"connection_limit": 400},
         )
     return actions
 
 
-def wrong_table(start: float, duration: float) -> list[TimedAction]:
-    """Most backends are listed at a fiftieth of their weight; an operator rolls every controller back to the version
-    before, and the list is put right much later."""
+def publish_and_roll_back_wrong_weights(start: float, duration: float) -> list[TimedAction]:
+    """List most backends at a fiftieth of their weight, and roll back the tables of all controllers.
+
+    Each rollback restores the controller's last table version before the fault. The list is corrected much later.
+    """
     versions_before: dict[str, int] = {}
-    spoiled: list[str] = []
+    affected: list[str] = []
 
     def publish_wrong_weights(fleet: ScenarioFleet) -> None:
         for name, controller in fleet.controllers.items():
             if (version := latest_table_version(controller.port)) is not None:
                 versions_before[name] = version
-        spoiled.extend(sample(fleet, fleet.backends.ready(), 0.6))
-        for name in spoiled:
+        affected.extend(sample(fleet, fleet.backends.ready_names(), 0.6))
+        for name in affected:
             fleet.backends.entries[name]["weight"] = WRONG_WEIGHT
         fleet.backends.publish()
-        fleet.record(EventKind.WRONG_WEIGHTS_PUBLISHED, backends=spoiled)
+        fleet.record(EventKind.WRONG_WEIGHTS_PUBLISHED, backends=affected)
 
     def roll_back(fleet: ScenarioFleet) -> None:
         for name, version in versions_before.items():
-            done = roll_back_tables(fleet.controllers[name].port, version, ROLLBACK_HOLD_S)
-            fleet.record(EventKind.ROLLBACK_REQUESTED, controller=name, version=version, done=done)
+            succeeded = roll_back_tables(fleet.controllers[name].port, version, ROLLBACK_HOLD_S)
+            fleet.record(EventKind.ROLLBACK_REQUESTED, controller=name, version=version, done=succeeded)
 
     def correct_weights(fleet: ScenarioFleet) -> None:
-        for name in spoiled:
+        for name in affected:
             if name in fleet.backends.entries:
                 fleet.backends.entries[name]["weight"] = 1.0
         fleet.backends.publish()
@@ -310,36 +321,36 @@
     ]
 
 
-def discovery_down(start: float, duration: float) -> list[TimedAction]:
-    """Discovery refuses all requests."""
-    return faults_for(start, duration, only(DISCOVERY), {"refusing": True}, {"refusing": False})
+def refuse_discovery_requests(start: float, duration: float) -> list[TimedAction]:
+    """Make discovery refuse all requests."""
+    return set_faults_for(start, duration, single_process(DISCOVERY), {"refusing": True}, {"refusing": False})
 
 
 FAULTS: dict[str, Fault] = {
-    "crash": crash,
-    "vanish": vanish,
-    "fast_errors": fast_errors,
-    "neighbour": neighbour,
-    "burst": burst,
-    "zone_cut": zone_cut,
-    "deploy": deploy,
-    "balancer_crash": balancer_crash,
-    "controller_crash": controller_crash,
-    "restart": restart,
-    "siege": siege,
-    "shared_slow": shared_slow,
-    "origin_slow": origin_slow,
-    "counter_down": counter_down,
-    "reconnect": reconnect,
-    "balancer_stall": balancer_stall,
-    "grow": grow,
-    "shift": shift,
-    "conn_squeeze": limit_connections,
-    "false_reports": false_reports,
-    "answer_lost": answer_lost,
-    "class_fail": class_fail,
-    "flapping": flapping,
-    "wrong_table": wrong_table,
-    "discovery_down": discovery_down,
+    "crash": crash_backends,
+    "vanish": silence_backends,
+    "fast_errors": fail_requests_fast,
+    "neighbour": slow_some_backends,
+    "burst": raise_request_rate,
+    "zone_cut": cut_off_zone,
+    "deploy": replace_backends,
+    "balancer_crash": crash_agents,
+    "controller_crash": crash_controllers,
+    "restart": restart_all_controllers,
+    "siege": disrupt_controllers,
+    "shared_slow": slow_all_backends,
+    "origin_slow": slow_control_network,
+    "counter_down": isolate_agents,
+    "reconnect": close_connections,
+    "balancer_stall": stall_nodes_repeatedly,
+    "grow": grow_fleet,
+    "shift": shift_traffic,
+    "conn_squeeze": limit_backend_connections,
+    "false_reports": underreport_load,
+    "answer_lost": lose_responses,
+    "class_fail": fail_traffic_group,
+    "flapping": flap_backends,
+    "wrong_table": publish_and_roll_back_wrong_weights,
+    "discovery_down": refuse_discovery_requests,
 }
-"""Every fault by the name that `onyxhead trial` knows it by."""
+"""All faults by their name in `onyxhead trial`."""
--- a/onyxhead/scenarios/fleet.py
+++ b/onyxhead/scenarios/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on loopback, each of its controllers, agents and test doubles a process of its own."""
+"""Runs a fleet on loopback: every controller, agent and test double is a process of its own."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     ProxyNode,
     agent_settings,
     controller_settings,
-    loopback,
+    loopback_address,
 )
 from onyxhead.scenarios.processes import CLIENTS, DISCOVERY, NETWORK, ProcessGroup
 from onyxhead.testbed.events import EventKind, EventRecorder
@@ -33,16 +33,16 @@
 from onyxhead.testbed.ports import free_ports
 
 STARTUP_TIME_S = 1.5
-"""How long controllers and agents have to start and join before requests come."""
+"""How long controllers and agents have to start and join before the clients start."""
 INITIAL_BACKENDS = 3
 SPARE_PORTS = 200
-"""For the backends, those that scenarios add later among them."""
+"""Ports reserved for the backends, including those that a scenario adds later."""
 
 
 class ScenarioFleet:
-    """The fleet of one scenario; leaving its context ends all processes.
+    """The fleet of one scenario. Leaving the context kills all processes.
 
-    Faults choose what they strike with `random`.
+    Faults select the processes that they affect with the generator `random`.
     """
 
     def __init__(self, folder: Path, size: FleetSize, seed: int, watch_list_file: bool = False) -> None:
@@ -81,11 +81,11 @@
         _error: BaseException | None,
         _traceback: TracebackType | None,
     ) -> None:
-        self.processes.end()
+        self.processes.kill_all()
 
     @property
     def record_folder(self) -> Path:
-        """Where all test doubles record their events."""
+        """The folder that all test doubles record their events in."""
         return self.folder / "record"
 
     def start(self) -> None:
@@ -146,7 +146,7 @@
         return str(self.record_folder / f"{name}.jsonl")
 
     def start_node(self, name: str) -> None:
-        """Start a controller, or the agent of a proxy, on its settings file."""
+        """Start a controller, or the agent of a proxy, with its settings file."""
         verb = "serve" if name in self.controllers else "agent"
         self.processes.start_onyxhead(name, verb, self._settings_file(name))
 
@@ -154,15 +154,15 @@
         return self.folder / f"{name}.rec"
 
     def _write_agent_settings(self, proxy: ProxyNode) -> None:
-        """Write an agent's settings: controllers of its own zone first, each reached through a relay."""
-        ordered = sorted(
+        """Write an agent's settings, which list controllers of its own zone first, each at the port of a relay."""
+        by_preference = sorted(
             self.controllers.values(), key=lambda controller: (controller.zone != proxy.zone, self.random.random())
         )
         controller_ports = [
             self._add_link(proxy.name, proxy.zone, controller.name, controller.zone, controller.port)
-            for controller in ordered
+            for controller in by_preference
         ]
-        # Every controller connects through the same relay to this agent, which tells them apart by their streams.
+        # All controllers connect to the agent through one relay, which learns the controller from each stream's header.
         advertised_port = self._add_link("", "", proxy.name, proxy.zone, proxy.agent_port)
         initial_entries = self.random.sample(list(self.backends.entries.values()), INITIAL_BACKENDS)
         settings = agent_settings(proxy, self.size, advertised_port, controller_ports, initial_entries)
@@ -178,16 +178,20 @@
             )
             for peer in self.controllers.values()
         }
-        discovery = {"file": "list.json"} if self.watch_list_file else {"server": loopback(self._discovery_port)}
+        discovery = (
+            {"file": "list.json"} if self.watch_list_file else {"server": loopback_address(self._discovery_port)}
+        )
         settings = controller_settings(controller, self.size, self.seed, discovery, peers)
         self._settings_file(controller.name).write_text(settings)
 
-    def _add_link(self, source: str, source_zone: str, destination: str, destination_zone: str, target: int) -> int:
-        """Add a relay to a port and return the relay's own port."""
+    def _add_link(
+        self, source: str, source_zone: str, destination: str, destination_zone: str, target_port: int
+    ) -> int:
+        """Add a relay to the port `target_port`, and return the port that the relay listens on."""
         port = next(self._ports)
         link = Link(
             port=port,
-            target=target,
+            target=target_port,
             source=source,
             source_zone=source_zone,
             destination=destination,
@@ -197,10 +201,10 @@
         return port
 
     def record(self, kind: EventKind, **fields: object) -> None:
-        """Record something that the scenario did."""
+        """Record an action of the scenario."""
         self._recorder.record(kind, **fields)
 
 
 def proxy_double_name(proxy: str) -> str:
-    """Return the name of the process that plays a proxy; its agent has the proxy's own name."""
+    """Return the process name of a simulated proxy; the process of its agent has the proxy's own name."""
     return f"{proxy}-proxy"
--- a/onyxhead/scenarios/fleet_settings.py
+++ b/onyxhead/scenarios/fleet_settings.py
@@ -1,4 +1,4 @@
-"""The settings files of a scenario's controllers and agents, and the figures that they share with the evaluation."""
+"""Settings files of a scenario's controllers and agents, and the values that the evaluation shares with them."""
 
 from __future__ import annotations
 
@@ -53,8 +53,11 @@
 
 
 class FleetSize(NamedTuple):
-    """How large a fleet is; `rate` in requests a second over all proxies, `shared` for controllers that form a
-    fleet."""
+    """The size of a fleet.
+
+    `rate` is in requests per second over all proxies. If `shared` is set, the controllers form one fleet;
+    otherwise each controller works alone.
+    """
 
     controllers: int = 2
     proxies: int = 8
@@ -81,11 +84,11 @@
 
 
 def milliseconds(seconds: float) -> Quantity:
-    """Return a duration as the settings write it."""
+    """Return a duration in the form that settings files use."""
     return Quantity(f"{seconds * 1000:.0f}ms")
 
 
-def loopback(port: int) -> str:
+def loopback_address(port: int) -> str:
     """Return the address of a port on loopback."""
     return f"127.0.0.1:{port}"
 
@@ -97,18 +100,18 @@
     controller_ports: list[int],
     initial_entries: list[dict[str, Any]],
 ) -> str:
-    """Return an agent's settings; `initial_entries` are those of the backends that it starts with."""
+    """Return an agent's settings; `initial_entries` are the endpoint list's entries of its standing backends."""
     return write_fields(
         {
             "kind": "agent",
             "name": proxy.name,
             "zone": proxy.zone,
-            "listen": loopback(proxy.agent_port),
-            "advertise": loopback(advertised_port),
+            "listen": loopback_address(proxy.agent_port),
+            "advertise": loopback_address(advertised_port),
             "files": proxy.name,
             "state": f"{proxy.name}-state",
-            "stats": loopback(proxy.port),
-            "controllers": [loopback(port) for port in controller_ports],
+            "stats": loopback_address(proxy.port),
+            "controllers": [loopback_address(port) for port in controller_ports],
             "standing": {
                 entry["id"]: {"address": entry["address"], "zone": entry["zone"]} for entry in initial_entries
             },
@@ -126,9 +129,10 @@
 def controller_settings(
     controller: ControllerNode, size: FleetSize, seed: int, discovery: dict[str, str], peers: dict[str, tuple[str, int]]
 ) -> str:
-    """Return a controller's settings; `peers` has the zone of each member of the fleet and the port it is reached at.
+    """Return a controller's settings.
 
-    `discovery` is the source of the endpoint list, a file or a server.
+    `discovery` names the source of the endpoint list, a file or a server. `peers` holds each fleet member's zone, and
+    the port at which this controller reaches the member.
     """
     fleet = {"fleet": _fleet_settings(peers)} if size.shared else {}
     return write_fields(
@@ -137,7 +141,7 @@
             "name": controller.name,
             "zone": controller.zone,
             "zones": list(ZONES),
-            "listen": loopback(controller.port),
+            "listen": loopback_address(controller.port),
             "state": f"{controller.name}-state",
             "seed": seed % 1000,
             "controllers": size.controllers,
@@ -179,7 +183,7 @@
 
 def _fleet_settings(peers: dict[str, tuple[str, int]]) -> dict[str, Any]:
     members = {
-        name: {"zone": zone, "pace": Quantity(f"{CHANNEL_LINES_PER_SECOND}/s"), "address": loopback(port)}
+        name: {"zone": zone, "pace": Quantity(f"{CHANNEL_LINES_PER_SECOND}/s"), "address": loopback_address(port)}
         for name, (zone, port) in peers.items()
     }
     return {
--- a/onyxhead/scenarios/processes.py
+++ b/onyxhead/scenarios/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scenario. Only those that were started here are ever signalled."""
+"""Starts and signals the processes of a scenario; it never signals any other process."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from onyxhead.testbed.parameters import Parameters
 
 CLIENTS, DISCOVERY, NETWORK = "client", "discovery", "wire"
-"""Names of the processes that a scenario has one of."""
+"""Names of the processes that every scenario has exactly one of."""
 
 
 class ProcessGroup:
-    """Processes by name; each writes its output to a log file of its name in the folder."""
+    """The processes of a scenario by name. Each one's output goes to a log file of its name in the folder."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def start_onyxhead(self, name: str, verb: str, settings: Path) -> None:
-        """Start a controller or an agent."""
+        """Start a controller (verb `serve`) or an agent (verb `agent`)."""
         command = [sys.executable, "-m", "onyxhead.cli.main", verb, str(settings)]
         self._start(name, command, subprocess.DEVNULL)
 
     def start_double(self, kind: str, name: str, parameters: Parameters) -> None:
-        """Start a test double."""
+        """Start a test double and send it its parameters."""
         self._start(name, [sys.executable, "-m", "onyxhead.testbed.process", kind], subprocess.PIPE)
         self._send_line(name, msgspec.json.encode(parameters))
 
@@ -40,7 +40,7 @@
             self._processes[name] = subprocess.Popen(command, stdin=stdin, stderr=log, stdout=log)
 
     def set_faults(self, name: str, **changes: object) -> None:
-        """Change some of a test double's faults; nothing happens if it has ended."""
+        """Change some of a test double's faults, by field; do nothing if its process has ended."""
         self._send_line(name, json.dumps(changes).encode())
 
     def _send_line(self, name: str, line: bytes) -> None:
@@ -51,7 +51,7 @@
                 process.stdin.flush()
 
     def has_ended(self, name: str) -> bool:
-        """Whether a process has ended."""
+        """Return whether a process has ended."""
         return self._processes[name].poll() is not None
 
     def kill(self, name: str) -> None:
@@ -60,12 +60,12 @@
         self._processes[name].wait()
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a process that has not ended."""
+        """Send a signal to a process, unless it has ended."""
         process = self._processes[name]
         if process.poll() is None:
             os.kill(process.pid, number)
 
-    def end(self) -> None:
+    def kill_all(self) -> None:
         """Kill all processes and wait for their end."""
         for process in self._processes.values():
             if process.poll() is None:
--- a/onyxhead/scenarios/runner.py
+++ b/onyxhead/scenarios/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario live on loopback and has its records evaluated."""
+"""Runs a scenario live on loopback and evaluates its records."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from onyxhead.scenarios.verdict import Verdict, evaluate
 
 LAST_REQUESTS_S = 2.5
-"""How long the last requests have to end, once the clients start no more."""
+"""How long the last requests have to end after the clients have stopped sending new ones."""
 MEMORY_FOLDER = "/dev/shm"
 RULE_LIMITS = RuleLimits(
     drain_grace=DRAIN_GRACE_S,
@@ -37,10 +37,10 @@
 def run_scenario(name: str, seed: int, seconds: float, size: FleetSize, keep: Path | None = None) -> Verdict:
     """Run a scenario, or faults joined by '+', and return its verdict.
 
-    Records, settings and logs are copied to `keep`. Raises KeyError for an unknown name.
+    Records, settings and logs are copied to the folder `keep`, if given. Raises KeyError for an unknown name.
     """
     actions = schedule(name, seed, seconds)
-    # In memory where there is such a folder: a scenario is about routing, not about how busy this disk is.
+    # The files are kept in memory if possible, because a busy disk would distort a test of routing.
     parent = MEMORY_FOLDER if os.access(MEMORY_FOLDER, os.W_OK) else None
     folder = Path(tempfile.mkdtemp(prefix="onyxhead-trial-", dir=parent))
     with ScenarioFleet(folder, size, seed, watch_list_file=name == NO_FAULTS) as fleet:
--- a/onyxhead/scenarios/timed_actions.py
+++ b/onyxhead/scenarios/timed_actions.py
@@ -1,4 +1,4 @@
-"""What faults are made of: actions on a fleet at a time of the scenario, and the usual pairs of begin and end."""
+"""Building blocks of faults: timed actions on a fleet, selectors of processes, and pairs of start and end actions."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 Action = Callable[[ScenarioFleet], None]
 Selector = Callable[[ScenarioFleet], list[str]]
-"""Chooses processes by name, when the fault begins."""
+"""Returns the names of the processes that a fault affects; called when the fault begins."""
 FaultSettings = dict[str, object]
-"""A change of a test double's faults, by field."""
+"""New values for some of a test double's faults, by field."""
 
 
 class TimedAction(NamedTuple):
-    """An action, `at` seconds after the scenario's begin."""
+    """An action and its time `at`, in seconds after the start of the scenario."""
 
     at: float
     action: Action
 
 
 def sample(fleet: ScenarioFleet, names: list[str], share: float) -> list[str]:
-    """Return a random share of the names, one at least."""
+    """Return a random share of the names, at least one."""
     return fleet.random.sample(names, max(1, round(share * len(names))))
 
 
 def share_of_backends(share: float) -> Selector:
     """Select a random share of the backends that are listed as ready."""
-    return lambda fleet: sample(fleet, fleet.backends.ready(), share)
+    return lambda fleet: sample(fleet, fleet.backends.ready_names(), share)
 
 
 def all_backends(fleet: ScenarioFleet) -> list[str]:
     """Select the backends that are listed as ready."""
-    return fleet.backends.ready()
+    return fleet.backends.ready_names()
 
 
 def share_of_proxies(share: float) -> Selector:
@@ -51,33 +51,33 @@
     return list(fleet.controllers)
 
 
-def only(name: str) -> Selector:
-    """Select one process."""
+def single_process(name: str) -> Selector:
+    """Select the process of that name."""
     return lambda _: [name]
 
 
-def faults_for(
-    start: float, duration: float, select: Selector, begin: FaultSettings, end: FaultSettings
+def set_faults_for(
+    start: float, duration: float, select: Selector, fault_settings: FaultSettings, reset_settings: FaultSettings
 ) -> list[TimedAction]:
-    """Set faults of some test doubles for a while."""
+    """Return the actions that set faults of the selected test doubles, and reset them after a duration."""
     selected: list[str] = []
 
-    def set_faults(fleet: ScenarioFleet) -> None:
+    def begin_faults(fleet: ScenarioFleet) -> None:
         selected.extend(select(fleet))
         for name in selected:
-            fleet.processes.set_faults(name, **begin)
+            fleet.processes.set_faults(name, **fault_settings)
 
-    def reset_faults(fleet: ScenarioFleet) -> None:
+    def end_faults(fleet: ScenarioFleet) -> None:
         for name in selected:
-            fleet.processes.set_faults(name, **end)
+            fleet.processes.set_faults(name, **reset_settings)
 
-    return [TimedAction(start, set_faults), TimedAction(start + duration, reset_faults)]
+    return [TimedAction(start, begin_faults), TimedAction(start + duration, end_faults)]
 
 
 def kill_for(
     start: float, duration: float, select: Selector, restart: Callable[[ScenarioFleet, str], None]
 ) -> list[TimedAction]:
-    """Kill some processes, and restart them after a while."""
+    """Return the actions that kill the selected processes, and restart them after a duration."""
     selected: list[str] = []
 
     def kill(fleet: ScenarioFleet) -> None:
