--- a/onyxhead/scenarios/endpoint_history.py
+++ b/onyxhead/scenarios/endpoint_history.py
@@ -1,4 +1,4 @@
-"""What each controller had learnt of the endpoints, by time, from the lists that discovery served."""
+"""The endpoint lists that each controller had at any time, from the records of what discovery served."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from onyxhead.testbed.events import Event, EventKind
 
 Entries = dict[str, dict[str, Any]]
-"""The entries of an endpoint list by backend."""
+"""The entries of an endpoint list by backend name."""
 
 
 class Removal(NamedTuple):
-    """The moment at which a controller learnt that a backend that was ready is no longer."""
+    """A change by which a backend was no longer ready, and the time at which the controller received that list."""
 
     controller: str
     backend: str
@@ -22,7 +22,7 @@
 
 
 class EndpointHistory:
-    """The lists of each controller in order, with the times at which it got them."""
+    """The lists that each controller received, in order, with the times at which discovery served them."""
 
     def __init__(self, events: list[Event]) -> None:
         self._times: dict[str, list[float]] = defaultdict(list)
@@ -36,12 +36,15 @@
                 self.backend_by_address |= {entry["address"]: name for name, entry in entries.items()}
 
     def list_at(self, controller: str, at: float) -> Entries:
-        """Return the list that a controller had at a moment; empty before its first one."""
+        """Return the entries that a controller had at a time; empty before its first list."""
         position = bisect_right(self._times[controller], at)
         return self._lists[controller][position - 1] if position else {}
 
     def not_ready_since(self, controller: str, backend: str, at: float) -> float | None:
-        """Return since when a controller knows that a backend drains or is gone; None if it is ready."""
+        """Return since when, at the time `at`, the controller's lists have shown a backend as draining or gone.
+
+        Return None if the backend was ready, or is in none of the controller's lists.
+        """
         since = None
         known = any(backend in entries for entries in self._lists[controller])
         for listed_at, entries in zip(self._times[controller], self._lists[controller], strict=True):
@@ -54,7 +57,7 @@
         return since
 
     def removals(self) -> Iterator[Removal]:
-        """Yield each backend that a controller learnt to be ready no longer."""
+        """Yield a removal for each change from ready to draining or gone in a controller's lists."""
         for controller, times in self._times.items():
             for position in range(1, len(times)):
                 before, after = self._lists[controller][position - 1 : position + 1]
--- a/onyxhead/scenarios/rules.py
+++ b/onyxhead/scenarios/rules.py
@@ -1,4 +1,7 @@
-"""The five rules that no controller may break, checked on recorded events. Each check returns what broke, as text."""
+"""Checks of recorded events against the five rules that no controller may break.
+
+Each check returns a description of every breach.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +15,11 @@
 from onyxhead.testbed.events import Event, EventKind
 
 TOLERANCE_S = 0.05
-"""What the test doubles' own clocks and scheduling may add to the time that a rule allows."""
+"""Added to the time limits of the rules, because the test doubles' clocks and scheduling are not exact."""
 
 
 class RuleLimits(NamedTuple):
-    """The rules' figures; times in seconds."""
+    """The limits in the rules; times are in seconds."""
 
     drain_grace: float
     unserved_limit: float
@@ -27,7 +30,10 @@
 def find_unserved_groups(
     events: list[Event], sessions: list[Session], history: EndpointHistory, limits: RuleLimits
 ) -> list[str]:
-    """Rule 1: no joined proxy is without an endpoint for longer than the limit, while there is a warm one."""
+    """Check rule 1: a joined proxy has an endpoint for each traffic group, except for less than the limit.
+
+    The rule applies only while the controller knows a ready backend that has completed its warm-up.
+    """
     breaches = []
     unserved_since: dict[tuple[str, str], float] = {}
     for event in events:
@@ -39,8 +45,8 @@
             session = session_of(sessions, proxy, at)
             if session is None or not _has_warm_endpoint(history, session.controller, at, limits):
                 continue
-            if at - max(since, session.since) > limits.unserved_limit + TOLERANCE_S:
-                breaches.append(f"{proxy} had no line for {group} from {since:.2f} to {at:.2f}")
+            if at - max(since, session.started_at) > limits.unserved_limit + TOLERANCE_S:
+                breaches.append(f"proxy {proxy} had no endpoint for group {group} from {since:.2f} to {at:.2f}")
     return breaches
 
 
@@ -50,14 +56,14 @@
 
 
 def find_repeated_executions(events: list[Event], retry_safety: Mapping[str, RetrySafety]) -> list[str]:
-    """Rule 2: no attempt takes effect twice, except for requests that are safe to repeat."""
+    """Check rule 2: no attempt is executed twice, except those of idempotent requests."""
     executions: dict[tuple[str, str], list[str]] = defaultdict(list)
     for event in events:
         is_execution = event["what"] == EventKind.REQUEST_EXECUTED
         if is_execution and retry_safety[event["group"]] is not RetrySafety.IDEMPOTENT:
             executions[event["flow"], event["attempt"]].append(event["backend"])
     return [
-        f"{request}, try {attempt}: {' and '.join(backends)}"
+        f"request {request}, attempt {attempt} was executed by {' and '.join(backends)}"
         for (request, attempt), backends in executions.items()
         if len(backends) > 1
     ]
@@ -66,7 +72,11 @@
 def find_late_drains(
     events: list[Event], sessions: list[Session], history: EndpointHistory, drain_grace: float
 ) -> list[str]:
-    """Rule 3: no joined proxy sends to a backend later than the grace after its controller learnt that it drains."""
+    """Check rule 3: no joined proxy sends to a backend that is not ready after the drain grace has passed.
+
+    The grace begins when the controller learns that the backend drains or is gone, or when the proxy joins, whichever
+    is later.
+    """
     breaches = []
     for event in events:
         if event["what"] != EventKind.ATTEMPT_SENT:
@@ -78,29 +88,32 @@
         since = history.not_ready_since(session.controller, backend, event["t"])
         if since is None:
             continue
-        late = event["t"] - max(since, session.since)
-        if late > drain_grace + TOLERANCE_S:
-            breaches.append(f"{event['proxy']} sent to {backend} {late:.2f} s after {session.controller} knew")
+        time_since = event["t"] - max(since, session.started_at)
+        if time_since > drain_grace + TOLERANCE_S:
+            breaches.append(
+                f"proxy {event['proxy']} sent to backend {backend} {time_since:.2f} s "
+                f"after controller {session.controller} learnt that the backend is not ready"
+            )
     return breaches
 
 
 def find_overloads(events: list[Event]) -> list[str]:
-    """Rule 4: no warming backend gets so much work that it crashes."""
+    """Check rule 4: no backend crashes from too much work during its warm-up."""
     overloads = [event for event in events if event["what"] == EventKind.BACKEND_OVERLOADED]
-    return [f"{event['backend']} was pushed over at {event['t']:.2f}" for event in overloads]
+    return [f"backend {event['backend']} crashed under too much work at {event['t']:.2f}" for event in overloads]
 
 
 def find_queue_overflows(rounds: list[DeliveredRound], max_queued_lines: int) -> list[str]:
-    """Rule 5: no more than the limit of lines wait at a controller, between being decided and being received."""
+    """Check rule 5: the lines that a controller has decided and agents have not received stay within the limit."""
     breaches = []
-    for controller in sorted({each.controller for each in rounds}):
-        own = [each for each in rounds if each.controller == controller]
-        changes = [(each.decided_at, each.lines) for each in own]
-        changes += [(max(each.decided_at, each.received_at), -each.lines) for each in own]
+    for controller in sorted({delivered.controller for delivered in rounds}):
+        own_rounds = [delivered for delivered in rounds if delivered.controller == controller]
+        changes = [(delivered.decided_at, delivered.lines) for delivered in own_rounds]
+        changes += [(max(delivered.decided_at, delivered.received_at), -delivered.lines) for delivered in own_rounds]
         queued = 0
         for at, lines in sorted(changes):
             queued += lines
             if queued > max_queued_lines:
-                breaches.append(f"{queued} lines waited at {controller} at {at:.2f}")
+                breaches.append(f"{queued} lines were queued at controller {controller} at {at:.2f}")
                 break
     return breaches
--- a/onyxhead/scenarios/traffic.py
+++ b/onyxhead/scenarios/traffic.py
@@ -1,4 +1,4 @@
-"""The streams between controllers and agents, parsed again from the bytes that the relays recorded."""
+"""Parses the streams between controllers and agents from the bytes that the relays recorded."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
 
 VIEW_PATH = "/v1/view"
 TICKS_PER_SECOND = 10_000
-"""Of the time at which a decision round was decided, in `Onyxhead-Order`."""
+"""Ticks per second in the decision time of a round, the value `at` of the header `Onyxhead-Order`."""
 
 
 class DeliveredRound(NamedTuple):
-    """One decision round as it passed a relay: when it was decided, received complete and acknowledged, and the
-    status of its acknowledgement (0 for none). `snapshot` says that the document is a whole view, not a patch."""
+    """A decision round that passed a relay, with the times at which it was decided, fully received and acknowledged.
+
+    `status` is that of the acknowledgement, 0 if there is none. The document is a whole view if `snapshot` is set,
+    otherwise a merge patch.
+    """
 
     controller: str
     agent: str
@@ -36,32 +39,32 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether the agent took it."""
+        """Return whether the agent accepted the round."""
         return 200 <= self.status < 300
 
 
 class Session(NamedTuple):
-    """A time for which an agent was joined to a controller, as their stream shows."""
+    """A period in which an agent was joined to a controller, from the first response on their stream to its end."""
 
     controller: str
     agent: str
-    since: float
-    until: float
+    started_at: float
+    ended_at: float
 
     def covers(self, agent: str, at: float) -> bool:
-        """Whether it is this agent's session at a moment."""
-        return self.agent == agent and self.since <= at < self.until
+        """Return whether this was the agent's session at a time."""
+        return self.agent == agent and self.started_at <= at < self.ended_at
 
 
 class StreamTraffic(NamedTuple):
-    """What passed on all streams, in the order of the relays' connections."""
+    """The rounds and sessions of all streams, in the order in which the relays opened their connections."""
 
     rounds: list[DeliveredRound]
     sessions: list[Session]
 
 
 class RelayedRequest(NamedTuple):
-    """One HTTP request, and when it was received complete."""
+    """An HTTP request, and the time at which it was received completely."""
 
     method: str
     target: str
@@ -71,19 +74,22 @@
 
 
 class RelayedResponse(NamedTuple):
-    """The status of one HTTP response, and when it came."""
+    """The status of an HTTP response, and the time at which its head was received."""
 
     status: int
     received_at: float
 
 
 def session_of(sessions: list[Session], agent: str, at: float) -> Session | None:
-    """Return the session that an agent was in at a moment."""
+    """Return the session of an agent at a time, or None if it was joined to no controller."""
     return next((session for session in sessions if session.covers(agent, at)), None)
 
 
 def parse_streams(events: list[Event], end: float) -> StreamTraffic:
-    """Return the rounds and sessions of all streams; those that are open still end at `end`."""
+    """Return the rounds and sessions of all streams.
+
+    A session that is still open, and the wait for a missing acknowledgement, end at `end`.
+    """
     opened = {event["link"]: event for event in events if event["what"] == EventKind.CONNECTION_OPENED}
     closed_at = {event["link"]: event["t"] for event in events if event["what"] == EventKind.CONNECTION_CLOSED}
     chunks: dict[int, list[Event]] = defaultdict(list)
@@ -99,8 +105,8 @@
         responses = _parse_responses(_in_direction(chunks[number], Direction.BACK), methods)
         if responses and responses[0].status < 300:
             controller = requests[0].headers["onyxhead-stream"].rpartition(".")[0]
-            until = closed_at.get(number, end)
-            traffic.sessions.append(Session(controller, opening["to"], responses[0].received_at, until))
+            ended_at = closed_at.get(number, end)
+            traffic.sessions.append(Session(controller, opening["to"], responses[0].received_at, ended_at))
         traffic.rounds.extend(_rounds(opening, requests, responses, end))
     return traffic
 
@@ -116,17 +122,17 @@
     for position, request in enumerate(requests):
         if request.method not in ("PUT", "PATCH"):
             continue
-        order = dict(re.findall(r"(\w+)=(\d+)", request.headers.get("onyxhead-order", "")))
+        order_fields = dict(re.findall(r"(\w+)=(\d+)", request.headers.get("onyxhead-order", "")))
         response = responses[position] if position < len(responses) else RelayedResponse(0, end)
         rounds.append(
             DeliveredRound(
                 controller=opening["of"],
                 agent=opening["to"],
-                decided_at=int(order["at"]) / TICKS_PER_SECOND,
+                decided_at=int(order_fields["at"]) / TICKS_PER_SECOND,
                 received_at=request.received_at,
                 acknowledged_at=response.received_at,
                 status=response.status,
-                lines=int(order["lines"]),
+                lines=int(order_fields["lines"]),
                 snapshot=request.method == "PUT",
                 document=json.loads(request.body),
                 stream=request.headers["onyxhead-stream"],
@@ -137,13 +143,13 @@
 
 
 def _parse_requests(chunks: list[Event]) -> list[RelayedRequest]:
-    """Return the requests up to the first byte that is not HTTP."""
-    state, requests = h11.Connection(h11.SERVER), list[RelayedRequest]()
+    """Return the complete requests up to the first bytes that are not valid HTTP."""
+    parser, requests = h11.Connection(h11.SERVER), list[RelayedRequest]()
     head: h11.Request | None = None
     body = b""
     for chunk in chunks:
-        state.receive_data(base64.b64decode(chunk["data"]))
-        while (event := state.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
+        parser.receive_data(base64.b64decode(chunk["data"]))
+        while (event := parser.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
             if isinstance(event, h11.Request):
                 head, body = event, b""
             elif isinstance(event, h11.Data):
@@ -151,37 +157,37 @@
             elif isinstance(event, h11.EndOfMessage) and head is not None:
                 headers = {name.decode(): value.decode() for name, value in head.headers}
                 requests.append(RelayedRequest(head.method.decode(), head.target.decode(), headers, body, chunk["t"]))
-                # Only the requests matter here; a made-up response lets the next one follow.
-                state.send(h11.Response(status_code=200, headers=[("content-length", "0")]))
-                state.send(h11.EndOfMessage())
-                state.start_next_cycle()
+                # The parser accepts the next request only after a response to this one, so it gets a placeholder.
+                parser.send(h11.Response(status_code=200, headers=[("content-length", "0")]))
+                parser.send(h11.EndOfMessage())
+                parser.start_next_cycle()
             else:
                 return requests
     return requests
 
 
 def _parse_responses(chunks: list[Event], methods: list[str]) -> list[RelayedResponse]:
-    """Return the responses to requests of these methods."""
-    state, responses = h11.Connection(h11.CLIENT), list[RelayedResponse]()
+    """Return the responses to requests of the given methods, up to the first bytes that are not valid HTTP."""
+    parser, responses = h11.Connection(h11.CLIENT), list[RelayedResponse]()
     for chunk in chunks:
         data = base64.b64decode(chunk["data"])
-        if state.our_state is h11.IDLE and len(responses) < len(methods):
-            _send_placeholder(state, methods[len(responses)])
-        state.receive_data(data)
-        while (event := state.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
+        if parser.our_state is h11.IDLE and len(responses) < len(methods):
+            _send_placeholder(parser, methods[len(responses)])
+        parser.receive_data(data)
+        while (event := parser.next_event()) not in (h11.NEED_DATA, h11.PAUSED):
             if isinstance(event, h11.Response):
                 responses.append(RelayedResponse(event.status_code, chunk["t"]))
             elif isinstance(event, h11.EndOfMessage):
                 if len(responses) >= len(methods):
                     return responses
-                state.start_next_cycle()
-                _send_placeholder(state, methods[len(responses)])
+                parser.start_next_cycle()
+                _send_placeholder(parser, methods[len(responses)])
             elif not isinstance(event, h11.Data):
                 return responses
     return responses
 
 
-def _send_placeholder(state: h11.Connection, method: str) -> None:
-    """Tell the parser of a request, as it parses a response only after one."""
-    state.send(h11.Request(method=method, target="/", headers=[("host", "x"), ("content-length", "0")]))
-    state.send(h11.EndOfMessage())
+def _send_placeholder(parser: h11.Connection, method: str) -> None:
+    """Pass a placeholder request to the parser, which accepts a response only after a request."""
+    parser.send(h11.Request(method=method, target="/", headers=[("host", "x"), ("content-length", "0")]))
+    parser.send(h11.EndOfMessage())
--- a/onyxhead/scenarios/verdict.py
+++ b/onyxhead/scenarios/verdict.py
@@ -1,7 +1,7 @@
-"""The verdict on a scenario, from what the sockets carried; no controller and no agent is asked anything.
+"""Evaluates a scenario from the records of the test doubles only; controllers and agents are not queried.
 
-It goes by the bytes that passed the relays, endpoint lists as discovery sent them, requests as proxies sent and
-backends received them, their execution, and what clients got.
+The records hold the bytes that passed the relays, the endpoint lists that discovery served, the attempts of proxies,
+the requests that backends received and executed, and the results that clients got.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 from onyxhead.testbed.events import Event, EventKind, read_events
 
 MAX_BREACHES_SHOWN = 5
-"""How many breaches of one rule a verdict describes."""
+"""Number of breaches per rule that a verdict describes; the others are only counted."""
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """How a scenario went. Breaches of the rules are by the rule's number; times in milliseconds.
+    """The result of a scenario. `breaches_by_rule` holds the number of breaches by the rule's number.
 
-    `served_share` is the served share of the requests' utility, `max_takeover_ms` the longest time of an agent
-    without a controller, `agents_not_restored` those that kept wrong weights after a rollback.
+    `served_share` is the served share of the requests' utility, `max_takeover_ms` the longest time that an agent was
+    without a controller, `agents_not_restored` the number of agents with wrong weights after a rollback.
     """
 
     scenario: str
@@ -56,7 +56,7 @@
 
     @property
     def passed(self) -> bool:
-        """Whether no rule was broken, no reader saw a mixture, no round came twice and there were requests."""
+        """Return whether there were requests, and no breaches, torn reads, duplicate rounds or incomplete rollbacks."""
         return (
             not any(self.breaches_by_rule.values())
             and self.torn_reads == 0
@@ -66,7 +66,7 @@
         )
 
     def to_json(self) -> dict[str, Any]:
-        """Return the fields of `onyxhead trial run --json`, under its names and in its order."""
+        """Return the output of `onyxhead trial run --json`, with its field names and their order."""
         return {
             "day": self.scenario,
             "rules": self.breaches_by_rule,
@@ -90,7 +90,7 @@
 def evaluate(
     record_folder: Path, limits: RuleLimits, retry_safety: Mapping[str, RetrySafety], scenario: str, seed: int
 ) -> Verdict:
-    """Return the verdict on the records of a scenario; `retry_safety` is by traffic group."""
+    """Return the verdict on the recorded events of a scenario; `retry_safety` is by traffic group."""
     events = read_events(record_folder)
     end = events[-1]["t"] if events else 0.0
     traffic, history = parse_streams(events, end), EndpointHistory(events)
@@ -98,15 +98,15 @@
     service, rollback = measure_service(events), measure_rollback(events, traffic.rounds)
     return Verdict(
         scenario=scenario,
-        breaches_by_rule={rule: len(found) for rule, found in breaches.items()},
-        breaches=[f"rule {rule}: {text}" for rule, found in breaches.items() for text in found[:MAX_BREACHES_SHOWN]],
+        breaches_by_rule={rule: len(texts) for rule, texts in breaches.items()},
+        breaches=[f"rule {rule}: {text}" for rule, texts in breaches.items() for text in texts[:MAX_BREACHES_SHOWN]],
         duplicate_rounds=count_duplicate_rounds(traffic.rounds),
         torn_reads=_count(events, EventKind.FILE_UNREADABLE),
         swaps=_count(events, EventKind.FILE_SWAPPED),
         served_share=service.served_share,
         requests=service.requests,
         rounds=len(traffic.rounds),
-        lines=sum(each.lines for each in traffic.rounds),
+        lines=sum(delivered.lines for delivered in traffic.rounds),
         sessions=len(traffic.sessions),
         max_takeover_ms=_longest_ms(takeover_times(traffic.sessions)),
         max_withdrawal_ms=_longest_ms(withdrawal_times(traffic.rounds, traffic.sessions, history)),
