--- a/tests/programs.py
+++ b/tests/programs.py
@@ -20,12 +20,12 @@
 COMMAND = ("-m", "onyxhead.cli.main")
 NODE = ("-m", "onyxhead.node")
 ADAPTER = ("-m", "onyxhead.wirehost")
-PATIENCE = 10.0
+TIMEOUT_S = 10.0
 
 
-def until(what: Callable[[], Any]) -> Any:
+def wait_until(what: Callable[[], Any]) -> Any:
     """The first true value, asked for again and again: for what no log line and no request tells."""
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + TIMEOUT_S
     while not (found := what()):
         assert time.monotonic() < end, "not in time"
         threading.Event().wait(0.01)
@@ -39,7 +39,7 @@
         self.process = subprocess.Popen(
             [sys.executable, *words], cwd=folder, env=os.environ | variables, stderr=subprocess.PIPE, text=True
         )
-        self.lines: list[dict[str, Any]] = []
+        self.log_lines: list[dict[str, Any]] = []
         self.changed = threading.Condition()
         self.reader = threading.Thread(target=self._read, daemon=True)
         self.reader.start()
@@ -48,40 +48,40 @@
         assert self.process.stderr is not None
         for line in self.process.stderr:
             with self.changed:
-                self.lines.append(json.loads(line) if line.startswith("{") else {"event": line})
+                self.log_lines.append(json.loads(line) if line.startswith("{") else {"event": line})
                 self.changed.notify_all()
         with self.changed:
-            self.lines.append({"event": "end of log"})
+            self.log_lines.append({"event": "end of log"})
             self.changed.notify_all()
 
-    def logged(self, event: str, **fields: object) -> dict[str, Any]:
+    def wait_for_log(self, event: str, **fields: object) -> dict[str, Any]:
         """The first log line of this event with these fields, as soon as there is one."""
 
         def found() -> dict[str, Any] | None:
-            fitting = (each for each in self.lines if each["event"] == event)
+            fitting = (each for each in self.log_lines if each["event"] == event)
             return next((each for each in fitting if fields.items() <= each.items()), None)
 
         with self.changed:
-            self.changed.wait_for(lambda: found() or self.lines[-1:] == [{"event": "end of log"}], PATIENCE)
+            self.changed.wait_for(lambda: found() or self.log_lines[-1:] == [{"event": "end of log"}], TIMEOUT_S)
             line = found()
-        assert line is not None, f"no {event!r} in {self.lines}"
+        assert line is not None, f"no {event!r} in {self.log_lines}"
         return line
 
-    def repeated(self, event: str, times: int) -> None:
+    def wait_for_log_count(self, event: str, times: int) -> None:
         """Returns once the log has so many lines of this event."""
         with self.changed:
-            found = self.changed.wait_for(lambda: [e["event"] for e in self.lines].count(event) >= times, PATIENCE)
-        assert found, self.lines
+            found = self.changed.wait_for(lambda: [e["event"] for e in self.log_lines].count(event) >= times, TIMEOUT_S)
+        assert found, self.log_lines
 
-    def end(self) -> int:
+    def stop(self) -> int:
         """Asks the process to end; its exit code."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
-            return self.process.wait(PATIENCE)
+            return self.process.wait(TIMEOUT_S)
         finally:
             self.process.kill()
-            self.reader.join(PATIENCE)
+            self.reader.join(TIMEOUT_S)
 
 
 class Reply(NamedTuple):
@@ -95,13 +95,13 @@
         return json.loads(self.body)
 
 
-class Line:
+class HttpConnection:
     """One HTTP connection, for as many requests as wanted."""
 
     def __init__(self, port: int) -> None:
-        self.connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE)
+        self.connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
 
-    def ask(self, method: str, target: str, body: object = None, **headers: str) -> Reply:
+    def fetch(self, method: str, target: str, body: object = None, **headers: str) -> Reply:
         """Bytes are sent as they are, other values as JSON; header names take underscores for dashes."""
         data = body if body is None or isinstance(body, bytes) else json.dumps(body).encode()
         named = {name.replace("_", "-"): value for name, value in headers.items()}
@@ -110,11 +110,11 @@
         return Reply(response.status, {name.lower(): text for name, text in response.headers.items()}, response.read())
 
 
-def ask(port: int, method: str, target: str, body: object = None, **headers: str) -> Reply:
+def fetch(port: int, method: str, target: str, body: object = None, **headers: str) -> Reply:
     """One HTTP request on a connection of its own."""
-    line = Line(port)
+    line = HttpConnection(port)
     try:
-        return line.ask(method, target, body, **headers)
+        return line.fetch(method, target, body, **headers)
     finally:
         line.connection.close()
 
@@ -131,7 +131,7 @@
         return json.loads(self.body)
 
 
-class Peer:
+class RecordingServer:
     """An HTTP server that keeps every request and answers by `reply`, which returns status, headers and body."""
 
     def __init__(self, reply: Callable[[Request], tuple[int, dict[str, str], bytes]]) -> None:
@@ -172,14 +172,14 @@
         self.thread = threading.Thread(target=self.server.serve_forever, args=(0.02,), daemon=True)
         self.thread.start()
 
-    def asked(self, method: str, target: str, count: int = 1) -> Request:
+    def wait_for_request(self, method: str, target: str, count: int = 1) -> Request:
         """The request of this method whose target begins so, as soon as that many have come."""
 
         def found() -> list[Request]:
             return [each for each in self.requests if each.method == method and each.target.startswith(target)]
 
         with self.changed:
-            assert self.changed.wait_for(lambda: len(found()) >= count, PATIENCE), (method, target, self.requests)
+            assert self.changed.wait_for(lambda: len(found()) >= count, TIMEOUT_S), (method, target, self.requests)
             return found()[count - 1]
 
     def close(self) -> None:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -28,7 +28,7 @@
 from onyxhead.fleet.slow_start_budget import Incarnation, IncarnationLoad, SlowStartBudget
 from onyxhead.fleet.wire_format import decode_grants, encode_grants
 from onyxhead.series.time_series_store import TimeSeriesStore
-from tests.programs import COMMAND, Program, ask, until
+from tests.programs import COMMAND, Program, fetch, wait_until
 
 # The names of the code that are used here; all else is programs, files and rows.
 
@@ -153,34 +153,34 @@
     controller = Program(folder, *COMMAND, "serve", "controller.rec")
     agent: Program | None = None
     try:
-        port = controller.logged("controller started")["port"]
-        until(lambda: ask(port, "GET", "/v1/state").json()["version"] >= 5)
-        until(lambda: ask(port, "GET", "/v1/fleet").json()["budget"])
+        port = controller.wait_for_log("controller started")["port"]
+        wait_until(lambda: fetch(port, "GET", "/v1/state").json()["version"] >= 5)
+        wait_until(lambda: fetch(port, "GET", "/v1/fleet").json()["budget"])
         for target in ("state", "fleet", "orders", "tables/log", "config", "series", "series/busy.b1"):
-            made.answers[target] = ask(port, "GET", f"/v1/{target}").json()
-        made.answers["labelled"] = ask(port, "POST", "/v1/tables/show", {"version": "good"}).json()
+            made.answers[target] = fetch(port, "GET", f"/v1/{target}").json()
+        made.answers["labelled"] = fetch(port, "POST", "/v1/tables/show", {"version": "good"}).json()
         packet = {"to": "c1", "sender": "c2", "boot": "1", "kind": "ping", "number": 1, "about": "c1", "updates": []}
-        made.answers["gossip"] = ask(port, "POST", "/v1/fleet", {"packet": packet | {"version": 1}}).json()
-        made.answers["repeated"] = ask(
+        made.answers["gossip"] = fetch(port, "POST", "/v1/fleet", {"packet": packet | {"version": 1}}).json()
+        made.answers["repeated"] = fetch(
             port, "POST", "/v1/operate", {"id": "n1", "verb": "drain", "names": ["b1"]}
         ).json()
-        made.answers |= netconf(folder, controller.logged("netconf over ssh")["port"])
-        made.answers["uncordoned"] = ask(
+        made.answers |= netconf(folder, controller.wait_for_log("netconf over ssh")["port"])
+        made.answers["uncordoned"] = fetch(
             port, "POST", "/v1/operate", {"id": "n3", "verb": "uncordon", "names": ["b4"], "by": "bob"}
         ).json()
-        ask(port, "POST", "/v1/tables/label", {"version": 3, "label": "better"})
-        ask(port, "POST", "/v1/fleet/members", {"name": "c9", "member": None})
+        fetch(port, "POST", "/v1/tables/label", {"version": 3, "label": "better"})
+        fetch(port, "POST", "/v1/fleet/members", {"name": "c9", "member": None})
         (folder / "agent.rec").write_text(AGENT % port)
         agent = Program(folder, *COMMAND, "agent", "agent.rec")
-        made.answers["agent started"] = agent.logged("agent started")
-        made.answers["agent joined"] = agent.logged("controller joined")
-        agent.logged("table update applied", round=1)
+        made.answers["agent started"] = agent.wait_for_log("agent started")
+        made.answers["agent joined"] = agent.wait_for_log("controller joined")
+        agent.wait_for_log("table update applied", round=1)
         (folder / "list.tmp").write_text(LIST_9)
         (folder / "list.tmp").rename(folder / "list.json")
-        until(lambda: '"withdrawn":{"b6":true}' in (folder / "agent" / "view.json").read_text())
-        assert agent.end() == 0
-        assert controller.end() == 0
-        made.log = controller.lines
+        wait_until(lambda: '"withdrawn":{"b6":true}' in (folder / "agent" / "view.json").read_text())
+        assert agent.stop() == 0
+        assert controller.stop() == 0
+        made.log = controller.log_lines
         with sqlite3.connect(folder / "state" / "onyxhead.db") as db:
             for name, sql in db.execute("select name, sql from sqlite_master where type = 'table'").fetchall():
                 made.schema[name] = " ".join(sql[sql.index("(") + 1 : sql.rindex(")")].split())
@@ -192,7 +192,7 @@
     finally:
         for program in (agent, controller):
             if program is not None:
-                program.end()
+                program.stop()
 
 
 # The store, as it is read
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -29,7 +29,19 @@
 from onyxhead.controller.health_check import check_health
 from onyxhead.policy.decisions import AcknowledgementRequest, AdmissionLevel, LogMessage, TableAssignment
 from onyxhead.wirehost.codec import encode_decision
-from tests.programs import ADAPTER, COMMAND, NODE, PATIENCE, Line, Peer, Program, Reply, Request, ask, until
+from tests.programs import (
+    ADAPTER,
+    COMMAND,
+    NODE,
+    TIMEOUT_S,
+    HttpConnection,
+    Program,
+    RecordingServer,
+    Reply,
+    Request,
+    fetch,
+    wait_until,
+)
 from tests.test_controller_server import LoopbackRig, port_of, run_scenario, usable_ports
 
 # Functions that call the code under test directly; all other code here only starts programs and exchanges bytes.
@@ -41,7 +53,7 @@
 
 def health_check_load(port: int, path: str) -> tuple[float | None, int | None]:
     """Return the utilization and the latency, in tenths of a millisecond, that a health check of a backend reads."""
-    _, load = asyncio.run(check_health(f"127.0.0.1:{port}", path, PATIENCE))
+    _, load = asyncio.run(check_health(f"127.0.0.1:{port}", path, TIMEOUT_S))
     return tuple(load)[:2]
 
 
@@ -99,7 +111,7 @@
     def __init__(self) -> None:
         self.changed = threading.Condition()
         self.publish(1, BACKENDS)
-        self.peer = Peer(self.answer)
+        self.peer = RecordingServer(self.answer)
 
     def publish(self, version: int, backends: list[dict[str, Any]]) -> None:
         with self.changed:
@@ -118,7 +130,7 @@
     """The agent's side of a stream; it acknowledges every order as applied."""
 
     def __init__(self) -> None:
-        self.tag, self.peer = EMPTY_TAG, Peer(self.answer)
+        self.tag, self.peer = EMPTY_TAG, RecordingServer(self.answer)
 
     def answer(self, request: Request) -> tuple[int, dict[str, str], bytes]:
         self.tag = request.headers.get("onyxhead-result", self.tag)
@@ -148,27 +160,29 @@
 MEMBER_NEWS = {"proxies": {"p7": "south"}, "withdrawn": ["b3"], "list": 9, "budget": {"lacks": [], "loans": []}}
 
 
-def drive_controller(exchange: Exchange, controller: Program, discovery: Discovery, member: Peer, key: Any) -> None:
-    port, agent = int(controller.logged("controller started")["port"]), Agent()
+def drive_controller(
+    exchange: Exchange, controller: Program, discovery: Discovery, member: RecordingServer, key: Any
+) -> None:
+    port, agent = int(controller.wait_for_log("controller started")["port"]), Agent()
     try:
-        exchange.requests["first list"] = discovery.peer.asked("GET", "/")
-        exchange.requests["next list"] = discovery.peer.asked("GET", "/", 2)
-        exchange.requests["gossip"] = member.asked("POST", "/")
-        until(lambda: ask(port, "GET", "/v1/tables/log").json())
+        exchange.requests["first list"] = discovery.peer.wait_for_request("GET", "/")
+        exchange.requests["next list"] = discovery.peer.wait_for_request("GET", "/", 2)
+        exchange.requests["gossip"] = member.wait_for_request("POST", "/")
+        wait_until(lambda: fetch(port, "GET", "/v1/tables/log").json())
         join = {"zone": "north", "usual": 10.0, "standing": True, "held": {}, "push": f"127.0.0.1:{agent.peer.port}"}
         join_options = {"token": 4, "insist": False, "silence": 0.6}
-        exchange.replies["join"] = ask(port, "PUT", "/v1/proxies/p1", join | join_options)
-        exchange.requests["heartbeat"] = agent.peer.asked("HEAD", "/")
-        exchange.requests["whole view"] = agent.peer.asked("PUT", "/")
-        until(lambda: ask(port, "GET", "/v1/state").json()["proxies"]["p1"]["turn"] == 1)
+        exchange.replies["join"] = fetch(port, "PUT", "/v1/proxies/p1", join | join_options)
+        exchange.requests["heartbeat"] = agent.peer.wait_for_request("HEAD", "/")
+        exchange.requests["whole view"] = agent.peer.wait_for_request("PUT", "/")
+        wait_until(lambda: fetch(port, "GET", "/v1/state").json()["proxies"]["p1"]["turn"] == 1)
         discovery.publish(2, [BACKENDS[0], BACKENDS[1] | {"weight": 0.5}, BACKENDS[2]])
-        exchange.requests["change"] = agent.peer.asked("PATCH", "/")
-        agent.peer.asked("HEAD", "/", 2)
-        until(lambda: ask(port, "GET", "/v1/state").json()["proxies"]["p1"]["turn"] == 2)
-        exchange.replies["POST load"] = ask(port, "POST", "/v1/load/s1", load_reports())
-        until(lambda: ask(port, "GET", "/v1/load").json()["backends"])
+        exchange.requests["change"] = agent.peer.wait_for_request("PATCH", "/")
+        agent.peer.wait_for_request("HEAD", "/", 2)
+        wait_until(lambda: fetch(port, "GET", "/v1/state").json()["proxies"]["p1"]["turn"] == 2)
+        exchange.replies["POST load"] = fetch(port, "POST", "/v1/load/s1", load_reports())
+        wait_until(lambda: fetch(port, "GET", "/v1/load").json()["backends"])
         # The controller reads orders from disk, and writes them there shortly after it has sent them.
-        until(lambda: len(ask(port, "GET", "/v1/orders").json()) == 2)
+        wait_until(lambda: len(fetch(port, "GET", "/v1/orders").json()) == 2)
         controller_requests: list[tuple[str, str, Any]] = [
             ("GET", "health", None),
             ("GET", "state", None),
@@ -204,7 +218,7 @@
             ("POST", "proxies/p1/sums", {"node": {"metadata": {"boot": "x", "number": 1}}, "cluster_stats": []}),
         ]
         for method, target, body in controller_requests:
-            exchange.replies[f"{method} {target}"] = ask(port, method, f"/v1/{target}", body)
+            exchange.replies[f"{method} {target}"] = fetch(port, method, f"/v1/{target}", body)
         address = f"127.0.0.1:{port}"
         for arguments in (
             f"show {address}",
@@ -221,13 +235,13 @@
         ):
             result = CliRunner().invoke(command, [*arguments.split(), "--json"])
             exchange.command_results[arguments.replace(address, "ADDRESS")] = result.exit_code, result.output
-        exchange.netconf_messages = asyncio.run(netconf(int(controller.logged("netconf over ssh")["port"]), key))
+        exchange.netconf_messages = asyncio.run(netconf(int(controller.wait_for_log("netconf over ssh")["port"]), key))
         faults = 0
-        while (reply := ask(port, "PUT", "/v1/proxies/p9", join)).status == 200:
+        while (reply := fetch(port, "PUT", "/v1/proxies/p9", join)).status == 200:
             faults += 1
-            controller.repeated("stream rejected by agent", faults)
+            controller.wait_for_log_count("stream rejected by agent", faults)
         exchange.replies["PUT too soon"] = reply
-        exchange.replies["handover"] = ask(port, "POST", "/v1/fleet/handover", {})
+        exchange.replies["handover"] = fetch(port, "POST", "/v1/fleet/handover", {})
     finally:
         agent.peer.close()
 
@@ -255,7 +269,7 @@
     The session lasts until the reply to the last request and the notification of the drain's order have arrived.
     """
     connection = await asyncssh.connect("127.0.0.1", port, username="op", client_keys=[key], known_hosts=None)
-    async with connection, asyncio.timeout(PATIENCE):
+    async with connection, asyncio.timeout(TIMEOUT_S):
         process = await connection.create_process(subsystem="netconf", encoding=None)
         process.stdin.write(b"".join(message.encode() + b"]]>]]>" for message in NETCONF_REQUESTS))
         received: list[str] = []
@@ -316,7 +330,7 @@
 
     def __init__(self) -> None:
         self.joins = 0
-        self.peer = Peer(self.answer)
+        self.peer = RecordingServer(self.answer)
 
     def answer(self, request: Request) -> tuple[int, dict[str, str], bytes]:
         if request.method != "PUT":
@@ -329,30 +343,30 @@
         return 200, {}, b'{"stream": "c1.abc", "token": 7, "controller": "c1", "report_every": 0.05}'
 
 
-def drive_agent(exchange: Exchange, agent: Program, controller: AnsweringController, folder: Path) -> Line:
+def drive_agent(exchange: Exchange, agent: Program, controller: AnsweringController, folder: Path) -> HttpConnection:
     """Exchange everything except the load report and return the open stream.
 
     The agent sends the load report a second after its start, and the stream must stay open until then.
     """
-    port = int(agent.logged("agent started")["port"])
+    port = int(agent.wait_for_log("agent started")["port"])
     for number in (1, 2, 3):
-        exchange.requests[f"join {number}"] = controller.peer.asked("PUT", "/", number)
-    agent.logged("controller joined")
-    stream = Line(port)
+        exchange.requests[f"join {number}"] = controller.peer.wait_for_request("PUT", "/", number)
+    agent.wait_for_log("controller joined")
+    stream = HttpConnection(port)
 
     def read_files() -> dict[str, str]:
         return {path.name: path.read_text() for path in sorted((folder / "files").iterdir())}
 
-    exchange.replies["heartbeat"] = stream.ask("HEAD", "/v1/view", **STREAM_HEADERS)
+    exchange.replies["heartbeat"] = stream.fetch("HEAD", "/v1/view", **STREAM_HEADERS)
     exchange.files["standing"] = read_files()
-    exchange.replies["whole"] = stream.ask("PUT", "/v1/view", WHOLE_VIEW, **PUT_HEADERS)
+    exchange.replies["whole"] = stream.fetch("PUT", "/v1/view", WHOLE_VIEW, **PUT_HEADERS)
     exchange.files["whole"] = read_files()
     for case, headers in REFUSED_HEADERS.items():
-        exchange.replies[case] = stream.ask("PATCH", "/v1/view", VIEW_PATCH, **(PATCH_HEADERS | headers))
-    exchange.replies["change"] = stream.ask("PATCH", "/v1/view", VIEW_PATCH, **PATCH_HEADERS)
+        exchange.replies[case] = stream.fetch("PATCH", "/v1/view", VIEW_PATCH, **(PATCH_HEADERS | headers))
+    exchange.replies["change"] = stream.fetch("PATCH", "/v1/view", VIEW_PATCH, **PATCH_HEADERS)
     exchange.files["change"] = read_files()
     for target in ("health", "state", "view", "nothing"):
-        exchange.replies[f"GET {target}"] = ask(port, "GET", f"/v1/{target}")
+        exchange.replies[f"GET {target}"] = fetch(port, "GET", f"/v1/{target}")
     result = CliRunner().invoke(command, ["show", f"127.0.0.1:{port}", "--json"])
     exchange.command_results["show"] = result.exit_code, result.output
     return stream
@@ -362,8 +376,11 @@
 def exchanges(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[Exchange, Exchange]]:
     """Run a controller and an agent with simulated peers, and return what each exchanged with its peers."""
     folder, controller_exchange, agent_exchange = tmp_path_factory.mktemp("wire"), Exchange(), Exchange()
-    discovery, member = Discovery(), Peer(lambda _: (200, {}, b'{"packets": []}'))
-    answering_controller, stats = AnsweringController(), Peer(lambda _: (200, {}, json.dumps(PROXY_STATS).encode()))
+    discovery, member = Discovery(), RecordingServer(lambda _: (200, {}, b'{"packets": []}'))
+    answering_controller, stats = (
+        AnsweringController(),
+        RecordingServer(lambda _: (200, {}, json.dumps(PROXY_STATS).encode())),
+    )
     key = asyncssh.generate_private_key("ssh-ed25519")
     asyncssh.generate_private_key("ecdsa-sha2-nistp256").write_private_key(folder / "host")
     public = key.export_public_key("openssh").decode().strip()
@@ -376,14 +393,14 @@
     try:
         stream = drive_agent(agent_exchange, agent, answering_controller, folder)
         drive_controller(controller_exchange, controller, discovery, member, key)
-        agent_exchange.requests["stats"] = stats.asked("GET", "/")
-        agent_exchange.requests["load report"] = answering_controller.peer.asked("POST", "/")
+        agent_exchange.requests["stats"] = stats.wait_for_request("GET", "/")
+        agent_exchange.requests["load report"] = answering_controller.peer.wait_for_request("POST", "/")
         stream.connection.close()
-        assert [program.end() for program in programs] == [0, 0]
+        assert [program.stop() for program in programs] == [0, 0]
         yield controller_exchange, agent_exchange
     finally:
         for program in programs:
-            program.end()
+            program.stop()
         for peer in (discovery.peer, member, answering_controller.peer, stats):
             peer.close()
 
@@ -1204,7 +1221,7 @@
     ],
 )
 def test_a_health_check_reads_the_load_report_of_its_answer(header: str) -> None:
-    backend = Peer(lambda _: (200, {"endpoint-load-metrics": header}, b""))
+    backend = RecordingServer(lambda _: (200, {"endpoint-load-metrics": header}, b""))
     try:
         assert health_check_load(backend.port, "/health") == (0.5, 200)
         (request,) = backend.requests
@@ -1223,7 +1240,7 @@
         running.extra_settings = "intake: {every: 5ms, series: false}\nreport_every: 50ms\n"
         daemon = await running.controller()
         await running.agent("p1", port_of(daemon))
-        await asyncio.to_thread(until, lambda: usable_ports(tmp_path, "p1") == {9001, 9002, 9003})
+        await asyncio.to_thread(wait_until, lambda: usable_ports(tmp_path, "p1") == {9001, 9002, 9003})
         endpoint = {
             "address": {"socket_address": {"address": "127.0.0.1", "port_value": 9002}},
             "total_successful_requests": "80",
@@ -1236,15 +1253,15 @@
             "upstream_locality_stats": [{"upstream_endpoint_stats": [endpoint]}],
         }
         sums = {"node": {"metadata": {"boot": "x", "number": 1}}, "cluster_stats": [cluster]}
-        await asyncio.to_thread(ask, port_of(daemon), "POST", "/v1/load/s1", load_reports())
-        await asyncio.to_thread(until, lambda: "busy.b2" in series_names(daemon))
-        await asyncio.to_thread(ask, port_of(daemon), "POST", "/v1/proxies/p1/sums", sums)
+        await asyncio.to_thread(fetch, port_of(daemon), "POST", "/v1/load/s1", load_reports())
+        await asyncio.to_thread(wait_until, lambda: "busy.b2" in series_names(daemon))
+        await asyncio.to_thread(fetch, port_of(daemon), "POST", "/v1/proxies/p1/sums", sums)
 
         def all_series_exist() -> bool:
             names.update(series_names(daemon))
             return len(names) >= 8
 
-        await asyncio.to_thread(until, all_series_exist)
+        await asyncio.to_thread(wait_until, all_series_exist)
 
     run_scenario(tmp_path, work)
     assert names == {
@@ -1327,7 +1344,7 @@
             answer = {"revision": 8, "complete": False, "members": []}
         return 200, {}, json.dumps(answer).encode()
 
-    discovery = Peer(servers)
+    discovery = RecordingServer(servers)
     with socket.create_server(("127.0.0.1", 0)) as free:
         port = free.getsockname()[1]
     listen_address, discovery_address = f"127.0.0.1:{port}", f"127.0.0.1:{discovery.port}"
@@ -1348,8 +1365,8 @@
         BALANCER_CONFIG="config.json",
     )
     try:
-        node.logged("endpoint list updated", revision=7)
-        with socket.create_connection(("127.0.0.1", port), PATIENCE) as proxy:
+        node.wait_for_log("endpoint list updated", revision=7)
+        with socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as proxy:
             read = proxy.makefile("rb").read
             proxy.sendall(b"*1\r\n$2\r\nhb\r\n")
             assert read(15) == b"*1\r\n$5\r\nhb_ok\r\n"
@@ -1368,15 +1385,15 @@
             drained.set()
             withdrawal = b"*5\r\n$6\r\nassign\r\n$4\r\ndrop\r\n$3\r\ns-0\r\n$5\r\nstamp\r\n$1\r\n2\r\n"
             assert read(len(withdrawal)) == withdrawal
-        with socket.create_connection(("127.0.0.1", port), PATIENCE) as collector:
+        with socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as collector:
             collector.sendall(b"*3\r\n$9\r\ntelemetry\r\n$4\r\nzone\r\n$2\r\nzz\r\n")
             assert collector.makefile("rb").read() == (
                 b"*3\r\n$6\r\nreject\r\n$3\r\nwhy\r\n$35\r\ntelemetry: zone 'zz' does not exist\r\n"
             )
         assert [each.target for each in discovery.requests[:2]] == ["/v1/servers", "/v1/servers?index=7&wait=4000"]
-        assert node.end() == 0
+        assert node.stop() == 0
     finally:
-        node.end()
+        node.stop()
         discovery.close()
 
 
@@ -1427,7 +1444,12 @@
         for index, (_, lines, _) in enumerate(ADAPTER_TRANSCRIPT)
     ]
     result = subprocess.run(
-        [sys.executable, *ADAPTER], input="".join(batches), capture_output=True, text=True, check=True, timeout=PATIENCE
+        [sys.executable, *ADAPTER],
+        input="".join(batches),
+        capture_output=True,
+        text=True,
+        check=True,
+        timeout=TIMEOUT_S,
     )
     return result.stdout.split("END\n")
 
