--- a/tests/programs.py
+++ b/tests/programs.py
@@ -1,6 +1,8 @@
-"""Runs the installed programs as processes, and talks to them as another program would.
+"""Runs onyxhead's programs as processes and talks to them over their interfaces only.
 
-Nothing of the code under test is imported here: the tests that use this module see settings files, bytes and disk."""
+This module imports none of the code under test, so its users depend only on settings files, network traffic and
+stored files.
+"""
 
 from __future__ import annotations
 
@@ -23,21 +25,21 @@
 TIMEOUT_S = 10.0
 
 
-def wait_until(what: Callable[[], Any]) -> Any:
-    """The first true value, asked for again and again: for what no log line and no request tells."""
-    end = time.monotonic() + TIMEOUT_S
-    while not (found := what()):
-        assert time.monotonic() < end, "not in time"
+def wait_until(condition: Callable[[], Any]) -> Any:
+    """Poll a condition until its value is true, and return the value; for states that no log line or request shows."""
+    deadline = time.monotonic() + TIMEOUT_S
+    while not (value := condition()):
+        assert time.monotonic() < deadline, f"the condition was still {value!r} after {TIMEOUT_S} s"
         threading.Event().wait(0.01)
-    return found
+    return value
 
 
 class Program:
-    """One process. Its log (one JSON object a line on standard error) tells when something has happened."""
+    """A running program. A thread collects its log, one JSON object per line on standard error."""
 
-    def __init__(self, folder: Path, *words: str, **variables: str) -> None:
+    def __init__(self, folder: Path, *arguments: str, **environment: str) -> None:
         self.process = subprocess.Popen(
-            [sys.executable, *words], cwd=folder, env=os.environ | variables, stderr=subprocess.PIPE, text=True
+            [sys.executable, *arguments], cwd=folder, env=os.environ | environment, stderr=subprocess.PIPE, text=True
         )
         self.log_lines: list[dict[str, Any]] = []
         self.changed = threading.Condition()
@@ -55,26 +57,28 @@
             self.changed.notify_all()
 
     def wait_for_log(self, event: str, **fields: object) -> dict[str, Any]:
-        """The first log line of this event with these fields, as soon as there is one."""
+        """Wait for a log line of this event with these fields, and return the first one."""
 
-        def found() -> dict[str, Any] | None:
-            fitting = (each for each in self.log_lines if each["event"] == event)
-            return next((each for each in fitting if fields.items() <= each.items()), None)
+        def first_match() -> dict[str, Any] | None:
+            of_event = (line for line in self.log_lines if line["event"] == event)
+            return next((line for line in of_event if fields.items() <= line.items()), None)
 
         with self.changed:
-            self.changed.wait_for(lambda: found() or self.log_lines[-1:] == [{"event": "end of log"}], TIMEOUT_S)
-            line = found()
-        assert line is not None, f"no {event!r} in {self.log_lines}"
-        return line
+            self.changed.wait_for(lambda: first_match() or self.log_lines[-1:] == [{"event": "end of log"}], TIMEOUT_S)
+            match = first_match()
+        assert match is not None, f"no {event!r} with {fields} in {self.log_lines}"
+        return match
 
-    def wait_for_log_count(self, event: str, times: int) -> None:
-        """Returns once the log has so many lines of this event."""
+    def wait_for_log_count(self, event: str, count: int) -> None:
+        """Wait until the log has at least that many lines of this event."""
         with self.changed:
-            found = self.changed.wait_for(lambda: [e["event"] for e in self.log_lines].count(event) >= times, TIMEOUT_S)
-        assert found, self.log_lines
+            in_time = self.changed.wait_for(
+                lambda: [line["event"] for line in self.log_lines].count(event) >= count, TIMEOUT_S
+            )
+        assert in_time, self.log_lines
 
     def stop(self) -> int:
-        """Asks the process to end; its exit code."""
+        """Send SIGTERM to the process unless it has ended; return its exit code."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
@@ -85,7 +89,7 @@
 
 
 class Reply(NamedTuple):
-    """Header names in lower case."""
+    """An HTTP response, with header names in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -96,31 +100,34 @@
 
 
 class HttpConnection:
-    """One HTTP connection, for as many requests as wanted."""
+    """An HTTP connection that stays open for several requests."""
 
     def __init__(self, port: int) -> None:
         self.connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
 
     def fetch(self, method: str, target: str, body: object = None, **headers: str) -> Reply:
-        """Bytes are sent as they are, other values as JSON; header names take underscores for dashes."""
-        data = body if body is None or isinstance(body, bytes) else json.dumps(body).encode()
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
-        self.connection.request(method, target, data, named)
+        """Send a request and return its response.
+
+        A body of bytes is sent unchanged, any other value as JSON. Underscores in header names stand for dashes.
+        """
+        payload = body if body is None or isinstance(body, bytes) else json.dumps(body).encode()
+        sent_headers = {name.replace("_", "-"): value for name, value in headers.items()}
+        self.connection.request(method, target, payload, sent_headers)
         response = self.connection.getresponse()
         return Reply(response.status, {name.lower(): text for name, text in response.headers.items()}, response.read())
 
 
 def fetch(port: int, method: str, target: str, body: object = None, **headers: str) -> Reply:
-    """One HTTP request on a connection of its own."""
-    line = HttpConnection(port)
+    """Send one HTTP request on a new connection and return its response."""
+    connection = HttpConnection(port)
     try:
-        return line.fetch(method, target, body, **headers)
+        return connection.fetch(method, target, body, **headers)
     finally:
-        line.connection.close()
+        connection.connection.close()
 
 
 class Request(NamedTuple):
-    """What a peer was asked; header names as they were sent."""
+    """An HTTP request that a server received, with header names as they were sent."""
 
     method: str
     target: str
@@ -132,12 +139,12 @@
 
 
 class RecordingServer:
-    """An HTTP server that keeps every request and answers by `reply`, which returns status, headers and body."""
+    """An HTTP server that records all requests. `reply` returns the status, headers and body of each response."""
 
     def __init__(self, reply: Callable[[Request], tuple[int, dict[str, str], bytes]]) -> None:
         self.requests: list[Request] = []
         self.changed = threading.Condition()
-        peer = self
+        recorder = self
 
         class Handler(BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
@@ -145,27 +152,27 @@
             def answer(self) -> None:
                 body = self.rfile.read(int(self.headers.get("content-length", 0)))
                 request = Request(self.command, self.path, dict(self.headers.items()), body)
-                with peer.changed:
-                    peer.requests.append(request)
-                    peer.changed.notify_all()
-                status, headers, out = reply(request)
+                with recorder.changed:
+                    recorder.requests.append(request)
+                    recorder.changed.notify_all()
+                status, headers, response_body = reply(request)
                 self.send_response(status)
-                for name, value in {**headers, "content-length": str(len(out))}.items():
+                for name, value in {**headers, "content-length": str(len(response_body))}.items():
                     self.send_header(name, value)
                 self.end_headers()
                 if self.command != "HEAD":
-                    self.wfile.write(out)
+                    self.wfile.write(response_body)
 
             do_GET = do_HEAD = do_POST = do_PUT = do_PATCH = answer  # noqa: N815  the names that http.server calls
 
             def log_message(self, *_: object) -> None:
-                """Nothing is written."""
+                """Suppress the access log."""
 
         class Server(ThreadingHTTPServer):
             daemon_threads = True
 
             def handle_error(self, *_: object) -> None:
-                """A client that has gone meanwhile wants no answer."""
+                """Ignore errors of connections that clients closed before the response."""
 
         self.server = Server(("127.0.0.1", 0), Handler)
         self.port = int(self.server.server_address[1])
@@ -173,14 +180,16 @@
         self.thread.start()
 
     def wait_for_request(self, method: str, target: str, count: int = 1) -> Request:
-        """The request of this method whose target begins so, as soon as that many have come."""
+        """Wait for `count` requests of the method whose targets start with `target`, and return the last of them."""
 
-        def found() -> list[Request]:
-            return [each for each in self.requests if each.method == method and each.target.startswith(target)]
+        def matches() -> list[Request]:
+            return [
+                request for request in self.requests if request.method == method and request.target.startswith(target)
+            ]
 
         with self.changed:
-            assert self.changed.wait_for(lambda: len(found()) >= count, TIMEOUT_S), (method, target, self.requests)
-            return found()[count - 1]
+            assert self.changed.wait_for(lambda: len(matches()) >= count, TIMEOUT_S), (method, target, self.requests)
+            return matches()[count - 1]
 
     def close(self) -> None:
         self.server.shutdown()
