--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Evaluation of recorded scenarios: planted faults are found; live scenarios on loopback keep the rules."""
+"""The evaluation finds the breaches in made-up records; live scenarios on loopback keep the rules."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def list_served(t: float, state: str = "ready") -> Event:
-    """Discovery serves a list of two backends, the first in a state."""
+    """Return the event of discovery serving a list of two backends; `state` is that of the first."""
     backends = [
         {"id": "b1", "address": "127.0.0.1:1", "state": state, "started": 0.0},
         {"id": "b2", "address": "127.0.0.1:2", "state": "ready", "started": 0.0},
@@ -39,12 +39,12 @@
 
 
 def bytes_relayed(t: float, way: str, text: str) -> Event:
-    """Text passes the stream's relay, forward or back."""
+    """Return the event of the stream's relay passing a text forward (`>`) or back (`<`)."""
     return {"t": t, "what": "carried", "link": 1, "way": way, "data": base64.b64encode(text.encode()).decode()}
 
 
 def exchange(t: float, method: str = "HEAD", order: str = "", body: str = "", token: int = 1) -> list[Event]:
-    """A request on the stream to the agent and its response."""
+    """Return the events of a request on the stream to the agent, and of its response."""
     headers = f"onyxhead-token: {token}\r\nonyxhead-order: {order}\r\ncontent-length: {len(body)}\r\n" if order else ""
     request = f"{method} /v1/view HTTP/1.1\r\nhost: x\r\nonyxhead-stream: c0.s\r\n{headers}\r\n{body}"
     response = 'HTTP/1.1 200 OK\r\netag: "x"\r\ncontent-length: 0\r\n\r\n'
@@ -52,7 +52,7 @@
 
 
 def scenario_events(*events: Event) -> list[Event]:
-    """A scenario in which one agent joins and one request is served, and the given events happen."""
+    """Return the events of a scenario in which an agent joins and a request is served, with the given ones added."""
     opened = {"t": 1.0, "what": "open", "link": 1, "of": "", "to": "p1"}
     started = {"t": 1.5, "what": "asked", "flow": "f", "group": "g", "utility": 2.0}
     finished = {"t": 1.6, "what": "ended", "flow": "f", "status": 200, "took": 0.1, "good": True}
@@ -61,7 +61,7 @@
 
 
 def evaluate_events(folder: Path, *events: Event) -> Verdict:
-    """The verdict on a scenario with the given events, whose record ends with a line written in part."""
+    """Return the verdict on a scenario with the given events; the last line of its record is incomplete."""
     folder.mkdir(exist_ok=True)
     lines = map(json.dumps, scenario_events(*events))
     (folder / "all.jsonl").write_text("\n".join(lines) + '\n{"t": 3, "torn')
@@ -69,21 +69,22 @@
 
 
 def proxy_event(t: float, what: str, port: int = 0) -> Event:
+    """Return an event of the proxy `p1` and the traffic group `g`."""
     return {"t": t, "what": what, "proxy": "p1", "group": "g", "to": f"127.0.0.1:{port}", "flow": f"x{t}", "attempt": 0}
 
 
 def attempt_sent(t: float, port: int) -> Event:
-    """The proxy sends an attempt to a backend."""
+    """Return the event of the proxy sending an attempt to the backend at a port."""
     return proxy_event(t, "sent", port)
 
 
 def no_endpoint(t: float) -> Event:
-    """The proxy has no endpoint for a request."""
+    """Return the event of the proxy having no endpoint for a request."""
     return proxy_event(t, "bare")
 
 
 def request_executed(backend: str, group: str = "g", attempt: str = "0") -> Event:
-    """A backend executes an attempt of the one request."""
+    """Return the event of a backend executing an attempt of the request."""
     return {"t": 5.0, "what": "effect", "flow": "f", "attempt": attempt, "group": group, "backend": backend}
 
 
@@ -131,7 +132,7 @@
         "sent after the session ended",
     ],
 )
-def test_what_the_rules_allow_is_no_breach(tmp_path: Path, events: list[Event]) -> None:
+def test_events_that_the_rules_allow_are_no_breach(tmp_path: Path, events: list[Event]) -> None:
     verdict = evaluate_events(tmp_path, *events)
     assert verdict.passed and verdict.served_share == 1.0 and verdict.sessions == 1
 
@@ -144,7 +145,7 @@
     assert not evaluate(tmp_path, LIMITS, RETRY_SAFETY, scenario="none", seed=1).passed
 
 
-def test_every_fault_that_the_operators_named_has_actions() -> None:
+def test_every_fault_that_operators_named_has_actions() -> None:
     assert set(NAMED_FAULTS.split()) <= set(FAULTS) and all(schedule(name, 1, 20.0) for name in FAULTS)
 
 
@@ -154,17 +155,17 @@
 
 
 def test_a_round_that_an_agent_took_twice_is_counted(tmp_path: Path) -> None:
-    again = exchange(7.0, "PATCH", "turn=1, lines=60, at=20000", "{}")
-    assert evaluate_events(tmp_path, *FIRST_ROUND, *again).duplicate_rounds == 1
+    repeated_round = exchange(7.0, "PATCH", "turn=1, lines=60, at=20000", "{}")
+    assert evaluate_events(tmp_path, *FIRST_ROUND, *repeated_round).duplicate_rounds == 1
 
 
 def test_a_round_of_an_older_fencing_token_is_counted(tmp_path: Path) -> None:
-    older = exchange(8.0, "PATCH", "turn=9, lines=1, at=70000", "{}", token=0)
-    assert evaluate_events(tmp_path, *FIRST_ROUND, *older).duplicate_rounds == 1
+    older_round = exchange(8.0, "PATCH", "turn=9, lines=1, at=70000", "{}", token=0)
+    assert evaluate_events(tmp_path, *FIRST_ROUND, *older_round).duplicate_rounds == 1
 
 
 def weight_round(agent: str, at: float, weight: int | None, snapshot: bool = False) -> DeliveredRound:
-    """A round that an agent accepts, with a weight for one backend; None takes its line away."""
+    """Return a round that an agent accepted, with the weight of one backend; None removes the backend's line."""
     line = None if weight is None else {"address": "127.0.0.1:1", "weight": weight, "zone": "north"}
     document = {"tables": {"t0": {"lines": {"b1": line}}}}
     return DeliveredRound("c0", agent, at, at, at, 200, 9, snapshot, document, "s", 1)
@@ -174,22 +175,25 @@
     {"t": 5.0, "what": "wrong", "backends": ["b1"]},
     {"t": 7.0, "what": "undo", "controller": "c0", "version": 3, "done": True},
 ]
-SPOILED = [weight_round("p0", 1.0, 1_000_000, snapshot=True), weight_round("p0", 5.5, 20_000)]
-RESTORED = [*SPOILED, weight_round("p0", 7.4, 900_000)]
+WRONG_WEIGHT_ROUNDS = [weight_round("p0", 1.0, 1_000_000, snapshot=True), weight_round("p0", 5.5, 20_000)]
+RESTORED_WEIGHT_ROUNDS = [*WRONG_WEIGHT_ROUNDS, weight_round("p0", 7.4, 900_000)]
 
 
 def test_a_rollback_is_measured_until_the_last_agent_is_restored() -> None:
-    assert measure_rollback(WRONG_WEIGHTS, RESTORED) == (pytest.approx(0.4), 0)
+    assert measure_rollback(WRONG_WEIGHTS, RESTORED_WEIGHT_ROUNDS) == (pytest.approx(0.4), 0)
 
 
 def test_an_agent_that_keeps_or_regains_wrong_weights_is_counted() -> None:
-    assert measure_rollback(WRONG_WEIGHTS, SPOILED).agents_not_restored == 1
-    spoiled_again = [*RESTORED, weight_round("p0", 9.0, 20_000)]
-    assert measure_rollback(WRONG_WEIGHTS, spoiled_again).agents_not_restored == 1
+    assert measure_rollback(WRONG_WEIGHTS, WRONG_WEIGHT_ROUNDS).agents_not_restored == 1
+    wrong_again = [*RESTORED_WEIGHT_ROUNDS, weight_round("p0", 9.0, 20_000)]
+    assert measure_rollback(WRONG_WEIGHTS, wrong_again).agents_not_restored == 1
 
 
 def test_an_agent_whose_backend_left_has_no_wrong_weights() -> None:
-    assert measure_rollback(WRONG_WEIGHTS, [*SPOILED, weight_round("p0", 7.2, None)]) == (pytest.approx(0.2), 0)
+    assert measure_rollback(WRONG_WEIGHTS, [*WRONG_WEIGHT_ROUNDS, weight_round("p0", 7.2, None)]) == (
+        pytest.approx(0.2),
+        0,
+    )
 
 
 def test_an_agent_that_never_had_wrong_weights_is_not_measured() -> None:
