--- a/onyxhead/scenarios/faults.py
+++ b/onyxhead/scenarios/faults.py
@@ -33,9 +33,9 @@
 MAX_BURST_S = 6.0
 MAX_NODE_DOWNTIME_S = 2.0
 DISCOVERY_DELAY_S = 1.5
-"""How long discovery takes to notice that backends crashed."""
+"""Time until discovery notices that backends have crashed."""
 DRAIN_TIME_S = 3.0
-"""How long a deploy leaves a backend listed as draining before the backend is killed."""
+"""Time for which a deploy lists a backend as draining before the backend is killed."""
 DEPLOY_BATCHES, DEPLOY_BATCH_SIZE = 4, 2
 WRONG_WEIGHT = 0.02
 ROLLBACK_DELAY_S, ROLLBACK_HOLD_S = 2.5, 600.0
--- a/onyxhead/scenarios/fleet.py
+++ b/onyxhead/scenarios/fleet.py
@@ -33,7 +33,7 @@
 from onyxhead.testbed.ports import free_ports
 
 STARTUP_TIME_S = 1.5
-"""How long controllers and agents have to start and join before the clients start."""
+"""Time that controllers and agents have to start and join before the clients start."""
 INITIAL_BACKENDS = 3
 SPARE_PORTS = 200
 """Ports reserved for the backends, including those that a scenario adds later."""
@@ -162,7 +162,7 @@
             self._add_link(proxy.name, proxy.zone, controller.name, controller.zone, controller.port)
             for controller in by_preference
         ]
-        # All controllers connect to the agent through one relay, which learns the controller from each stream's header.
+        # All controllers reach the agent through one relay, which learns the controller from each stream's headers.
         advertised_port = self._add_link("", "", proxy.name, proxy.zone, proxy.agent_port)
         initial_entries = self.random.sample(list(self.backends.entries.values()), INITIAL_BACKENDS)
         settings = agent_settings(proxy, self.size, advertised_port, controller_ports, initial_entries)
--- a/onyxhead/scenarios/measures.py
+++ b/onyxhead/scenarios/measures.py
@@ -16,7 +16,7 @@
 WRONG_WEIGHT_LIMIT = FULL_WEIGHT / 10
 """A line with a weight below this limit shows a wrong weight that the scenario published."""
 MIN_REST_OF_SESSION_S = 2.0
-"""A withdrawal is measured only in sessions that lasted at least this long after its beginning."""
+"""A withdrawal is measured only in sessions that go on for at least this long after the backend's removal."""
 
 
 class RollbackResult(NamedTuple):
@@ -49,7 +49,7 @@
 
 
 def takeover_times(sessions: list[Session]) -> list[float]:
-    """Return the seconds that agents were without a controller, for each two consecutive sessions of an agent."""
+    """Return the seconds without a controller between each two consecutive sessions of an agent, for all agents."""
     times = []
     for agent in sorted({session.agent for session in sessions}):
         own_sessions = sorted(
--- a/onyxhead/scenarios/rules.py
+++ b/onyxhead/scenarios/rules.py
@@ -30,7 +30,7 @@
 def find_unserved_groups(
     events: list[Event], sessions: list[Session], history: EndpointHistory, limits: RuleLimits
 ) -> list[str]:
-    """Check rule 1: a joined proxy has an endpoint for each traffic group, except for less than the limit.
+    """Check rule 1: no joined proxy lacks an endpoint for a traffic group for longer than the limit.
 
     The rule applies only while the controller knows a ready backend that has completed its warm-up.
     """
--- a/onyxhead/scenarios/runner.py
+++ b/onyxhead/scenarios/runner.py
@@ -24,7 +24,7 @@
 from onyxhead.scenarios.verdict import Verdict, evaluate
 
 LAST_REQUESTS_S = 2.5
-"""How long the last requests have to end after the clients have stopped sending new ones."""
+"""Time that the last requests have to finish after the clients have stopped sending new ones."""
 MEMORY_FOLDER = "/dev/shm"
 RULE_LIMITS = RuleLimits(
     drain_grace=DRAIN_GRACE_S,
--- a/onyxhead/testbed/backend.py
+++ b/onyxhead/testbed/backend.py
@@ -24,7 +24,7 @@
 
 
 class SimulatedBackend(SimulatedProcess[BackendParameters, BackendFaults]):
-    """Executes requests on its cores and answers health checks at once; most responses carry a load report."""
+    """Executes requests on its cores and answers health checks at once; all responses carry a load report."""
 
     def __init__(self, parameters: BackendParameters) -> None:
         super().__init__(parameters, BackendFaults())
--- a/onyxhead/testbed/client.py
+++ b/onyxhead/testbed/client.py
@@ -21,9 +21,9 @@
 FIRST_BACKOFF_S = 0.1
 MIN_ATTEMPT_TIMEOUT_S = 0.05
 PROXY_AVOIDANCE_S = 1.0
-"""How long the load balancer avoids a proxy after a failure."""
+"""Time for which the load balancer avoids a proxy after a failure."""
 FAILURES_IGNORED_S = 2.0
-"""How long the load balancer ignores further failures of a proxy after it has stopped avoiding the proxy."""
+"""Time after such a period in which the load balancer ignores further failures of the proxy."""
 
 
 class ClientRequest(NamedTuple):
@@ -78,7 +78,9 @@
         return group
 
     async def send_request(self, number: int) -> None:
-        """Send one request and record its outcome. Failed attempts are retried until the request expires.
+        """Send one request and record its outcome.
+
+        A failed attempt is retried up to `retries` times, until the request expires.
 
         A request that is not idempotent is retried only after status 503.
         """
--- a/onyxhead/testbed/process.py
+++ b/onyxhead/testbed/process.py
@@ -18,7 +18,7 @@
 
 MAX_LINE_BYTES = 16 * 1024 * 1024
 FOREVER_S = 3600.0
-"""How long a request that gets no answer is held; every scenario is shorter."""
+"""Time for which a request that gets no answer is held; longer than any scenario."""
 
 ParametersT = TypeVar("ParametersT", bound=Parameters)
 FaultsT = TypeVar("FaultsT", bound=Faults)
