--- a/tests/programs.py
+++ b/tests/programs.py
@@ -26,7 +26,7 @@
 
 
 def wait_until(condition: Callable[[], Any]) -> Any:
-    """Poll a condition until its value is true, and return the value; for states that no log line or request shows."""
+    """Poll a condition until its value is true, and return the value; for states that no log line or recorded request shows."""
     deadline = time.monotonic() + TIMEOUT_S
     while not (value := condition()):
         assert time.monotonic() < deadline, f"the condition was still {value!r} after {TIMEOUT_S} s"
