--- a/onyxhead/policy/admission.py
+++ b/onyxhead/policy/admission.py
@@ -18,28 +18,30 @@
 
 #: The rate of an admission level that limits nothing, in requests a second at each proxy.
 UNLIMITED_RATE = 1e6
-#: No traffic group is admitted to less than this fraction.
+#: The lowest fraction of its requests to which a traffic group is limited.
 MIN_LEVEL = 0.2
-#: The level recorded as sent for a group that is fully admitted while its rate at each proxy is limited. Being below 1,
-#: it differs from an unlimited level.
+#: The level recorded as sent for a group that is fully admitted but has a rate limit at each proxy. It is below 1, so
+#: that it differs from an unlimited level and the beginning and the end of the limit are sent.
 RATE_BOUND_LEVEL = 0.99
-#: While requests are rejected, the actual request rate may be this many times the reported one.
+#: While requests are rejected, the actual request rate is assumed to be up to this many times the reported one.
 UNREPORTED_BURST = 1.25
 #: A cut multiplies the target rate by this factor.
 CUT_FACTOR = 0.8
 #: No cut takes the target below this fraction of the rate served before. Reports are late, so a further cut would
 #: mostly react to overload that the previous cut has already ended.
 MIN_CUT_FACTOR = 0.7
-#: Fraction of the baseline rate that is admitted at least while only some responses are late.
+#: While only some responses are late, at least this fraction of the baseline rate is admitted.
 MIN_BASELINE_FRACTION = 0.9
-#: Decay factor per period of the highest served rate.
+#: In each period, the remembered peak of the served rate decays by this factor.
 SERVED_RATE_DECAY = 0.995
-#: Factors by which the target rises: by attempt statistics, and by health checks, which show a recovery sooner.
+#: Factors by which the target rate rises in one step. The second one applies when health checks measure the loss, since
+#: they show a recovery sooner.
 RECOVERY_FACTOR = 1.2
 FAST_RECOVERY_FACTOR = 2
-#: Loss to late responses above which health checks cut the target.
+#: If health checks show a greater loss of utility to late responses than this, the target rate is cut.
 HEALTH_CHECK_CUT_LOSS = OVERLOAD_LOSS / 4
-#: Loss to late responses above which requests are limited to the capacity, and below which the target rises.
+#: With a greater loss of utility to late responses than this, requests are limited to the capacity of the backends.
+#: With a smaller one, the target rate rises if attempt statistics measure the loss.
 LATE_LOSS = OVERLOAD_LOSS / 2
 #: A group whose tables have at least this fraction of the total capacity counts as able to use all of it.
 WHOLE_CAPACITY_FRACTION = 0.99
@@ -58,9 +60,10 @@
         self.admitted_fraction = 1.0
         #: The requests a second to admit, 0 for no limit.
         self.target_rate = 0.0
-        #: The fraction of utility lost to late responses, by health checks if `uses_health_checks`, else by attempts.
+        #: The fraction of utility lost to late responses, measured by health checks if `uses_health_checks` is set
+        #: and otherwise by attempt statistics.
         self.late_fraction = 0.0
-        #: Whether most backends report their response time in health checks.
+        #: Set if most backends report their response time in health checks.
         self.uses_health_checks = False
         self._mode = deployment.admission_mode
         self._utility = utility
@@ -95,7 +98,7 @@
     ) -> None:
         """Cut or raise the target rate according to response times of health checks.
 
-        In a burst, attempt statistics arrive too late. `failure_fraction` and `late_fraction` come from these.
+        In a burst, attempt statistics arrive too late. `failure_fraction` and `late_fraction` are from such statistics.
         """
         losses = sorted(self._utility.late_fraction(b.response_time) for b in ready if b.response_time)
         self.uses_health_checks = 2 * len(losses) > len(ready)
@@ -158,7 +161,7 @@
         """Yield the levels that changed and reserve room for them, as far as they fit into the channel."""
         if self._mode is AdmissionMode.DISABLED:
             return
-        # In rate mode, also a fully admitted group has a rate limit while other groups are limited.
+        # In rate mode, while any group is limited, the fully admitted groups have a rate limit as well.
         bounded = self.admitted_fraction < 1 and self._mode is AdmissionMode.RATE
         max_level = RATE_BOUND_LEVEL if bounded else 1.0
         for table in tables:
@@ -183,7 +186,7 @@
         return self._rate_limit(group, proxies)
 
     def _rate_limit(self, group: int, proxies: ProxyRegistry) -> float:
-        """Return the rate limit at each proxy with which the proxies together admit the group's fraction of requests.
+        """Return the rate limit at each proxy that makes all proxies together admit the group's fraction of requests.
 
         A fully admitted group is limited to its reported rate as well, since a burst is reported seconds late.
         """
@@ -209,5 +212,5 @@
     if group.retry_safety is RetrySafety.IDEMPOTENT:
         return deployment.default_retry_mode
     if deployment.safety.rejection_may_have_effect:
-        return 0  # a rejected request may have run, so a retry could run it a second time
+        return 0  # a rejected request may have run already, and a retry could run it again
     return min(1, deployment.default_retry_mode)
--- a/onyxhead/policy/attempt_statistics.py
+++ b/onyxhead/policy/attempt_statistics.py
@@ -53,7 +53,7 @@
         self._period = period
         self._period_began = now
         self._current = AttemptStatistics()
-        #: Attempts a second; each period counts half as much as the next one.
+        #: The average number of attempts a second, in which each period counts half as much as the one after it.
         self.attempt_rate = 0.0
         self.failure_fraction = 0.0
         #: Follows `failure_fraction` upwards at once, and downwards slowly.
--- a/onyxhead/policy/balancer.py
+++ b/onyxhead/policy/balancer.py
@@ -137,7 +137,7 @@
         self.proxies.update_request_rate(proxy, group, requests, window)
 
     def on_budget_share(self, now: int, backend: str, share: float) -> None:
-        """Set the fraction of a warming backend's bearable load that this controller may use."""
+        """Set the fraction that this controller may use of the load that a warming backend can bear."""
         target = self.endpoints.by_id.get(backend)
         if target is not None:
             target.budget_share = share
--- a/onyxhead/policy/capacity.py
+++ b/onyxhead/policy/capacity.py
@@ -1,4 +1,4 @@
-"""Estimates the request rate that each backend can serve, from request costs measured there and at its whole kind.
+"""Estimates the request rate that each backend can serve, from the cost of requests at it and at its kind of machine.
 
 All functions take the ready backends. The cost of a request is the utilization that one request a second causes.
 """
@@ -11,7 +11,8 @@
 from onyxhead.policy.slow_start import SlowStart
 from onyxhead.policy.tables import Table
 
-#: The cost measured at a backend's whole kind counts as much as this many reports of the backend at the average rate.
+#: In the estimate of a backend's cost, the cost measured at its whole kind counts as much as this many reports of the
+#: backend itself at the average request rate.
 KIND_REPORT_WEIGHT = 3.0
 #: A backend whose expected utilization exceeds this gets less weight, before its responses become late.
 MAX_UTILIZATION = 0.6
@@ -62,7 +63,7 @@
 
 
 def _estimate_costs(ready: Sequence[Backend], rate_per_weight: dict[int, float]) -> dict[str, float]:
-    """Return the cost of a request at each backend, or nothing while the backends get no requests."""
+    """Return the cost of a request by backend; the result is empty while the backends get no requests."""
     prior = KIND_REPORT_WEIGHT * sum(backend.request_rate(rate_per_weight) for backend in ready) / max(1, len(ready))
     if not prior:
         return {}
--- a/onyxhead/policy/channel_budget.py
+++ b/onyxhead/policy/channel_budget.py
@@ -13,13 +13,14 @@
 from onyxhead.policy.proxies import Proxy, ProxyRegistry
 from onyxhead.time_units import TICKS_PER_SECOND
 
-#: Fraction of the queue limit that withdrawals may fill; the rest is for lines that the estimate of their cost misses.
+#: Fraction of the queue limit that withdrawals may fill. The rest is a reserve, as they may cost more than estimated.
 WITHDRAWAL_QUEUE_FRACTION = 0.9
-#: Fraction of the queue limit for full tables that a safety rule requires; withdrawals must still fit.
+#: Fraction of the queue limit that full tables required by a safety rule may fill; it leaves room for withdrawals.
 URGENT_TABLE_QUEUE_FRACTION = 0.7
-#: Fraction of the queue limit for other full tables.
+#: Fraction of the queue limit that other full tables may fill.
 TABLE_QUEUE_FRACTION = 0.5
-#: Fraction of the queue limit for changes of lines and levels; more would delay the next withdrawal in a slow channel.
+#: Fraction of the queue limit that changes of lines and levels may fill; more would delay the next withdrawal in a slow
+#: channel.
 CHANGE_QUEUE_FRACTION = 0.45
 #: The channel may be this many times slower than configured; an acknowledgement that takes longer counts as lost.
 MAX_SLOWDOWN = 50
--- a/onyxhead/policy/endpoints.py
+++ b/onyxhead/policy/endpoints.py
@@ -33,9 +33,9 @@
     started_at: int = 0
     ready: bool = False
     departed: bool = False
-    #: When its departure takes effect, which may be in the future; None while no departure is scheduled.
+    #: The time at which its departure takes effect, which may be in the future; None while no departure is scheduled.
     departed_at: int | None = None
-    #: When its withdrawal was last sent, 0 while the backend is not withdrawn.
+    #: The time at which its withdrawal was last sent, 0 while the backend is not withdrawn.
     withdrawn_at: int = 0
 
     #: Weights of its lines as last sent, by table. Code reads this default dictionary through `[]`, which adds missing
@@ -45,9 +45,9 @@
     changed_in_round: dict[int, int] = field(default_factory=dict)
 
     next_health_check: int = 0
-    #: Whether its last health check timed out.
+    #: Set if its last health check timed out.
     timed_out: bool = False
-    #: Whether its last health check timed out or got an error.
+    #: Set if its last health check timed out or got an error.
     health_check_failed: bool = False
     #: The number of consecutive health checks that got no connection.
     unreachable_count: int = 0
@@ -56,11 +56,11 @@
     health_weight: float = field(init=False)
     #: Weight factor that limits its load to what it can bear while it warms up.
     warmup_limit: float = field(init=False)
-    #: Weight factor for a response time above the median of its kind.
+    #: Weight factor that is below 1 if its response time is above the median of its kind.
     speed_weight: float = field(init=False)
     #: Weight factors that limit its expected utilization, by table.
     capacity_weights: dict[int, float] = field(init=False)
-    #: The fraction of its bearable load while it warms up that this controller may use, as the controllers agreed.
+    #: While it warms up, this controller may use this fraction of the load that it can bear, as the controllers agreed.
     budget_share: float = field(init=False)
     #: The load that it would get without `warmup_limit`, as a multiple of what it can bear.
     unlimited_load: float = field(init=False)
@@ -70,7 +70,7 @@
     rate_sum: float = field(init=False)
     #: The latest response time that it reported, or None.
     response_time: int | None = field(init=False)
-    #: The moving average of its response times since it is warm, 0 before the first.
+    #: The moving average of the response times that it reported since it became warm, 0 before the first.
     mean_response_time: float = field(init=False)
 
     #: Its attempts; the weight of earlier ones halves each period.
--- a/onyxhead/policy/line_weights.py
+++ b/onyxhead/policy/line_weights.py
@@ -39,7 +39,7 @@
         return backend.weight * warmup * backend.warmup_limit * health * reachability * backend.speed_weight
 
     def all_unsent(self, backend: Backend, tables: Sequence[Table], now: int) -> bool:
-        """Return whether in all these tables the line sent differs significantly from the weight it should have."""
+        """Return whether, in each of these tables, the weight last sent differs significantly from the wanted one."""
         return all(is_significant(self.weight(backend, table, now), backend.lines[table.number]) for table in tables)
 
 
--- a/onyxhead/policy/proxies.py
+++ b/onyxhead/policy/proxies.py
@@ -16,14 +16,14 @@
     zone: int
     #: The usual request rate, as stated when the proxy joined.
     baseline_rate: float
-    #: Whether the proxy had only the table that it was started with when it joined.
+    #: Set if the proxy, when it joined, had only the table that it was started with.
     has_standing_table: bool
     joined_at: int
     #: The subset that the proxy belongs to (see `subsetting`).
     subset: int
     #: The measured request rate, by traffic group.
     rates: list[float]
-    #: Whether the proxy has been assigned its tables.
+    #: Set once the proxy has been assigned its tables.
     has_tables: bool = False
     #: The times of the messages written to the proxy within the current message window.
     message_times: deque[int] = field(default_factory=deque)
--- a/onyxhead/policy/slow_start.py
+++ b/onyxhead/policy/slow_start.py
@@ -14,7 +14,7 @@
 
 
 class SlowStart:
-    """The course of a warm-up under the deployment's safety limits."""
+    """Computes the progress of warm-ups under the deployment's safety limits."""
 
     def __init__(self, limits: SafetyLimits) -> None:
         self.warmup_time = limits.warmup_time
@@ -27,6 +27,6 @@
 
 
 def ramp_fraction(warmup_fraction: float, age: int) -> float:
-    """Return the fraction of its weight, in whole steps, that a warming backend of this age in ticks gets."""
+    """Return the fraction of its weight, in whole steps, that a warming backend gets; `age` is in ticks."""
     steps = math.floor(warmup_fraction * RAMP_STEPS) if age >= TICKS_PER_SECOND else 1
     return max(1, steps) / RAMP_STEPS
--- a/onyxhead/policy/subsetting.py
+++ b/onyxhead/policy/subsetting.py
@@ -29,7 +29,7 @@
     def __init__(self, deployment: Deployment, feedback_delay: int, slow_start: SlowStart, now: int) -> None:
         #: The number of subsets.
         self.count = 1
-        #: Whether the current subsets are due to a shortage of connections.
+        #: Set if the current subsets are due to a shortage of connections.
         self.connection_limited = False
         self._base_tables = create_base_tables(deployment)
         #: The tables of all subsets; those split from the same base table follow each other.
--- a/onyxhead/policy/table_assignment.py
+++ b/onyxhead/policy/table_assignment.py
@@ -57,7 +57,7 @@
                 continue
             cost = self._cost(tables)
             if repeats_pending and len(waiting) * cost > self._channel.lines_within(self._drain_grace) / 2:
-                return  # withdrawals must be repeated first, and full tables for all these proxies would delay them
+                return  # withdrawals must be repeated first; full tables for the waiting proxies would delay them
             waited_long = now - proxy.joined_at > self._withdrawals.gather_time
             urgent = (old_tables_unsafe and waited_long) or not proxy.assigned_tables <= usable
             if not self._fits(now, proxy, cost, urgent):
--- a/onyxhead/policy/table_changes.py
+++ b/onyxhead/policy/table_changes.py
@@ -51,7 +51,7 @@
         self._weights = weights
 
     def send_changes(self, now: int, rates: RequestRates) -> Iterator[Withdrawal | TableChange]:
-        """Yield as many changes as fit, with the end of the withdrawal of returning backends, and reserve room."""
+        """Yield as many changes as fit and reserve room for them; for a returning backend, also end its withdrawal."""
         if self._must_wait(now):
             return
         receivers = self._proxies.with_tables()
--- a/onyxhead/policy/warmup_limits.py
+++ b/onyxhead/policy/warmup_limits.py
@@ -15,10 +15,10 @@
 
 #: A warming backend may get this fraction of the load that makes it fail; the rest allows for chance and late reports.
 OVERLOAD_MARGIN = 0.5
-#: If proxies eject backends after n failures, the bearable load is divided by 1 + this / n, since the newest backend,
-#: which has not failed yet, gets the load of the ejected ones.
+#: If proxies eject a backend after n failures in a row, the bearable load is divided by 1 + this number / n, because
+#: the newest backend, which has not failed yet, gets the load of the ejected ones.
 EJECTION_FAILURE_SCALE = 6
-#: The fraction of failed attempts from which the effect of ejection counts fully.
+#: The effect of ejection counts fully once at least this fraction of attempts fails.
 FULL_EJECTION_FAILURES = 0.1
 #: The smallest fraction of backends assumed to remain when proxies eject the failing ones.
 MIN_REMAINING_FRACTION = 0.2
--- a/onyxhead/policy/withdrawals.py
+++ b/onyxhead/policy/withdrawals.py
@@ -31,7 +31,7 @@
     ) -> None:
         #: The time for which withdrawals may gather, in ticks.
         self.gather_time = drain_grace // GATHER_DIVISOR
-        #: Whether the current round asks all proxies for an acknowledgement of its withdrawals.
+        #: Set if the current round asks all proxies for an acknowledgement of its withdrawals.
         self.notifies_all = False
         self._channel = channel
         self._endpoints = endpoints
