--- a/onyxhead/controller/configuration/commit_plan.py
+++ b/onyxhead/controller/configuration/commit_plan.py
@@ -19,7 +19,7 @@
 
 
 class BackendFacts(NamedTuple):
-    """A backend as discovery lists it now. `warm` tells whether it has run for at least the warm-up time."""
+    """A backend as discovery lists it now. `warm` is set if it has run for at least the warm-up time."""
 
     id: str
     zone: str
@@ -30,7 +30,8 @@
 class FleetFacts(NamedTuple):
     """The state of the fleet on which the plan of a commit depends.
 
-    `proxies` is the number of joined proxies. `message_overhead` is the cost of a message beyond its lines, in lines.
+    `proxies` is the number of joined proxies. `message_overhead` is the cost of a message without its lines,
+    counted in lines.
     """
 
     backends: tuple[BackendFacts, ...]
@@ -42,7 +43,7 @@
 class CommitPlan(NamedTuple):
     """The effects of a commit: the backends that it drains or restores, and those whose weights it changes.
 
-    `restarts_policy` tells whether the policy restarts, after which all proxies join again. `channel_time_s` is the
+    `restarts_policy` is set if the policy restarts, after which all proxies join again. `channel_time_s` is the
     time for which the messages that the commit causes occupy the channel.
     """
 
--- a/onyxhead/controller/configuration/datastores.py
+++ b/onyxhead/controller/configuration/datastores.py
@@ -175,7 +175,7 @@
         return self._rollback(user)
 
     def expire_commit(self, now: float) -> Commit | None:
-        """Return a commit that rolls back the unconfirmed one if its deadline has passed, else None."""
+        """Return a commit that rolls back the unconfirmed one, or None if its deadline has not passed."""
         return (
             self._rollback("(time-out)") if self.last_commit.confirm_by and now >= self.last_commit.confirm_by else None
         )
--- a/onyxhead/controller/configuration/views.py
+++ b/onyxhead/controller/configuration/views.py
@@ -113,7 +113,7 @@
 
 
 def settings_text(tree: Tree, prefixes: dict[str, str]) -> str:
-    """Return the tree as text in the settings language, to be used in the controller's file for these fields."""
+    """Return the tree as text in the settings language, to replace these fields in the controller's settings file."""
     channel, guards = tree.get("channel", {}), tree.get("guards", {})
     groups = {}
     for group in tree["group"]:
--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -46,7 +46,7 @@
 CANARY_GRACE_INTERVALS = 2
 """Report intervals to skip after a canary starts: their statistics include attempts made with the earlier lines."""
 
-# Names of counters as `/v1/state` shows them.
+# Names of the counters in `/v1/state`.
 JOINS, LEAVES, FAULTS = "joins", "breaks", "faults"
 UNKNOWN_PROXY_STATISTICS, REPEATED_STATISTICS = "sums of strangers", "sums repeated"
 REJECTED_BY_LIMIT = "refused by the limit"
@@ -139,7 +139,7 @@
             self.policy.on_endpoint_update(now, WatchEvent.DELTA, removed)
 
     def current_endpoints(self, now: int) -> CurrentEndpoints:
-        """Return the ready backends, each with the tick of its start (0 if unknown), or None while it is warming up."""
+        """Return the ready backends: a warm one with the tick of its start (0 if unknown), a warming one with None."""
         warmup_time = self.deployment.safety.warmup_time
         warm_since: dict[str, int | None] = {}
         for name, endpoint in self.endpoints.items():
@@ -157,7 +157,7 @@
     def proxy_number(self, name: str) -> int:
         """Return the proxy's number and assign the next one to an unknown proxy.
 
-        Raises OverflowError if no number is left.
+        Raise OverflowError if no number is left.
         """
         if name not in self.proxy_numbers:
             number = max(self.proxy_numbers.values(), default=-1) + 1
@@ -200,8 +200,8 @@
     def on_acknowledgement(self, now: int, proxy: int, message: ProxyUpdate, etag: str, queued_at: int) -> None:
         """Process a proxy's acknowledgement of a message.
 
-        `etag` is that of the view which the proxy now holds. If it is not the view that the message leads to, the
-        proxy is disconnected.
+        `etag` identifies the view that the proxy now holds. If the message should have led to another view, the proxy
+        is disconnected.
         """
         if proxy not in self.joined:
             return
@@ -225,7 +225,7 @@
     def on_request_statistics(self, now: int, name: str, boot: str, number: int, report: RequestStatistics) -> bool:
         """Add the report that a proxy's agent sent as `number` since its start `boot`.
 
-        Returns False and adds nothing if the report is a duplicate or the proxy has not joined here.
+        Return False and adds nothing if the report is a duplicate or the proxy has not joined here.
         """
         proxy = self.proxy_numbers.get(name)
         if proxy is None or proxy not in self.joined:
@@ -245,7 +245,7 @@
     def update_budget_shares(self, now: int, budget: SlowStartBudget) -> list[BudgetGrant]:
         """Grant unused slow-start budget to other controllers and set the policy's shares; return the new grants.
 
-        Raises the error of a failed write of the grants; the policy's shares are then unchanged.
+        Raise the error of a failed write of the grants; the policy's shares are then unchanged.
         """
         warming = self.policy.warming_backends(now)
         budget.on_loads(
@@ -283,7 +283,7 @@
     def _run_round(self, now: int) -> None:
         decisions = list(self.policy.decisions(now))
         round_number = self._collect_effects(now, decisions)
-        # Decisions are applied to the tables even while no proxy has joined: the first one to join gets their lines.
+        # Decisions are applied to the tables even if no proxy has joined, so that the first one to join gets the lines.
         reached = set()
         for message in self.proxy_tables.apply_decisions(round_number, decisions):
             reached.add(message.proxy)
@@ -300,7 +300,7 @@
     def _collect_effects(self, now: int, decisions: Iterable[Decision]) -> int:
         """Add the effects of decisions that are not sent to proxies.
 
-        Returns the number of the round, or 0 if the round requests no acknowledgement.
+        Return the number of the round, or 0 if the round requests no acknowledgement.
         """
         round_number, effects = 0, self.effects
         for decision in decisions:
@@ -319,7 +319,7 @@
         return round_number
 
     def _reconcile_tables(self, now: int) -> None:
-        """Send the lines that differ from their target because of a current or an ended pin or canary."""
+        """Send the lines that differ from their target because tables are or were held at a version."""
         self.versions.updated_at = now
         if (outcome := self.versions.conclude_canary(now)) is not None:
             self.effects.log_messages.append(outcome)
--- a/onyxhead/controller/core_host.py
+++ b/onyxhead/controller/core_host.py
@@ -1,4 +1,4 @@
-"""What all parts of a running controller share: the current core, the clock and the decision loop's wake-up."""
+"""The objects that all parts of a controller share: the current core, the clock and the decision loop's wake-up."""
 
 from __future__ import annotations
 
--- a/onyxhead/controller/delivery_queue.py
+++ b/onyxhead/controller/delivery_queue.py
@@ -22,8 +22,8 @@
 class QueuedMessage(NamedTuple, Generic[Message]):
     """A message for one proxy, with the lines that it counts for.
 
-    `queued_at` is when it was enqueued, `waiting_since` when it came to its present place: the queue or the proxy's
-    stream.
+    `queued_at` is the time at which it was enqueued. `waiting_since` is the time at which it came to its present place,
+    the queue or the proxy's stream.
     """
 
     proxy: int
@@ -67,7 +67,7 @@
     def enqueue(self, now: int, proxy: int, message: Message, lines: float) -> None:
         """Queue a message.
 
-        Raises QueueFullError if a limit would be exceeded, and KeyError for a proxy that has not joined.
+        Raise QueueFullError if a limit would be exceeded, and KeyError for a proxy that has not joined.
         """
         times = self.enqueue_times[proxy]
         while times and times[0] <= now - self.limits.message_window:
@@ -115,5 +115,5 @@
         return min(times, default=None)
 
     def _head_due_at(self) -> float:
-        """Return when the first queued message is due: when its lines have taken their time on the free channel."""
+        """Return when the first queued message is due: as soon as the free channel has had time to carry its lines."""
         return self.channel_free_at + self.queue[0].lines * TICKS_PER_SECOND / self.limits.lines_per_second
--- a/onyxhead/controller/discovery_watch.py
+++ b/onyxhead/controller/discovery_watch.py
@@ -43,7 +43,7 @@
         return self.follower.last.version if self.follower.last is not None else None
 
     def restore(self, document: bytes, received_at: float) -> EndpointUpdate:
-        """Start from a stored list and pass it to the core. Raises InvalidEndpointListError."""
+        """Start from a stored list and pass it to the core. Raise InvalidEndpointListError."""
         self.endpoint_list = parse_endpoint_list(document)
         update = self.follower.restore(self._apply_overlay(self.endpoint_list))
         self.host.core.on_endpoint_update(self.host.now(), update)
--- a/onyxhead/controller/endpoint_list.py
+++ b/onyxhead/controller/endpoint_list.py
@@ -48,7 +48,7 @@
 def parse_endpoint_list(body: bytes) -> EndpointList:
     """Return the list in a document.
 
-    Raises InvalidEndpointListError if the document is incomplete, malformed or lists a backend or an address twice.
+    Raise InvalidEndpointListError if the document is incomplete, malformed or lists a backend or an address twice.
     """
     try:
         document = json.loads(body)
@@ -132,7 +132,7 @@
     def update(self, endpoint_list: EndpointList) -> EndpointUpdate | None:
         """Return the change that a new list makes, or None if it equals the last one.
 
-        Raises InvalidEndpointListError if the list is older than the last one, or empty while the last one was not.
+        Raise InvalidEndpointListError if the list is older than the last one, or empty while the last one was not.
         """
         self._check(endpoint_list)
         if self.last == endpoint_list:
--- a/onyxhead/controller/endpoint_overlay.py
+++ b/onyxhead/controller/endpoint_overlay.py
@@ -22,8 +22,8 @@
     ) -> EndpointList:
         """Return discovery's list with the configuration and the overrides applied.
 
-        `last` is the previous result and `endpoints` are the policy's endpoints of it. They tell which backends serve
-        now: a cordon does not drain these.
+        `last` is the previous result, and `endpoints` are the policy's endpoints for it. They tell which backends serve
+        now, since a cordon does not drain these.
         """
         configured = with_configured_backends(endpoint_list, self.tree)
         in_use = last.entries if last is not None else ()
--- a/onyxhead/controller/fleet_state.py
+++ b/onyxhead/controller/fleet_state.py
@@ -36,8 +36,8 @@
             for member, member_settings in settings.members.items()
         }
         self.coordinator = OwnershipCoordinator(_membership(name, settings, now), members, now, settings.settle_time)
-        # After an earlier incarnation on the same disk, no stored grants means that none were made. On an empty disk,
-        # grants of an earlier incarnation may have been lost, so they are unknown.
+        # If an earlier incarnation used this disk and no grants are stored, none were made. On an empty disk, grants of
+        # an earlier incarnation may have been lost, so they are unknown.
         grants = store.get(BUDGET_GRANTS) or ([] if host.core.epoch > 1 else None)
         self.budget = SlowStartBudget(
             name,
--- a/onyxhead/controller/ingest_worker.py
+++ b/onyxhead/controller/ingest_worker.py
@@ -33,7 +33,7 @@
 """The header of each frame: the length of its body in bytes."""
 MAX_BODY_BYTES = 256 * 1024
 MAX_SLICE_S = 0.1
-"""The budget of one slice is at most what accumulates in this time."""
+"""A slice may use at most the budget that accumulates in this time."""
 KEY_CHECK_FRAMES = 50
 """Number of frames between two checks of the key files."""
 AGENT_ROLE = "agent"
@@ -82,7 +82,7 @@
     def decode_slice(self) -> WorkerFrame:
         """Decode as many queued reports as the budget allows now, and return them as one frame."""
         now = self.clock.now()
-        # A slice may exceed the credit and leave it negative. Nothing is decoded until the budget has made up for that.
+        # A slice may use more than the credit and leave it negative. Nothing is decoded until it is positive again.
         earned = self.budget * (now - self.credited_at) / TICKS_PER_SECOND
         self.credit = min(MAX_SLICE_S * self.budget, self.credit + earned)
         self.credited_at = now
--- a/onyxhead/controller/join_handler.py
+++ b/onyxhead/controller/join_handler.py
@@ -41,7 +41,7 @@
     fencing_token: Any
     heartbeat_s: float
     insists: bool
-    """Whether the proxy wants to join this controller even if another one should serve it."""
+    """Set if the proxy wants to join this controller even if another one should serve it."""
 
 
 class JoinHandler:
@@ -97,7 +97,7 @@
 
 
 def _parse(name: str, request: Request) -> ParsedJoin:
-    """Parse a join request. Raises ValueError, KeyError, TypeError and MalformedViewError."""
+    """Parse a join request. Raise ValueError, KeyError, TypeError and MalformedViewError."""
     body = request.json()
     view = View.from_document(body["held"])
     proxy = JoinRequest(name, body["zone"], float(body["usual"]), bool(body["standing"]), view)
--- a/onyxhead/controller/load_stats.py
+++ b/onyxhead/controller/load_stats.py
@@ -23,7 +23,7 @@
 def parse_load_stats(document: Any) -> RequestStatistics:  # noqa: ANN401  decoded JSON
     """Return the statistics in a load report. Metrics whose value is not a valid number are ignored.
 
-    Raises InvalidStatisticsError.
+    Raise InvalidStatisticsError.
     """
     backends: dict[str, BackendStatistics] = {}
     request_counts: dict[str, RequestCount] = {}
--- a/onyxhead/controller/log_events.py
+++ b/onyxhead/controller/log_events.py
@@ -1,4 +1,4 @@
-"""Names of the controller's log events, collected so that operators can search the log for them."""
+"""Names of the controller's log events, by which operators search the log."""
 
 from __future__ import annotations
 
--- a/onyxhead/controller/table_versions.py
+++ b/onyxhead/controller/table_versions.py
@@ -62,7 +62,7 @@
         self.last_revision = 0
         self.updated_at = now
         self.reconcile_pending = False
-        """Whether lines may still differ from their target because tables were held."""
+        """Set while lines may still differ from their target because tables were held."""
         # The latest stored version describes what an earlier incarnation sent, and proxies may hold other tables now.
         # This incarnation has sent nothing yet, so it starts with a version without lines.
         if history.latest.lines:
@@ -92,9 +92,9 @@
     # Rollback and freeze
 
     def preview_rollback(self, now: int, name: str) -> RollbackPreview:
-        """Return what a rollback to a version would do, without changing anything.
+        """Return the plan of a rollback to a version, without changing anything.
 
-        Raises RollbackRejectedError and UnknownVersionError.
+        Raise RollbackRejectedError and UnknownVersionError.
         """
         plan = plan_rollback(
             self.history.find(name), self.tables.desired, self.tables.sent_lines(), self.current_endpoints(now)
@@ -107,7 +107,7 @@
     def roll_back(self, now: int, name: str, seconds: float) -> RollbackPreview:
         """Hold all tables as they are in a version for a number of seconds.
 
-        Raises RollbackRejectedError and UnknownVersionError.
+        Raise RollbackRejectedError and UnknownVersionError.
         """
         preview = self.preview_rollback(now, name)
         self._set_pin(_pin_version(self.history.find(name), now, seconds))
@@ -115,14 +115,14 @@
         return preview
 
     def freeze(self, now: int, seconds: float) -> int:
-        """Hold all tables as they are now for a number of seconds. Returns the number of their version."""
+        """Hold all tables as they are now for a number of seconds. Return the number of their version."""
         version = self.history.latest._replace(created_at=now)
         self._set_pin(_pin_version(version, now, seconds))
         self.on_cause(f"held as in version {version.number}")
         return version.number
 
     def release(self, reason: str) -> bool:
-        """Stop holding the tables. Returns False if they were not held.
+        """Stop holding the tables. Return False if they were not held.
 
         The lines then follow the policy again, as fast as the channel's capacity allows.
         """
@@ -150,7 +150,7 @@
         If attempts at these proxies fail more often than at the others, the version is withdrawn. If enough attempts
         show that it is no worse, it is held at all proxies for the same time again.
 
-        Raises RollbackRejectedError and UnknownVersionError.
+        Raise RollbackRejectedError and UnknownVersionError.
         """
         if self.canary is not None:
             raise RollbackRejectedError(f"version {self.canary.version} is on trial already")
@@ -167,7 +167,7 @@
         return plan, canary
 
     def cancel_canary(self) -> bool:
-        """End the canary without a verdict. Returns False if there was none."""
+        """End the canary without a verdict. Return False if there was none."""
         cancelled, self.canary = self.canary is not None, None
         self.tables.end_canary()
         return cancelled
@@ -175,7 +175,7 @@
     def conclude_canary(self, now: int) -> str | None:
         """End the canary if its proxies fail too often or its time is over.
 
-        A version that proved no worse is then held at all proxies. Returns the outcome as a text for operators, or None
+        A version that proved no worse is then held at all proxies. Return the outcome as a text for operators, or None
         while the canary goes on or if there is none.
         """
         canary = self.canary
@@ -205,7 +205,7 @@
 
     @property
     def reconciling(self) -> bool:
-        """Whether lines may differ from their target, so that they have to be reconciled."""
+        """Return whether lines may differ from their target, so that they have to be reconciled."""
         return self.pin is not None or self.canary is not None or self.reconcile_pending
 
     def on_reconciled(self, now: int) -> None:
--- a/onyxhead/controller/version_requests.py
+++ b/onyxhead/controller/version_requests.py
@@ -28,11 +28,11 @@
     save_labels: Callable[[dict[str, int]], None]
 
     def version(self, name: str = "version") -> Version:
-        """Return the version that an argument names. Raises UnknownVersionError and KeyError."""
+        """Return the version that an argument names. Raise UnknownVersionError and KeyError."""
         return self.versions.history.find(str(self.arguments[name]))
 
     def hold_s(self) -> float:
-        """Return for how many seconds to hold the tables. Raises ValueError."""
+        """Return for how many seconds to hold the tables. Raise ValueError."""
         hold = float(self.arguments.get("seconds", DEFAULT_HOLD_S))
         if not 0 < hold <= MAX_HOLD_S:
             raise ValueError(f"seconds must be above 0 and at most {MAX_HOLD_S:.0f}")
@@ -48,7 +48,7 @@
 ) -> Any:  # noqa: ANN401  JSON
     """Return the answer to a request.
 
-    Raises UnknownVersionError and RollbackRejectedError; ValueError, KeyError and TypeError for malformed arguments.
+    Raise UnknownVersionError and RollbackRejectedError; ValueError, KeyError and TypeError for malformed arguments.
     """
     if (handler := HANDLERS.get(verb)) is None:
         raise ValueError(f"unknown request {verb!r}")
