--- a/onyxhead/controller/fleet_transport.py
+++ b/onyxhead/controller/fleet_transport.py
@@ -31,7 +31,7 @@
 FLEET_PATH = "/v1/fleet"
 BUDGET_INTERVAL = TICKS_PER_SECOND // 4
 WITHDRAWAL_GRACES = 10
-"""Age limit, in drain graces, of members' reports from which withdrawals are taken over."""
+"""Withdrawals are taken over only from members' reports younger than this many drain graces."""
 MAX_LOGGED_ERRORS = 100
 """Number of different packet errors that are logged, each once."""
 
--- a/onyxhead/controller/join_handler.py
+++ b/onyxhead/controller/join_handler.py
@@ -21,7 +21,7 @@
 
 MAX_HEARTBEAT_S, MIN_HEARTBEAT_S = 1.0, 0.05
 HEARTBEATS_PER_SILENCE = 3
-"""Heartbeats that are sent within the silence after which the agent gives a stream up."""
+"""Number of heartbeats sent within the time of silence after which an agent gives up its stream."""
 MAX_BASELINE_RATE = 1e9
 STREAM_TOKEN_BYTES = 8
 
--- a/onyxhead/controller/recovery.py
+++ b/onyxhead/controller/recovery.py
@@ -19,7 +19,7 @@
 MIN_RESTORED_AGE_S = 60.0
 """Withdrawals up to this age are always restored."""
 RESTORED_DRAIN_GRACES = 10
-"""Older withdrawals are restored up to this many drain graces; after that no proxy holds the backend any more."""
+"""Older withdrawals are restored up to an age of this many drain graces. After that, no proxy holds the backend."""
 
 log = structlog.get_logger()
 
--- a/onyxhead/policy/attempt_statistics.py
+++ b/onyxhead/policy/attempt_statistics.py
@@ -46,7 +46,7 @@
 
 
 class FleetStatistics:
-    """Figures of the attempts at all backends in the last complete period."""
+    """Figures of the attempts at all backends, as of the end of the last complete period."""
 
     def __init__(self, utility: UtilityModel, period: int, now: int) -> None:
         self._utility = utility
--- a/onyxhead/policy/health_checks.py
+++ b/onyxhead/policy/health_checks.py
@@ -11,7 +11,8 @@
 from onyxhead.policy.slow_start import SlowStart
 from onyxhead.time_units import TICKS_PER_SECOND
 
-#: Interval between health checks of one backend. Each check costs work, and half the interval would add only noise.
+#: Interval between health checks of a backend; it is halved for one that reports its response time. Each check costs
+#: work, and for other backends half the interval would add only noise.
 HEALTH_CHECK_INTERVAL_TICKS = 2 * TICKS_PER_SECOND
 #: Decay factor of a backend's mean response time at each further health check.
 RESPONSE_TIME_DECAY = 0.9
@@ -23,7 +24,7 @@
     """Yield a request for each backend whose health check is due, and schedule its next one."""
     for backend in ready:
         if backend.next_health_check <= now:
-            # Backends that report their response time are checked twice per interval, since each report adds precision.
+            # A backend that reports its response time is checked twice per interval, since each report adds precision.
             divisor = 2 if backend.response_time else 1
             backend.next_health_check = now + HEALTH_CHECK_INTERVAL_TICKS // divisor
             yield HealthCheckRequest(backend.id)
--- a/onyxhead/policy/subsetting.py
+++ b/onyxhead/policy/subsetting.py
@@ -50,7 +50,7 @@
         return [table for table in self.tables if table.serves(proxy)]
 
     def least_busy_subset(self, proxies: Collection[Proxy]) -> int:
-        """Return the subset for a proxy that joins: the one with the lowest baseline rate."""
+        """Return the subset for a proxy that joins: the one whose proxies have the lowest baseline rate."""
         rates = [0.0] * self.count
         for proxy in proxies:
             rates[proxy.subset] += proxy.baseline_rate
--- a/onyxhead/policy/table_changes.py
+++ b/onyxhead/policy/table_changes.py
@@ -15,9 +15,9 @@
 from onyxhead.policy.subsetting import Subsetting
 from onyxhead.time_units import TICKS_PER_SECOND
 
-#: Stands for a request rate higher than any real one, to send a line before all others.
+#: A request rate higher than any real one; a line with this rate is sent before all others.
 HIGHEST_RATE = 1e6
-#: Changes wait while the unacknowledged lines exceed their own queue limit divided by this number.
+#: Changes wait while the unacknowledged lines exceed the queue limit for changes divided by this number.
 UNACKNOWLEDGED_DIVISOR = 4
 
 
