--- a/onyxhead/controller/discovery.py
+++ b/onyxhead/controller/discovery.py
@@ -14,7 +14,7 @@
 
 LIST_PATH = "/v1/list"
 LONG_POLL_S = 5.0
-"""How long the server may wait for a change before it answers (the `wait` preference of RFC 7240)."""
+"""The longest time for which the server may wait for a change before it answers (the `wait` preference of RFC 7240)."""
 TIMEOUT_S = 8.0
 """Timeout for connecting, and for a response in addition to the time of a long poll."""
 
--- a/onyxhead/policy/inputs.py
+++ b/onyxhead/policy/inputs.py
@@ -11,7 +11,7 @@
 
 
 class RetrySafety(Enum):
-    """How safe it is to retry a request of a traffic group; the values are those of the setting."""
+    """The safety of retrying requests of a traffic group; the values are those used in the settings."""
 
     IDEMPOTENT = "retriable"
     DEDUPLICATED = "deduped"
