--- a/onyxhead/policy/subsetting.py
+++ b/onyxhead/policy/subsetting.py
@@ -29,7 +29,7 @@
     def __init__(self, deployment: Deployment, feedback_delay: int, slow_start: SlowStart, now: int) -> None:
         #: The number of subsets.
         self.count = 1
-        #: Whether the current subsets are due to a shortage of connections.
+        #: Set if the current subsets are due to a shortage of connections.
         self.connection_limited = False
         self._base_tables = create_base_tables(deployment)
         #: The tables of all subsets; those split from the same base table follow each other.
@@ -50,7 +50,7 @@
         return [table for table in self.tables if table.serves(proxy)]
 
     def least_busy_subset(self, proxies: Collection[Proxy]) -> int:
-        """Return the subset for a proxy that joins: the one with the lowest baseline rate."""
+        """Return the subset for a proxy that joins: the one whose proxies have the lowest baseline rate."""
         rates = [0.0] * self.count
         for proxy in proxies:
             rates[proxy.subset] += proxy.baseline_rate
--- a/onyxhead/policy/table_changes.py
+++ b/onyxhead/policy/table_changes.py
@@ -15,9 +15,9 @@
 from onyxhead.policy.subsetting import Subsetting
 from onyxhead.time_units import TICKS_PER_SECOND
 
-#: Stands for a request rate higher than any real one, to send a line before all others.
+#: A request rate higher than any real one; a line with this rate is sent before all others.
 HIGHEST_RATE = 1e6
-#: Changes wait while the unacknowledged lines exceed their own queue limit divided by this number.
+#: Changes wait while the unacknowledged lines exceed the queue limit for changes divided by this number.
 UNACKNOWLEDGED_DIVISOR = 4
 
 
@@ -51,7 +51,7 @@
         self._weights = weights
 
     def send_changes(self, now: int, rates: RequestRates) -> Iterator[Withdrawal | TableChange]:
-        """Yield as many changes as fit, with the end of the withdrawal of returning backends, and reserve room."""
+        """Yield as many changes as fit and reserve room for them; for a returning backend, also end its withdrawal."""
         if self._must_wait(now):
             return
         receivers = self._proxies.with_tables()
