--- a/onyxhead/fleet/assignment.py
+++ b/onyxhead/fleet/assignment.py
@@ -18,7 +18,11 @@
 
 
 class Member(NamedTuple):
-    """A controller of the fleet; `lines_per_second`, the rate of its channel, bounds its joins and weights its load."""
+    """A controller of the fleet.
+
+    `lines_per_second` is the rate of its channel. The rate bounds the controller's joins, and an even load is
+    proportional to it.
+    """
 
     name: str
     zone: str
--- a/onyxhead/fleet/controller_selector.py
+++ b/onyxhead/fleet/controller_selector.py
@@ -16,7 +16,11 @@
 
 
 class ConnectAttempt(NamedTuple):
-    """The next attempt: the controller's position, whether to insist, and the pause before, in usual pauses."""
+    """The next attempt to connect to a controller, which `position` identifies.
+
+    `insist` is set if the controller must accept the agent. `backoff_factor` is the pause before the attempt, in
+    multiples of the usual pause.
+    """
 
     position: int
     insist: bool
--- a/onyxhead/fleet/gossip_queue.py
+++ b/onyxhead/fleet/gossip_queue.py
@@ -5,11 +5,14 @@
 from onyxhead.fleet.packets import MAX_UPDATES
 
 TRANSMISSIONS_PER_DOUBLING = 4
-"""The number of packets that carry an update, for each doubling of the number of members."""
+"""The number of packets that carry an update, in multiples of the bit length of the number of members."""
 
 
 class GossipQueue:
-    """Members whose state is to be announced, with the number of packets that carried it; the own state stays."""
+    """The members whose states are to be announced, each with the number of packets that have carried its state.
+
+    This member's own state stays in the queue, however often it was sent.
+    """
 
     def __init__(self, own_name: str) -> None:
         self.own_name = own_name
--- a/onyxhead/fleet/membership.py
+++ b/onyxhead/fleet/membership.py
@@ -23,8 +23,10 @@
 INDIRECT_PINGS = 2
 """The number of members that are asked to ping a member that does not answer."""
 PING_EXPIRY_TIMEOUTS = 3
+"""The time after which an unanswered ping of this member's own expires."""
 REQUESTED_PING_EXPIRY_TIMEOUTS = 4
-"""When an unanswered ping expires, in timeouts of a direct answer; longer if it was sent for another member."""
+"""The time after which an unanswered ping expires if it was sent for another member. Both times are in multiples of the
+timeout for a direct answer."""
 MAX_NUMBER = 2**53
 """The upper limit of incarnations and packet numbers; every JSON parser reads whole numbers up to it exactly."""
 NEVER_SEEN = -1
--- a/onyxhead/fleet/ownership.py
+++ b/onyxhead/fleet/ownership.py
@@ -11,7 +11,7 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 PROXY_RETENTION = 60 * TICKS_PER_SECOND
-"""How long a proxy that no member serves any more still counts as part of the fleet."""
+"""The time for which a proxy still counts as part of the fleet after the last member has stopped serving it."""
 DEFAULT_SETTLE_TIME = 3 * TICKS_PER_SECOND
 
 
@@ -19,7 +19,7 @@
     """A member's report on itself, which it sends besides gossip packets.
 
     `proxies` maps the proxies that it serves to their zones. `list_version` is the version of the endpoint list that it
-    uses. `received_at` is by the receiver's clock.
+    uses. `received_at` is the time of receipt by the receiver's clock.
     """
 
     proxies: dict[str, str]
@@ -88,7 +88,7 @@
             self.peer_reports[name] = report
 
     def withdrawn_by_peers(self, now: int, max_age: int) -> set[str]:
-        """Return the backends that other members have withdrawn, by reports younger than `max_age`.
+        """Return the backends that other members have withdrawn, according to reports younger than `max_age`.
 
         The result may only be used to withdraw more backends, never to return one to service.
         """
--- a/onyxhead/fleet/slow_start_budget.py
+++ b/onyxhead/fleet/slow_start_budget.py
@@ -28,14 +28,15 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 MAX_GRANTED_FRACTION = 0.5
-"""The most of its capacity that a controller lends. The rest is never lent, whatever other members report."""
+"""The largest part of its capacity that a controller lends. The rest is never lent, whatever other members report."""
 GRANTED_SPARE_FRACTION = 0.5
-"""The part of its unused capacity that a controller lends. Its own requests can return faster than a grant ends."""
+"""The part of its unused capacity that a controller lends. It keeps the rest, because its own requests can return
+before a grant ends."""
 MIN_GRANT_FRACTION = 0.05
 """The smallest grant, as a part of the lender's capacity; smaller ones would mainly lengthen the reports."""
 MAX_GRANTS = 10_000
 MAX_CLOCK_SKEW = 60 * TICKS_PER_SECOND
-"""The most that the clock which gives the start times of endpoints may differ from the controller's clock."""
+"""The largest assumed difference between the controller's clock and the clock that gives endpoints' start times."""
 AMOUNT_DECIMALS = 6
 
 
@@ -47,10 +48,10 @@
 
 
 class IncarnationLoad(NamedTuple):
-    """The load that a controller may put on a warming endpoint, and the load that it would put there.
+    """The load that a controller may put on a warming endpoint, and the load that it would put there without a limit.
 
     `capacity` is its limit without sharing, as a part of its baseline rate, before slow start and health weights, which
-    each controller applies by itself. `demand` is the load of its requests if nothing limited them.
+    each controller applies by itself. `demand` is the load that its requests would cause if nothing limited them.
     """
 
     capacity: float
@@ -133,7 +134,10 @@
     # Decisions
 
     def share(self, incarnation: Incarnation) -> float:
-        """Return the part of its capacity that the controller may use at a warming endpoint; above 1 if it borrowed."""
+        """Return the part of its capacity that the controller may use at a warming endpoint.
+
+        Grants from other controllers can raise it above 1.
+        """
         load = self.loads.get(incarnation)
         may_have_lent = not self.history_complete and self._may_be_older(incarnation)
         if load is None or load.capacity <= 0:
--- a/onyxhead/fleet/wire_format.py
+++ b/onyxhead/fleet/wire_format.py
@@ -1,7 +1,7 @@
 """The JSON encoding of gossip packets, budget reports and stored grants.
 
-The field names are part of the protocol between controllers. In the code, `about` is the subject of a packet, `lacks`
-are shortfalls, and `loans` are grants. A grant is a list of lender, number, borrower, backend, start time and amount.
+The field names are part of the protocol between controllers. The code calls `about` the subject of a packet, `lacks`
+shortfalls, and `loans` grants. A grant is a list of lender, number, borrower, backend, start time and amount.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 MAX_PACKET_NUMBER = 2**53
 """The greatest packet number and incarnation; every JSON parser reads whole numbers up to it exactly."""
 MAX_REPORT_NUMBER = 2**62
-"""The limit, not itself permitted, of grant numbers and start times in a budget report."""
+"""Grant numbers and start times in a budget report must be below this number."""
 MAX_AMOUNT = 1e9
 MAX_NAME_IN_ERROR = 80
 
--- a/onyxhead/health_check.py
+++ b/onyxhead/health_check.py
@@ -10,7 +10,7 @@
 
 
 class HealthCheckFailedError(Exception):
-    """The backend gave no valid HTTP response; `result` tells a timeout from a failed connection."""
+    """The backend gave no valid HTTP response; `result` distinguishes a timeout from other failures."""
 
     def __init__(self, result: HealthCheckResult) -> None:
         super().__init__(result.value)
--- a/onyxhead/node/connection.py
+++ b/onyxhead/node/connection.py
@@ -12,7 +12,7 @@
 
 READ_BYTES = 65_536
 MAX_FIRST_MESSAGE_BYTES = 4096
-"""Size limit until the connection has joined; a join message has fewer than 200 bytes."""
+"""Size limit of a message before the connection has joined; a join message has fewer than 200 bytes."""
 MAX_UNSENT_BYTES = 1 << 20
 """Limit of the data that waits for one joined peer in this process, in addition to the kernel's send buffer."""
 MAX_UNSENT_BYTES_BEFORE_JOIN = 4096
--- a/onyxhead/node/decision_loop.py
+++ b/onyxhead/node/decision_loop.py
@@ -50,7 +50,7 @@
         self.durations = RoundDurations(0.0, 0.0)
 
     def schedule_round(self) -> None:
-        """Schedule one round, as soon as the minimum interval allows, for all events received before it runs."""
+        """Schedule one round as soon as the minimum interval allows; it handles all events received before it runs."""
         if self.scheduled is None:
             due = self.last_round_at + self.min_interval_s
             self.scheduled = self.loop.call_at(max(due, self.loop.time()), self._run_round)
--- a/onyxhead/node/decision_round.py
+++ b/onyxhead/node/decision_round.py
@@ -88,8 +88,8 @@
                 self._assign_table(proxy, table, groups)
             case AcknowledgementRequest(round_number, _):
                 self.number = round_number or self.number
-                # Each proxy that the policy has counted a message for gets one, even if the message holds nothing but
-                # the request for an acknowledgement.
+                # Each recipient gets an update, even if the update holds nothing but the request for an
+                # acknowledgement.
                 for proxy in recipients:
                     if proxy in self.state.joined:
                         self._update_for(proxy)
--- a/onyxhead/node/discovery.py
+++ b/onyxhead/node/discovery.py
@@ -12,12 +12,12 @@
 
 ENDPOINTS_PATH = "/v1/servers"
 WATCH_WAIT_MS = 4000
-"""How long discovery may hold a watch request open without a change.
+"""The time for which discovery may hold a watch request open without a change.
 
 A shorter wait detects a dead connection sooner, but costs more requests.
 """
 RESPONSE_MARGIN_S = 1.0
-"""Timeout for connecting and for a request without a wait; a watch request gets this in addition to its wait."""
+"""Timeout for connecting and for a request without a wait; the timeout of a watch request is longer by its wait."""
 INITIAL_BACKOFF_S = 0.25
 MAX_BACKOFF_S = 1.0
 BACKOFF_FACTOR = 1.5
--- a/onyxhead/node/listener.py
+++ b/onyxhead/node/listener.py
@@ -20,7 +20,7 @@
 
 BACKLOG = 2048
 MAX_ACCEPTS_AT_ONCE = 64
-"""Connections accepted in one callback, before the loop serves the open connections again."""
+"""Limit of connections accepted in one callback, before the loop serves the open connections again."""
 JOIN_TIMEOUT_S = 1.6
 """The platform allows a node to close an unjoined connection after 1 s and requires it after 3 s."""
 JOIN_CHECK_INTERVAL_S = 0.2
--- a/onyxhead/node/policy_host.py
+++ b/onyxhead/node/policy_host.py
@@ -19,7 +19,7 @@
 from onyxhead.time_units import TICKS_PER_SECOND
 
 SILENCE_TIMEOUT = 4 * TICKS_PER_SECOND
-"""How long a stream with an outstanding acknowledgement may send nothing before it can count as silent."""
+"""The time after which a stream that has sent nothing can count as silent, if an acknowledgement is outstanding."""
 
 
 class StreamPolicyHost:
--- a/onyxhead/node/proxy_state.py
+++ b/onyxhead/node/proxy_state.py
@@ -13,7 +13,7 @@
 MAX_AWAITED_ROUNDS = 256
 """Rounds kept for each stream as awaiting acknowledgement; an acknowledgement of an older round is rejected."""
 MAX_LISTED_ENDPOINTS = 8192
-"""Number of endpoints above which departed ones are dropped; a report on a dropped backend is rejected."""
+"""If more endpoints than this are known, the oldest departed ones are dropped, and reports on them are rejected."""
 
 
 class AwaitedRound(NamedTuple):
@@ -37,10 +37,11 @@
 
 
 class KnownEndpoints:
-    """The last known state of every endpoint that has been listed since the start.
+    """The last known state of each endpoint that has been listed since the start and has not been dropped.
 
     A proxy keeps withdrawals across streams, so a backend that is ready again may still be withdrawn at a proxy that
-    was not connected when the backend returned. `returned` holds the backends that have departed and come back.
+    was not connected when the backend returned. `returned` holds the backends that are back after a departure or a
+    withdrawal.
     """
 
     def __init__(self) -> None:
--- a/onyxhead/tables/canary.py
+++ b/onyxhead/tables/canary.py
@@ -77,7 +77,7 @@
 def select_canary_proxies(proxies: Iterable[str], fraction: float) -> list[str]:
     """Return about this fraction of the proxies; the same names always give the same choice.
 
-    At least one proxy and at most half of them are chosen, and none if there are fewer than second.
+    At least one proxy and at most half of them are chosen, and none if there are fewer than two.
     """
     names = sorted(proxies, key=lambda name: hashlib.blake2b(name.encode(), digest_size=8).digest())
     if len(names) < 2:
--- a/onyxhead/tables/rollback.py
+++ b/onyxhead/tables/rollback.py
@@ -30,7 +30,7 @@
 
 
 class RollbackPlan(NamedTuple):
-    """The lines that a rollback restores, and the reason for each backend of the version that it leaves out."""
+    """The lines that a rollback restores; `excluded` holds the reason for each backend that the rollback leaves out."""
 
     version: int
     lines: dict[LineKey, int]
--- a/onyxhead/tables/table_set.py
+++ b/onyxhead/tables/table_set.py
@@ -8,7 +8,7 @@
 from onyxhead.tables.history import LineKey
 
 Freeze = Callable[[Mapping[LineKey, int]], dict[LineKey, int]]
-"""Maps the lines that the policy asks for to the lines that the proxies should hold instead."""
+"""A function that maps the lines that the policy asks for to the lines that the proxies should hold instead."""
 
 
 class TableSet:
--- a/onyxhead/tables/table_state.py
+++ b/onyxhead/tables/table_state.py
@@ -21,8 +21,8 @@
 class TableState:
     """Tables, admission levels and withdrawals of one controller, and the view of each joined proxy.
 
-    `groups` lists the names of the traffic groups by number; `message_overhead` is the cost of a message besides its
-    lines, in lines.
+    `groups` lists the names of the traffic groups by number; `message_overhead` is the channel cost of a message in
+    addition to its lines, expressed as a number of lines.
     """
 
     def __init__(self, groups: tuple[str, ...], admission_mode: AdmissionMode, message_overhead: float) -> None:
@@ -55,7 +55,10 @@
         return [table for table, proxies in self.proxies_by_table.items() if proxy in proxies]
 
     def pending_lines(self) -> list[PendingLine]:
-        """Return the lines whose sent weight is off target because tables are or were frozen, in sending order."""
+        """Return the lines whose sent weight differs from the target because tables are or were frozen.
+
+        The result is in the order in which the lines are sent.
+        """
         pending = (line for tables in self._table_sets() for line in tables.pending_lines(self.desired))
         return sorted(pending, key=PendingLine.order)
 
@@ -211,7 +214,7 @@
     def _may_use(self, proxy: int, backend: str) -> bool:
         """Return whether a withdrawal of the backend must be sent to this proxy.
 
-        A proxy that is bound to no table of this controller may hold any backend.
+        A proxy that is bound to no table of this controller may hold a line for any backend.
         """
         tables = self.tables_of(proxy)
         lines_by_table = self._table_set_of(proxy).lines_by_table
--- a/onyxhead/tables/updates.py
+++ b/onyxhead/tables/updates.py
@@ -58,9 +58,10 @@
 
 
 Snapshot = Callable[[int, dict[Path, ViewValue | None]], View]
-"""Returns the complete view of a proxy, whose bindings are taken from the given changes."""
+"""A function that returns the complete view of a proxy, with the bindings from the given changes."""
 SharedResults = dict[tuple[object, ...], View]
-"""Resulting views by base view and changes. Proxies that share tables mostly share both, and so the result."""
+"""Resulting views by base view and changes. Proxies that share tables mostly have the same base view and changes, so
+they share the result too."""
 
 
 @dataclass(slots=True)
--- a/onyxhead/tables/view_format.py
+++ b/onyxhead/tables/view_format.py
@@ -8,8 +8,8 @@
     ("withdrawn", backend)              -> true; excludes the backend from all tables, also other controllers'
     ("standing", backend)               -> a line as above, used by groups that are bound to no table
 
-These names are part of the protocol with agents and of the state that agents store. In the code, "levels" are called
-admission levels, "tries" is the retry mode, and "standing" holds the static lines from the agent's settings.
+These names are part of the protocol with agents and of the state that agents store. The code calls "levels" admission
+levels and "tries" the retry mode. "standing" holds the static lines from the agent's settings.
 """
 
 from __future__ import annotations
@@ -42,7 +42,8 @@
 TRIES = "tries"
 
 WEIGHT_SCALE = 1_000_000
-"""The weight of a line for a listed weight of 1. Lines hold whole numbers because proxies' file formats need them."""
+"""The weight of a line to which the policy gives weight 1. Lines hold whole numbers because proxies' file formats need
+them."""
 MAX_WEIGHT = 2**31
 MAX_RETRY_MODE = 3
 RATE_DECIMALS = 3
--- a/onyxhead/wirehost/codec.py
+++ b/onyxhead/wirehost/codec.py
@@ -55,7 +55,8 @@
 T = TypeVar("T")
 
 WAKE_UP_TIMER = 1
-"""The timer that every wake-up sets. Its expiry needs no handling: every batch triggers a decision round anyway."""
+"""The number of the timer that every wake-up sets. Its expiry needs no handling, because every batch triggers a
+decision round anyway."""
 
 
 class WireError(Exception):
@@ -131,7 +132,7 @@
 
 
 def parse_choice(choices: Mapping[str, T]) -> Callable[[str], T]:
-    """Return a parser that accepts the keys of `choices` and returns the value of the key."""
+    """Return a parser that accepts only the keys of `choices`, and returns the value of the key that it read."""
 
     def parse(text: str) -> T:
         if text not in choices:
@@ -142,7 +143,7 @@
 
 
 class EndpointState(NamedTuple):
-    """Whether a listed endpoint is ready and whether it is draining."""
+    """The state of a listed endpoint: ready, draining, or neither if it is gone."""
 
     ready: bool
     draining: bool
--- a/tests/table_rig.py
+++ b/tests/table_rig.py
@@ -6,7 +6,7 @@
 from tests.controller_rig import Rig
 
 FULL = 1_000_000
-"""The weight of a line for a listed weight of 1."""
+"""The weight of a line to which the policy gives weight 1."""
 
 
 def lines(**weights: int) -> dict[tuple[int, str], int]:
