--- a/onyxhead/fleet/ownership.py
+++ b/onyxhead/fleet/ownership.py
@@ -100,8 +100,8 @@
     def fleet_proxies(self, own_proxies: Mapping[str, str], now: int) -> dict[str, str]:
         """Return all known proxies of the fleet with their zones; `own_proxies` are those that this member serves.
 
-        A proxy that is moving between two members is included. Without it, the members would compute other assignments
-        for the remaining proxies and hand them back and forth.
+        A proxy that is moving between two members is included. If it were left out, the members would compute other
+        assignments for the remaining proxies and hand them back and forth.
         """
         for name, report in sorted(self.peer_reports.items()):
             if name in self.alive:
--- a/onyxhead/fleet/slow_start_budget.py
+++ b/onyxhead/fleet/slow_start_budget.py
@@ -175,7 +175,7 @@
             self.last_number += 1
             amount = round(amount, AMOUNT_DECIMALS)
             new_grants.append(BudgetGrant(self.own_name, self.last_number, member, incarnation, amount))
-            # The member reported its shortfall before it heard of this grant; only a new report can get it more.
+            # The member reported its shortfall before it heard of this grant; it gets more only after a new report.
             remaining = {key: value for key, value in self.shortfalls[member].items() if key != incarnation}
             self.shortfalls[member] = remaining
 
--- a/onyxhead/node/health_checks.py
+++ b/onyxhead/node/health_checks.py
@@ -52,7 +52,8 @@
     def start(self, backend: str, address: tuple[str, int], identity: Hashable) -> None:
         """Start a health check, unless one of this backend is running.
 
-        `identity` is passed on to `on_result`, which detects by it that another backend has taken the name meanwhile.
+        `identity` is passed on to `on_result`, which uses it to detect that another backend has taken the name
+        meanwhile.
         """
         if backend not in self.running:
             self.running[backend] = asyncio.get_running_loop().create_task(self._check(backend, address, identity))
