--- a/onyxhead/intake/change_detection.py
+++ b/onyxhead/intake/change_detection.py
@@ -23,13 +23,16 @@
 ADAPTATION_RATE = 1 / 64
 """Smoothing factor of the running mean and variance after calibration."""
 RECENT_SAMPLES = 5
-"""Number of last samples in which the start of a detected shift is searched."""
+"""Number of most recent samples among which the start of a detected shift is searched for."""
 MIN_RELATIVE_DEVIATION = 1e-3
 """Lower bound of the standard deviation, relative to the mean."""
 MIN_DEVIATION = 1e-9
 """Absolute lower bound of the standard deviation; avoids a division by zero on a constant series."""
 CALIBRATION_MARGIN = 4
-"""Factor on the mean run length: the error of a mean that is estimated from few samples causes extra false alarms."""
+"""Factor by which the configured mean run length is multiplied for the threshold.
+
+It compensates for the extra false alarms that are caused by the error of a mean estimated from few samples.
+"""
 OVERSHOOT = 1.166
 """Mean amount by which a sum exceeds the threshold when it crosses it, in Siegmund's approximation."""
 MAX_THRESHOLD = 60.0
@@ -134,8 +137,8 @@
 def _shift_index(samples: list[float]) -> int:
     """Return the index of the first sample after the shift.
 
-    This is the split into two parts with the least sum of squared deviations from each part's mean. The sample at
-    which the cumulative sum left zero would be too early, because a slow drift raises the sum before the jump.
+    The index splits the samples so that the sum of squared deviations from the mean of each part is least. The sample
+    at which the cumulative sum left zero would be too early, because a slow drift raises the sum before the jump.
     """
 
     def squared_deviation(split: int) -> float:
--- a/onyxhead/intake/clock_offset.py
+++ b/onyxhead/intake/clock_offset.py
@@ -1,10 +1,10 @@
 """Computes the age of a load report whose sender's clock may be offset, drift or be set. No I/O.
 
 The difference between the arrival time (receiver's clock) and the measurement time (sender's clock) is the clock
-offset plus the transport delay. The smallest recent difference is taken as the offset without delay, and the excess of
-a report over it as the report's age. The smallest difference is raised slowly over time, so that it follows a sender's
-clock that runs slow. When a clock is set back, the difference rises for all later reports; a single delayed report
-raises only its own.
+offset plus the transport delay. The smallest recent difference is taken as the offset without delay; the age of a
+report is the amount by which its own difference exceeds the smallest one. The smallest difference is raised slowly over
+time, so that it follows a sender's clock that runs slow. When a clock is set back, the difference rises for all later
+reports, whereas the delay of a single report affects only its own difference.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 STEP_THRESHOLD = 5 * TICKS_PER_SECOND
 """Smallest backward step of a sender's clock that is detected, in ticks."""
 STEP_REPORTS = 8
-"""Number of consecutive reports that must exceed the smallest difference by `STEP_THRESHOLD` for a step."""
+"""Number of consecutive reports whose difference must exceed the smallest one by `STEP_THRESHOLD` to show a step."""
 
 
 class ClockOffsetEstimator:
--- a/onyxhead/intake/credibility.py
+++ b/onyxhead/intake/credibility.py
@@ -32,17 +32,17 @@
 EVIDENCE_DECAY = 0.85
 """Fraction of the accumulated evidence that is kept from one interval to the next."""
 MIN_ATTEMPTS = 20
-"""Successful attempts in an interval that are needed to use its mean response time."""
+"""Minimum number of successful attempts in an interval for its mean response time to be used."""
 MAX_UTILIZATION = 0.95
 """Utilizations are capped at this in base / (1 - u), which has a pole at 1."""
 STUCK_REPORTS = 10
 """Number of consecutive intervals with equal reports after which a backend's reports may count as stuck."""
 STUCK_TRAFFIC_CHANGE = 0.25
-"""Relative change of the traffic over these intervals from which equal reports count as stuck."""
+"""Relative change of the traffic over these intervals above which equal reports count as stuck."""
 TRUSTED = 0.5
 """Credibility from which a backend's own reports outweigh what proxies observe."""
 MIN_BASE_SAMPLES = 3
-"""Number of backends of one instance type that are needed to estimate the type's idle response time."""
+"""Minimum number of backends of one instance type for the type's idle response time to be estimated."""
 BASE_SMOOTHING = 0.2
 """Weight of the newest interval in the exponentially smoothed idle response time."""
 
@@ -58,7 +58,7 @@
 
 
 class LoadObservation(NamedTuple):
-    """What a backend reported, and what proxies observed at it, over one interval.
+    """A backend's reported load, and the observations of the proxies that sent it attempts, over one interval.
 
     `attempts` counts successful attempts only; `mean_latency_ms` is their mean response time.
     """
--- a/onyxhead/intake/estimators.py
+++ b/onyxhead/intake/estimators.py
@@ -14,7 +14,7 @@
 SMALL_SAMPLE = 30
 """Number of trials below which a proportion is estimated by the centre of its interval instead of the plain ratio."""
 MIN_TREND_WEIGHT = 0.3
-"""Smallest weight of a sample that is used to detect shifts; a sample of less weight describes the past."""
+"""Weight above which a sample is used to detect shifts; a sample of less weight is old and describes the past."""
 
 
 class Estimate(NamedTuple):
--- a/onyxhead/intake/load_estimator.py
+++ b/onyxhead/intake/load_estimator.py
@@ -107,14 +107,15 @@
         """Return the average of reported and observed utilization, weighted by the credibility of the reports."""
         reported, credibility = self.utilization.estimate(), self.credibility
         observed = credibility.observed_utilization
-        # Without observations only the reports count; `reported` is newer than `credibility.utilization`.
+        # Without observations, or with full credibility, only the reports count. `reported` is newer than
+        # `credibility.utilization`.
         if observed is None or credibility.value >= FULL_CREDIBILITY:
             return reported
         distrust = 1 - credibility.value
         if reported is None:
             return Estimate(observed, UNREPORTED_ERROR + distrust * UNREPORTED_ERROR, 0.0)
         # Observations change once per interval, reports all the time. The less credible the reports are, the less they
-        # count, and the wider the interval becomes.
+        # count, and the wider the confidence interval becomes.
         value = credibility.value * reported.value + distrust * observed
         error = reported.error + distrust * (UNREPORTED_ERROR + abs(reported.value - observed))
         return Estimate(value, error, reported.samples)
@@ -215,7 +216,7 @@
         if (backend, incarnation) in self.retired:
             return None
         if load is not None and not load.incarnation:
-            # Proxies sent attempts to this incarnation before its first report told its name.
+            # Proxies sent attempts to this incarnation before its first report named it.
             load.incarnation = incarnation
             return load
         if load is not None:
--- a/onyxhead/intake/load_sums.py
+++ b/onyxhead/intake/load_sums.py
@@ -17,7 +17,7 @@
 MAX_REPORT_AGE = 30 * TICKS_PER_SECOND
 """Age in ticks above which a report is left out of the sums."""
 MAX_LATENCY_SAMPLES = 16
-"""Maximum number of latencies in one `LoadSums`; of more, a subset is kept and its weights are raised."""
+"""Maximum number of latencies in one `LoadSums`; if there are more, a subset is kept and its weights are raised."""
 
 IncarnationKey = tuple[str, str]
 """A backend's id and the id of its incarnation."""
--- a/onyxhead/intake/orca_reports.py
+++ b/onyxhead/intake/orca_reports.py
@@ -61,7 +61,7 @@
 
 
 class _UncheckedReport(msgspec.Struct):
-    """A report with a load whose values are not checked yet, for checking them one by one."""
+    """A load report whose load values are not checked yet, so that they can be checked one by one."""
 
     backend: BackendName
     incarnation: Incarnation = msgspec.field(name="boot")
