--- a/onyxhead/agent/load_reporter.py
+++ b/onyxhead/agent/load_reporter.py
@@ -24,7 +24,10 @@
 STATS_TIMEOUT_S = 1.0
 STATS_PATH = "/stats"
 MAX_PENDING_REPORTS = 3
-"""Reports kept while no controller accepts them; older ones are dropped, since they describe an outdated load."""
+"""Maximum number of reports kept for sending; older ones are dropped, since they describe an outdated load.
+
+Reports wait while no controller accepts them.
+"""
 
 log = structlog.get_logger()
 
--- a/onyxhead/agent/table_replica.py
+++ b/onyxhead/agent/table_replica.py
@@ -25,7 +25,7 @@
 
 APPLIED_HEADER = "onyxhead-applied"
 ORDER_ROUND = "turn"
-"""Member of the order header with the decision round's number."""
+"""Name of the member of the order header that holds the decision round's number."""
 NO_STREAM = ""
 NO_TOKEN = "0"
 INVALID_TOKEN = -1
--- a/onyxhead/configuration_language/differences.py
+++ b/onyxhead/configuration_language/differences.py
@@ -25,7 +25,7 @@
 from onyxhead.time_units import TICKS_PER_MILLISECOND, TICKS_PER_SECOND
 
 IDENTIFYING_FIELDS = ("id", "name", "address", "pattern", "if", "key")
-"""Fields whose value can identify a record in a list. The first of them that all records of the list have is used."""
+"""Fields that can identify the records of a list; the first field that all records of the list have is used."""
 
 FIELDS_BY_RULE = {
     "1": {"unserved_limit", "zones", "drained", "servers", "target", "down", "home_zone_only"},
@@ -190,7 +190,10 @@
 
 
 def _is_item(value: Any, path: Path) -> bool:  # noqa: ANN401  # any plain value
-    """Return whether a value is reported as gained or lost: a record, or a string in a list (named by its value)."""
+    """Return whether a value is an item that a list or record gains or loses: a record, or a string in a list.
+
+    The last element of the path of such a string is the string itself.
+    """
     return isinstance(value, dict) or bool(path and str(value) == path[-1])
 
 
--- a/onyxhead/configuration_language/evaluator.py
+++ b/onyxhead/configuration_language/evaluator.py
@@ -145,7 +145,7 @@
         return value
 
     def _evaluate_acyclic(self, term: Term, scope: Scope, closed: bool) -> Value:
-        """Return the value of a term; reports a term that refers to itself, which could not be evaluated."""
+        """Return the value of a term, or report a term that refers to itself, which could not be evaluated."""
         if id(term) in self.evaluating:
             return self.unifier.report(term.position, "the value refers to itself")
         self.evaluating.append(id(term))
@@ -184,7 +184,7 @@
         return self.unifier.report(reference.position, text)
 
     def to_plain(self, value: Value, name: str, enclosing: SourcePosition) -> Any:  # noqa: ANN401  # any plain value
-        """Return the plain value with defaults applied; a value that is still unknown is reported at `enclosing`."""
+        """Return the plain value with defaults applied, and report a value that is still unknown at `enclosing`."""
         if isinstance(value, Disjunction):
             value = _apply_default(value)
         match value:
--- a/onyxhead/configuration_language/json_schema.py
+++ b/onyxhead/configuration_language/json_schema.py
@@ -32,7 +32,10 @@
 TYPES = {"string": "string", "int": "integer", "number": "number", "bool": "boolean"}
 BOUNDS = {">=": "minimum", "<=": "maximum", ">": "exclusiveMinimum", "<": "exclusiveMaximum"}
 SCALAR_DEFINITIONS = ("#Address", "#Name", "#Path", "#Share")
-"""Definitions of scalars. A field of such a type is required; all other definitions are records that may be empty."""
+"""Definitions of scalars: a field of such a type is required.
+
+All other definitions are records that may be empty, so a field of their type may be left out.
+"""
 
 
 def json_schema(definitions: str, root: str) -> JsonSchema:
--- a/onyxhead/configuration_language/loader.py
+++ b/onyxhead/configuration_language/loader.py
@@ -28,7 +28,7 @@
 def _garbage_collection_paused() -> Iterator[None]:
     """Pause garbage collection while files are read or evaluated.
 
-    All terms stay in use until then, so the collector would only walk the terms of a large file repeatedly.
+    All terms stay in use until the end, so the collector would only walk the terms of a large file repeatedly.
     """
     was_enabled = gc.isenabled()
     gc.disable()
--- a/onyxhead/configuration_language/unification.py
+++ b/onyxhead/configuration_language/unification.py
@@ -190,7 +190,7 @@
 
 
 def _narrower_kind(first: str, second: str) -> str | None:
-    """Return the kind that satisfies both kinds, None if no kind does."""
+    """Return the kind of the values that belong to both kinds, or None if there are no such values."""
     if first == second or second == "any":
         return first
     if first == "any":
--- a/onyxhead/fronts/files/agent_stream.py
+++ b/onyxhead/fronts/files/agent_stream.py
@@ -106,7 +106,7 @@
 
     @property
     def peer(self) -> PeerIdentity | None:
-        """The agent's identity by its certificate; None without one."""
+        """The agent's identity from its certificate, or None if it has no certificate."""
         return peer_identity(self.connection.certificate) if self.connection is not None else None
 
     async def probe(self) -> str:
--- a/onyxhead/fronts/files/envoy.py
+++ b/onyxhead/fronts/files/envoy.py
@@ -1,8 +1,9 @@
 """Formats a table view as the JSON files of Envoy's v3 file subscriptions: endpoints and routes.
 
 The cluster of a traffic group has the group's name, so that only the endpoint file depends on the table that serves the
-group, and a proxy needs no two files that agree. Clusters must set `common_lb_config.healthy_panic_threshold` to 0:
-with a higher value, Envoy sends requests to draining endpoints when too few healthy ones are left.
+group, and a proxy need not have both files from the same view. Clusters must set
+`common_lb_config.healthy_panic_threshold` to 0: with a higher value, Envoy sends requests to draining endpoints when
+too few healthy ones are left.
 """
 
 from __future__ import annotations
--- a/onyxhead/keys/credentials.py
+++ b/onyxhead/keys/credentials.py
@@ -142,7 +142,7 @@
     context.verify_mode = ssl.CERT_REQUIRED
     context.load_verify_locations(cadata=files.authorities.decode())
     with tempfile.TemporaryDirectory() as folder:
-        # The ssl module loads these from files only. Copies guarantee that it loads the bytes that were checked.
+        # The ssl module loads keys and certificates from files only. Copies guarantee that it loads the checked bytes.
         pair = Path(folder) / "pair.pem"
         pair.touch(0o600)
         pair.write_bytes(files.key + b"\n" + files.certificate)
--- a/onyxhead/series/time_series_store.py
+++ b/onyxhead/series/time_series_store.py
@@ -26,7 +26,7 @@
 CORRUPT_SUFFIX = ".broken"
 PLAIN_NAME_PART = re.compile(r"[A-Za-z0-9_-]{1,60}")
 ENCODED_PREFIX = "~"
-"""Prefix of a part of a file name that is the UTF-8 form of that part of the series' name in hexadecimal digits."""
+"""Prefix of a part of a file name that holds hexadecimal digits: the UTF-8 bytes of that part of the series' name."""
 MAX_ENCODED_PART = 80
 MAX_FILE_NAME = 180
 
--- a/onyxhead/settings/controller.py
+++ b/onyxhead/settings/controller.py
@@ -21,7 +21,7 @@
 ADMISSION_MODES = {"share": AdmissionMode.FRACTION, "rate": AdmissionMode.RATE, "off": AdmissionMode.DISABLED}
 """The admission mode for each value of the field `throttle`."""
 MIN_QUEUED_MESSAGES = 4
-"""Least number of messages of one line that must fit into the channel's queue."""
+"""Minimum number of one-line messages for which the channel's queue must have room."""
 
 
 def controller_settings(reader: RecordReader) -> ControllerSettings:
--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -61,7 +61,7 @@
 
 
 def kind_of(files: list[SourceFile]) -> str:
-    """Return "controller" or "agent": the value of `kind` if it is set, else by the fields that only agents have."""
+    """Return "controller" or "agent": the value of `kind` if set, else "agent" if any field is one of agents only."""
     members = {member.name: member.value for file in files for member in file.struct.members}
     kind = members.get("kind")
     if isinstance(kind, Literal) and kind.value in DEFINITIONS:
--- a/onyxhead/store/database.py
+++ b/onyxhead/store/database.py
@@ -11,7 +11,7 @@
 from onyxhead.store.records import RecoveredState
 
 LOCK_TIMEOUT_S = 5.0
-"""How long a statement waits for a lock that another connection holds."""
+"""Time limit of a statement's wait for a lock that another connection holds."""
 
 ENVIRONMENT_ERRORS = {
     sqlite3.SQLITE_CANTOPEN,
--- a/onyxhead/store/writer.py
+++ b/onyxhead/store/writer.py
@@ -19,7 +19,7 @@
 RETRY_DELAY_S = 1.0
 """Delay before a failed batch is written again."""
 CLOSE_TIMEOUT_S = 10.0
-"""How long `close` waits for the thread to write the queued statements."""
+"""Time limit of the wait in `close` for the thread to write the queued statements."""
 
 
 class Statement(NamedTuple):
