--- a/onyxhead/fronts/netconf/bounded_writer.py
+++ b/onyxhead/fronts/netconf/bounded_writer.py
@@ -8,7 +8,7 @@
 import asyncssh
 
 MAX_BUFFERED_BYTES = 4 * 1024 * 1024
-"""Limit of the output buffered for a slow client. Its session is closed beyond it, so that no other session waits."""
+"""Limit on the output buffered for a slow client. Beyond it the session is closed, so that no other session waits."""
 
 Writer = asyncio.StreamWriter | asyncssh.SSHWriter[bytes]
 
--- a/onyxhead/fronts/netconf/filters.py
+++ b/onyxhead/fronts/netconf/filters.py
@@ -43,7 +43,7 @@
 
 
 def _select_by_subtrees(filter_element: Element, roots: list[Element]) -> list[Element]:
-    """Return the part of each root that the filter selects, by its first subtree that selects anything there."""
+    """Return the selected part of each root. The first subtree of the filter that selects anything there decides."""
     selected = []
     for root in roots:
         matches = (filter_subtree(root, subtree) for subtree in filter_element)
--- a/onyxhead/fronts/nginx/import_report.py
+++ b/onyxhead/fronts/nginx/import_report.py
@@ -41,23 +41,23 @@
         self.lines: list[ReportLine] = []
 
     def add_carried(self, directive: Directive) -> None:
-        """Add that a directive was carried over completely."""
+        """Report a directive as carried over completely."""
         self._add(directive, Verdict.CARRIED, "")
 
     def add_changed(self, directive: Directive, difference: str) -> None:
-        """Add that a directive was carried over with a difference, or completely if the difference is empty."""
+        """Report a directive as carried over with a difference, or completely if the difference is empty."""
         self._add(directive, Verdict.CHANGED if difference else Verdict.CARRIED, difference)
 
     def add_not_carried(self, directive: Directive, reason: str) -> None:
-        """Add that a directive was not carried over, with the reason."""
+        """Report a directive as not carried over, with the reason."""
         self._add(directive, Verdict.NOT_CARRIED, reason)
 
     def add_syntax_error(self, file: str, line: int, text: str) -> None:
-        """Add that a file could not be parsed from this line on; line 0 stands for the whole file."""
+        """Report that a file could not be parsed from this line on; line 0 stands for the whole file."""
         self.lines.append(ReportLine(file, line, SYNTAX_ERROR, Verdict.NOT_CARRIED, text))
 
     def add_pool_without_servers(self, file: str, pool: str) -> None:
-        """Add that a pool has no server for regular use: each is marked as down or as backup, or there is none."""
+        """Report that a pool has no server for regular use: each is marked as down or as backup, or there is none."""
         self.lines.append(
             ReportLine(
                 file, 0, f"upstream {pool}", Verdict.CHANGED, "it has only servers marked down or backup, or none"
--- a/onyxhead/incident/backend_states.py
+++ b/onyxhead/incident/backend_states.py
@@ -20,7 +20,7 @@
 
 
 class BackendState(StrEnum):
-    """The state of a backend by a controller's decisions; the values are shown on the page."""
+    """The state of a backend according to a controller's decisions; the values are shown on the page."""
 
     IN = "in"
     PARTLY_IN = "part"
--- a/onyxhead/incident/gaps.py
+++ b/onyxhead/incident/gaps.py
@@ -1,4 +1,4 @@
-"""Periods of which a controller has no records. No I/O.
+"""Periods for which a controller has no records. No I/O.
 
 A controller records nothing while it is down or can't write to its store. Such a period is shown as a gap, without any
 assumption about it: a gap does not mean that nothing happened.
--- a/onyxhead/operate/commands.py
+++ b/onyxhead/operate/commands.py
@@ -58,7 +58,7 @@
         return cls(command_id, str(verb), tuple(selectors), operator[:MAX_OPERATOR_LENGTH], dry_run)
 
     def request(self) -> list[Any]:
-        """Return verb and selectors as they are stored, to be compared with those of a repeated command."""
+        """Return the verb and the selectors in their stored form, for comparison with those of a repeated command."""
         return [self.verb, list(self.selectors)]
 
 
--- a/onyxhead/operate/drift.py
+++ b/onyxhead/operate/drift.py
@@ -125,7 +125,10 @@
 
 
 def lasting_differences(first: list[Difference], second: list[Difference]) -> list[Difference]:
-    """Return the differences of the second comparison that are not transient, or that the first one shows too."""
+    """Return the second comparison's differences, without those that are likely to vanish.
+
+    A transient difference is kept only if the first comparison shows one of the same kind and subject.
+    """
     seen_before = {(difference.kind, difference.subject) for difference in first}
     return [
         difference
--- a/onyxhead/operate/fleet_client.py
+++ b/onyxhead/operate/fleet_client.py
@@ -27,8 +27,8 @@
 class CommandOutcome(NamedTuple):
     """The outcome of a command at one member.
 
-    `status` is a CommandStatus, or another value if a newer version answers one. `answer` is the member's JSON answer,
-    empty unless the member answered with HTTP status 200.
+    `status` is a CommandStatus, or a value unknown here that a member of a newer version sent. `answer` is the member's
+    JSON answer, empty unless the member answered with HTTP status 200.
     """
 
     member: str
--- a/onyxhead/routing/location_matching.py
+++ b/onyxhead/routing/location_matching.py
@@ -176,7 +176,7 @@
 
 
 def find_literal_prefix(pattern: str) -> str:
-    """Return literal text that each path matching this regular expression begins with; empty if none is certain."""
+    """Return a literal text with which each matching path is certain to begin, or an empty text if none is known."""
     try:
         parsed = _regex_parser.parse(pattern)
     except (re.error, OverflowError):
