--- a/benchmarks/operate.py
+++ b/benchmarks/operate.py
@@ -39,7 +39,7 @@
 
 
 async def measure_command(count: int) -> Figures:
-    """Time one command to members in this process, each of which answers after up to `MAX_DELAY_S`."""
+    """Measure the time of one command to members in this process, each of which answers after up to `MAX_DELAY_S`."""
     rng, servers, members, slowest = random.Random(1), list[Server](), {}, 0.0
     for number in range(count):
         delay = rng.uniform(0.0, MAX_DELAY_S)
@@ -57,7 +57,7 @@
 
 
 def measure_settings(lines: int) -> Figures:
-    """Time the reading and checking of a settings file that has this many lines of backends."""
+    """Measure the time to read and check a settings file that has this many lines of backends."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "c.rec"
         rows = "".join(f"    b{number}: {{weight: {1 + number % 9}}}\n" for number in range(lines))
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -54,7 +54,7 @@
 
 
 def measure_lookups(count: int) -> Figures:
-    """Time lookups among this many locations, and check that both matchers find the same location.
+    """Measure the time of lookups among this many locations, and check that both matchers find the same location.
 
     `linear_and_compiled_us` is the time of a lookup in both matchers, since each is checked against the other.
     """
@@ -84,7 +84,7 @@
 
 
 def measure_reading(count: int) -> Figures:
-    """Time the reading of a routing file with this many locations."""
+    """Measure the time to read a routing file with this many locations."""
     host = VirtualHost(("x",), locations=tuple(create_locations(count)))
     routing = Routing({"p": Pool("p", (Server("a:1"),))}, (host,))
     with tempfile.TemporaryDirectory() as folder:
