--- a/tests/controller_rig.py
+++ b/tests/controller_rig.py
@@ -59,7 +59,8 @@
 class Rig:
     """One controller and its agents, on a simulated clock.
 
-    `disconnect` loses the messages of a stream. Messages to proxies in `stalled` are lost too: their streams take none.
+    `disconnect` loses the messages of a stream. Messages to proxies in `stalled` are lost too, since their streams
+    accept none.
     """
 
     def __init__(self, backends: int = 6, proxies: int = 0, seed: int = 1, **channel: float) -> None:
--- a/tests/programs.py
+++ b/tests/programs.py
@@ -1,6 +1,8 @@
 """Runs the installed programs as processes, and talks to them as another program would.
 
-Nothing of the code under test is imported here: the tests that use this module see settings files, bytes and disk."""
+Nothing of the code under test is imported here: the tests that use this module exchange data only through
+settings files, sockets and the disk.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +26,7 @@
 
 
 def until(what: Callable[[], Any]) -> Any:
-    """The first true value, asked for again and again: for what no log line and no request tells."""
+    """Call the function until it returns a true value, and return that; for conditions that no log or request shows."""
     end = time.monotonic() + PATIENCE
     while not (found := what()):
         assert time.monotonic() < end, "not in time"
@@ -33,7 +35,7 @@
 
 
 class Program:
-    """One process. Its log (one JSON object a line on standard error) tells when something has happened."""
+    """A process whose log, one JSON object per line on standard error, shows when an event has happened."""
 
     def __init__(self, folder: Path, *words: str, **variables: str) -> None:
         self.process = subprocess.Popen(
@@ -55,7 +57,7 @@
             self.changed.notify_all()
 
     def logged(self, event: str, **fields: object) -> dict[str, Any]:
-        """The first log line of this event with these fields, as soon as there is one."""
+        """Wait for the first log line of this event with these fields, and return it."""
 
         def found() -> dict[str, Any] | None:
             fitting = (each for each in self.lines if each["event"] == event)
@@ -68,13 +70,13 @@
         return line
 
     def repeated(self, event: str, times: int) -> None:
-        """Returns once the log has so many lines of this event."""
+        """Wait until the log has at least `times` lines of this event."""
         with self.changed:
             found = self.changed.wait_for(lambda: [e["event"] for e in self.lines].count(event) >= times, PATIENCE)
         assert found, self.lines
 
     def end(self) -> int:
-        """Asks the process to end; its exit code."""
+        """End the process by SIGTERM and return its exit code. If it does not end in time, kill it and raise."""
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
         try:
@@ -85,7 +87,7 @@
 
 
 class Reply(NamedTuple):
-    """Header names in lower case."""
+    """An HTTP response. The names of `headers` are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -96,13 +98,16 @@
 
 
 class Line:
-    """One HTTP connection, for as many requests as wanted."""
+    """An HTTP connection for any number of requests."""
 
     def __init__(self, port: int) -> None:
         self.connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE)
 
     def ask(self, method: str, target: str, body: object = None, **headers: str) -> Reply:
-        """Bytes are sent as they are, other values as JSON; header names take underscores for dashes."""
+        """Send a request and return the response.
+
+        A body of bytes is sent unchanged, any other value as JSON. Underscores in header names are sent as dashes.
+        """
         data = body if body is None or isinstance(body, bytes) else json.dumps(body).encode()
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         self.connection.request(method, target, data, named)
@@ -111,7 +116,7 @@
 
 
 def ask(port: int, method: str, target: str, body: object = None, **headers: str) -> Reply:
-    """One HTTP request on a connection of its own."""
+    """Send one HTTP request on a new connection and return the response."""
     line = Line(port)
     try:
         return line.ask(method, target, body, **headers)
@@ -120,7 +125,7 @@
 
 
 class Request(NamedTuple):
-    """What a peer was asked; header names as they were sent."""
+    """An HTTP request that a peer received, with header names as they were sent."""
 
     method: str
     target: str
@@ -132,7 +137,7 @@
 
 
 class Peer:
-    """An HTTP server that keeps every request and answers by `reply`, which returns status, headers and body."""
+    """An HTTP server that records every request and responds with the status, headers and body that `reply` returns."""
 
     def __init__(self, reply: Callable[[Request], tuple[int, dict[str, str], bytes]]) -> None:
         self.requests: list[Request] = []
@@ -159,13 +164,13 @@
             do_GET = do_HEAD = do_POST = do_PUT = do_PATCH = answer  # noqa: N815  the names that http.server calls
 
             def log_message(self, *_: object) -> None:
-                """Nothing is written."""
+                """Write no log."""
 
         class Server(ThreadingHTTPServer):
             daemon_threads = True
 
             def handle_error(self, *_: object) -> None:
-                """A client that has gone meanwhile wants no answer."""
+                """Ignore errors, since a client may close its connection before the response."""
 
         self.server = Server(("127.0.0.1", 0), Handler)
         self.port = int(self.server.server_address[1])
@@ -173,7 +178,7 @@
         self.thread.start()
 
     def asked(self, method: str, target: str, count: int = 1) -> Request:
-        """The request of this method whose target begins so, as soon as that many have come."""
+        """Wait for `count` requests of this method whose targets begin with `target`, and return the last of these."""
 
         def found() -> list[Request]:
             return [each for each in self.requests if each.method == method and each.target.startswith(target)]
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -120,7 +120,7 @@
 
 
 class Killed(BaseException):
-    """Simulates SIGKILL: as no `except Exception` or `except OSError` catches it, no clean-up after errors runs."""
+    """Simulates SIGKILL: no `except Exception` or `except OSError` catches it, so no clean-up after errors runs."""
 
 
 def settings(folder: Path) -> AgentSettings:
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -64,7 +64,7 @@
                     self.send(member.tick(self.now))
 
     def all_agree(self) -> bool:
-        """Return whether every running member holds exactly the running members for alive."""
+        """Return whether every running member considers exactly the running members alive."""
         return all(member.alive() == sorted(self.members) for member in self.members.values())
 
 
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -101,7 +101,7 @@
 
 
 class SimulatedBackends:
-    """Backends that each send a body per tenth of a second, timed by clocks of their own, to a decoder with a budget."""
+    """Backends that send a body each tenth of a second, with times by their own clocks, to a decoder with a budget."""
 
     def __init__(self, seed: int = 1, count: int = 20, budget: int = 10_000_000) -> None:
         self.random, self.now, self.budget = Random(seed), START, budget
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -57,7 +57,8 @@
         report_traffic(harness, 1, all=(10, 12_000))
         targets.append(harness.policy.admission.target_rate)
     limits = [target for target in targets if target]
-    # The first cut is to 0.8 of the served rate, the limit 0.7 of it; the highest served rate decays by 0.5 % a second.
+    # The first cut is to 0.8 of the served rate, and no cut goes below 0.7 of it. The highest served rate decays by
+    # 0.5 % a second.
     assert limits and min(limits) > 0.82 * limits[0]
 
 
@@ -115,7 +116,8 @@
 
 
 def test_small_changes_of_admission_levels_are_not_sent() -> None:
-    # A message to every proxy each second, for a change of a level by 0.01, delayed withdrawals of departed backends.
+    # Withdrawals of departed backends were delayed by messages that told every proxy each second of a level changed by
+    # 0.01.
     harness = fleet(8, *range(6))
     report_traffic(harness, 3, requests=30)
     report_traffic(harness, 6, requests=30, all=(10, 12_000))
--- a/tests/test_policy_host.py
+++ b/tests/test_policy_host.py
@@ -60,8 +60,8 @@
         sent = []
         for proxy, stream, update in effects.updates:
             assert self.streams[proxy] == stream
-            # The update may hold more lines than the policy has counted only for backends that it restores, because the
-            # host adds those for withdrawals sent on an earlier stream.
+            # The host also restores backends whose withdrawals were sent on an earlier stream. Apart from restored
+            # backends, the update holds no more lines than the policy has counted.
             counted_lines = self.host.policy.round_recipients[proxy] - self.host.policy.channel.message_cost + 1
             assert update.line_count <= counted_lines + len(update.restored)
             self.proxies[proxy].apply(update)
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -84,7 +84,8 @@
             overloaded = equal_backends and warmup < 1 and load > OVERLOAD_FACTOR * warmup
             if not overloaded:
                 self.overloaded_since.pop((number, backend), None)
-            # The controller has the drain grace, from the start of the overload or the join, to correct the lines.
+            # The controller must correct the lines within the drain grace after the start of the overload or the join,
+            # whichever is later.
             since = self.overloaded_since.setdefault((number, backend), now) if overloaded else now
             assert now - max(since, proxy.joined_at) <= DRAIN_GRACE * slowdown, (backend, load, warmup)
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests routing decisions by nginx's published rules, the import and export of nginx blocks, and routed traffic."""
+"""Tests of routing decisions by nginx's published rules, the import and export of nginx blocks, and routed traffic."""
 
 from __future__ import annotations
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -30,7 +30,7 @@
 
 
 def list_served(t: float, state: str = "ready") -> Event:
-    """Discovery serves a list of two backends, the first in a state."""
+    """Return the event that discovery serves a list of two backends, the first of them in this state."""
     backends = [
         {"id": "b1", "address": "127.0.0.1:1", "state": state, "started": 0.0},
         {"id": "b2", "address": "127.0.0.1:2", "state": "ready", "started": 0.0},
@@ -39,12 +39,12 @@
 
 
 def bytes_relayed(t: float, way: str, text: str) -> Event:
-    """Text passes the stream's relay, forward or back."""
+    """Return the event that a text passes the stream's relay, to the agent (`>`) or back (`<`)."""
     return {"t": t, "what": "carried", "link": 1, "way": way, "data": base64.b64encode(text.encode()).decode()}
 
 
 def exchange(t: float, method: str = "HEAD", order: str = "", body: str = "", token: int = 1) -> list[Event]:
-    """A request on the stream to the agent and its response."""
+    """Return the events of a request on the stream to the agent and of its response."""
     headers = f"onyxhead-token: {token}\r\nonyxhead-order: {order}\r\ncontent-length: {len(body)}\r\n" if order else ""
     request = f"{method} /v1/view HTTP/1.1\r\nhost: x\r\nonyxhead-stream: c0.s\r\n{headers}\r\n{body}"
     response = 'HTTP/1.1 200 OK\r\netag: "x"\r\ncontent-length: 0\r\n\r\n'
@@ -52,7 +52,7 @@
 
 
 def scenario_events(*events: Event) -> list[Event]:
-    """A scenario in which one agent joins and one request is served, and the given events happen."""
+    """Return the events of a scenario: one agent joins, one request is served, and the given events happen."""
     opened = {"t": 1.0, "what": "open", "link": 1, "of": "", "to": "p1"}
     started = {"t": 1.5, "what": "asked", "flow": "f", "group": "g", "utility": 2.0}
     finished = {"t": 1.6, "what": "ended", "flow": "f", "status": 200, "took": 0.1, "good": True}
@@ -61,7 +61,7 @@
 
 
 def evaluate_events(folder: Path, *events: Event) -> Verdict:
-    """The verdict on a scenario with the given events, whose record ends with a line written in part."""
+    """Return the verdict on a scenario with these events, whose record ends with a partially written line."""
     folder.mkdir(exist_ok=True)
     lines = map(json.dumps, scenario_events(*events))
     (folder / "all.jsonl").write_text("\n".join(lines) + '\n{"t": 3, "torn')
@@ -73,17 +73,17 @@
 
 
 def attempt_sent(t: float, port: int) -> Event:
-    """The proxy sends an attempt to a backend."""
+    """Return the event that the proxy sends an attempt to a backend."""
     return proxy_event(t, "sent", port)
 
 
 def no_endpoint(t: float) -> Event:
-    """The proxy has no endpoint for a request."""
+    """Return the event that the proxy has no endpoint for a request."""
     return proxy_event(t, "bare")
 
 
 def request_executed(backend: str, group: str = "g", attempt: str = "0") -> Event:
-    """A backend executes an attempt of the one request."""
+    """Return the event that a backend executes an attempt of the only request."""
     return {"t": 5.0, "what": "effect", "flow": "f", "attempt": attempt, "group": group, "backend": backend}
 
 
@@ -164,7 +164,7 @@
 
 
 def weight_round(agent: str, at: float, weight: int | None, snapshot: bool = False) -> DeliveredRound:
-    """A round that an agent accepts, with a weight for one backend; None takes its line away."""
+    """Return a round that an agent accepts and that sets the weight of one backend; None removes its line."""
     line = None if weight is None else {"address": "127.0.0.1:1", "weight": weight, "zone": "north"}
     document = {"tables": {"t0": {"lines": {"b1": line}}}}
     return DeliveredRound("c0", agent, at, at, at, 200, 9, snapshot, document, "s", 1)
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -193,7 +193,10 @@
                     receiver.on_report(name, decode_budget_report(copy.deepcopy(encode_budget_report(member.report()))))
 
     def excess(self) -> float:
-        """Return by how much the load that all members may cause exceeds what a backend can take."""
+        """Return the excess of the load that all members may cause at a backend over the sum of their capacities.
+
+        The result is the greatest excess over all incarnations, or 0 if there is none.
+        """
         worst = 0.0
         for incarnation in self.incarnations:
             used = 0.0
