--- a/benchmarks/intake.py
+++ b/benchmarks/intake.py
@@ -77,7 +77,8 @@
     def add(self, backend: int, observation: BackendObservation, estimate: float, now: float) -> None:
         """Record an estimate at the time `now`.
 
-        Until the estimate has followed the last jump, only its delay counts and no errors are recorded.
+        Between a jump of the true load and the first accurate estimate after it, no errors are recorded. That estimate
+        records only the delay since the jump.
         """
         truth = true_load(backend, now)
         error = abs(estimate - truth) / truth
--- a/onyxhead/console/alarms.py
+++ b/onyxhead/console/alarms.py
@@ -8,7 +8,7 @@
 
 MAX_LIST_AGE_S = 60.0
 MAX_QUEUE_FRACTION = 0.7
-"""Greatest used fraction of the channel's queue without an alarm; above it updates may be late."""
+"""If more than this fraction of the channel's queue is in use, an alarm is raised, as updates may be late."""
 MAX_TABLE_WAIT_S = 3.0
 """Time after a join within which a proxy should have received its tables."""
 MAX_NAMED_BACKENDS = 6
--- a/onyxhead/fronts/netconf/capabilities.py
+++ b/onyxhead/fronts/netconf/capabilities.py
@@ -45,7 +45,7 @@
 def read_client_hello(root: Element) -> set[str] | None:
     """Return the capabilities in a client's `hello`, or None if the message is invalid as the first of a session.
 
-    The message is invalid if it is no `hello`, has a `session-id`, or announces neither NETCONF 1.0 nor 1.1.
+    The message is invalid if it is not a `hello`, has a `session-id`, or announces neither NETCONF 1.0 nor 1.1.
     """
     capabilities = {text_of(element) for element in root.iter(f"{{{BASE_NAMESPACE}}}capability")}
     is_hello = local_name(root) == "hello" and find_child(root, "session-id") is None
--- a/onyxhead/fronts/netconf/framing.py
+++ b/onyxhead/fronts/netconf/framing.py
@@ -69,7 +69,7 @@
                 message, self._message = bytes(self._message), bytearray()
                 return message
             size = _chunk_size(header)
-            # The size is checked before the data arrives, so that an excessive size is never awaited or buffered.
+            # The size is checked before the data arrives, so that a chunk of excessive size is not awaited or buffered.
             self._check_length(len(self._message) + size)
             if len(self._received) < data_start + size:
                 return None
--- a/onyxhead/incident/backend_states.py
+++ b/onyxhead/incident/backend_states.py
@@ -1,4 +1,4 @@
-"""The state of each backend over time by each controller's decisions, and disagreements between controllers. No I/O."""
+"""Backend states over time according to each controller's decisions, and disagreements of controllers. No I/O."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 ) -> list[Event]:
     """Return an event for each time that two controllers disagreed for longer than `min_duration` seconds.
 
-    Two controllers disagree while a backend is out by the decisions of one and in use by those of the other.
+    Two controllers disagree while a backend is out according to the decisions of one and in use according to the other.
     """
     events = []
     for backend, controllers in history.items():
--- a/onyxhead/operate/overrides.py
+++ b/onyxhead/operate/overrides.py
@@ -1,7 +1,8 @@
 """Operators' overrides of one controller's backends, and the answers to the commands that made them. No I/O.
 
 The controller stores `to_record` before it acts on a command or answers it. A command that is sent twice is therefore
-executed once, also across a restart: either its answer was stored and is given again, or its execution had not begun.
+executed only once, even if the controller restarts in between: either its answer was stored and is given again, or its
+execution had not begun.
 
 A drained backend is out of use until it is restored. A cordoned backend that serves stays in use until it restarts; a
 cordoned backend that does not serve stays out of use.
@@ -120,7 +121,8 @@
 def keeps_out(overrides: BackendOverrides, backend: str, started: float, serving: Mapping[str, float]) -> bool:
     """Return whether an override keeps a backend out of use.
 
-    `started` is the backend's start time by the endpoint list; `serving` maps the backends in use to their start times.
+    `started` is the start time of the backend in the endpoint list. `serving` maps the backends in use to their start
+    times.
     """
     if backend in overrides.drained:
         return True
