--- a/onyxhead/incident/backend_states.py
+++ b/onyxhead/incident/backend_states.py
@@ -1,4 +1,4 @@
-"""The state of each backend over time by each controller's decisions, and disagreements between controllers. No I/O."""
+"""Backend states over time according to each controller's decisions, and disagreements of controllers. No I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class BackendState(StrEnum):
-    """The state of a backend by a controller's decisions; the values are shown on the page."""
+    """The state of a backend according to a controller's decisions; the values are shown on the page."""
 
     IN = "in"
     PARTLY_IN = "part"
@@ -109,7 +109,7 @@
 ) -> list[Event]:
     """Return an event for each time that two controllers disagreed for longer than `min_duration` seconds.
 
-    Two controllers disagree while a backend is out by the decisions of one and in use by those of the other.
+    Two controllers disagree while a backend is out according to the decisions of one and in use according to the other.
     """
     events = []
     for backend, controllers in history.items():
