--- a/onyxhead/incident/events.py
+++ b/onyxhead/incident/events.py
@@ -45,7 +45,9 @@
     for period in periods:
         name = period.name
         events += [
-            Event(incarnation.began, name, EventKind.STARTED, f"controller started (incarnation {incarnation.epoch})")
+            Event(
+                incarnation.started_at, name, EventKind.STARTED, f"controller started (incarnation {incarnation.epoch})"
+            )
             for incarnation in period.incarnations
         ]
         events += [
@@ -53,7 +55,7 @@
             for received in period.endpoint_lists
         ]
         events += [
-            Event(entry.at, name, EventKind.OPERATOR, f"{entry.user}: {entry.what}: {entry.result}")
+            Event(entry.at, name, EventKind.OPERATOR, f"{entry.user}: {entry.action}: {entry.result}")
             for entry in period.audit
         ]
         for record in period.decisions:
--- a/onyxhead/incident/gaps.py
+++ b/onyxhead/incident/gaps.py
@@ -38,12 +38,12 @@
         return [Gap(name, since, until, "no records at all")]
     gaps: list[Gap] = []
     first, last = incarnations[0], incarnations[-1]
-    if first.began > since:
-        gaps.append(Gap(name, since, min(until, first.began), "no earlier records"))
+    if first.started_at > since:
+        gaps.append(Gap(name, since, min(until, first.started_at), "no earlier records"))
     for before, after in pairwise(incarnations):
-        within = after.began > since and before.seen < until
-        if within and after.began - before.seen > MIN_DOWNTIME_S:
-            gaps.append(Gap(name, max(since, before.seen), min(until, after.began), "controller was down"))
-    if until - last.seen > HEARTBEAT_TIMEOUT_S:
-        gaps.append(Gap(name, max(since, last.seen), None, "no later records"))
+        within = after.started_at > since and before.last_seen_at < until
+        if within and after.started_at - before.last_seen_at > MIN_DOWNTIME_S:
+            gaps.append(Gap(name, max(since, before.last_seen_at), min(until, after.started_at), "controller was down"))
+    if until - last.last_seen_at > HEARTBEAT_TIMEOUT_S:
+        gaps.append(Gap(name, max(since, last.last_seen_at), None, "no later records"))
     return gaps
--- a/onyxhead/policy/balancer.py
+++ b/onyxhead/policy/balancer.py
@@ -239,7 +239,7 @@
         self.weights.unreachable_zones = find_unreachable_zones(ready)
         self._update_estimates(now, ready)
         # Withdrawals that wait for room in the channel go before changes of levels and weights.
-        if self.withdrawals.due(now, self.withdrawals.gather_time):
+        if self.withdrawals.due(now, self.withdrawals.batching_window):
             return
         yield from self.admission.send_levels(self.subsets.tables, self.proxies)
         yield from self.table_updater.send_changes(now, self.rates)
@@ -259,7 +259,7 @@
         """Recompute request rates and capacities, then the weight factors and admission levels that depend on them."""
         tables, rates, fleet = self.subsets.tables, self.rates, self.fleet
         rates.update(ready, self.proxies, tables, self.admission.levels)
-        default_rate = self.warmup_limiter.least_bearable_load * rates.baseline_per_weight
+        default_rate = self.warmup_limiter.max_load_ratio_during_ejection * rates.baseline_per_weight
         limited = self.subsets.connection_limited
         capacity = update_capacities(now, ready, tables, rates.per_weight, self.slow_start, default_rate, limited)
         warmup_fraction = self.warmup_limiter.limit(now, ready, tables, rates, fleet)
--- a/onyxhead/policy/table_assignment.py
+++ b/onyxhead/policy/table_assignment.py
@@ -44,7 +44,7 @@
         """Yield the assignments that fit into the channel and reserve room for them, most urgent proxies first."""
         waiting = self._proxies.waiting_for_tables()
         # Due withdrawals go first; full tables would take the room that they need.
-        if not waiting or self._withdrawals.due(now, self._withdrawals.gather_time):
+        if not waiting or self._withdrawals.due(now, self._withdrawals.batching_window):
             return
         repeats_pending = bool(self._withdrawals.due(now, -1))
         old_tables_unsafe = self._old_tables_may_be_unsafe(now)
@@ -58,7 +58,7 @@
             cost = self._cost(tables)
             if repeats_pending and len(waiting) * cost > self._channel.lines_within(self._drain_grace) / 2:
                 return  # withdrawals must be repeated first; full tables for the waiting proxies would delay them
-            waited_long = now - proxy.joined_at > self._withdrawals.gather_time
+            waited_long = now - proxy.joined_at > self._withdrawals.batching_window
             urgent = (old_tables_unsafe and waited_long) or not proxy.assigned_tables <= usable
             if not self._fits(now, proxy, cost, urgent):
                 return
--- a/onyxhead/policy/warmup_limits.py
+++ b/onyxhead/policy/warmup_limits.py
@@ -15,7 +15,7 @@
 
 #: A warming backend may get this fraction of the load that makes it fail; the rest allows for chance and late reports.
 OVERLOAD_MARGIN = 0.5
-#: If proxies eject a backend after n failures in a row, the bearable load is divided by 1 + this number / n, because
+#: If proxies eject a backend after n failures in a row, the maximum load ratio is divided by 1 + this number / n:
 #: the newest backend, which has not failed yet, gets the load of the ejected ones.
 EJECTION_FAILURE_SCALE = 6
 #: The effect of ejection counts fully once at least this fraction of attempts fails.
@@ -33,14 +33,15 @@
         ejection_failures = deployment.proxy_ejection_failures
         self._ejects = ejection_failures > 0
         self._ejection_effect = EJECTION_FAILURE_SCALE / ejection_failures if ejection_failures else 0.0
-        self._bearable_load = deployment.safety.overload_factor * OVERLOAD_MARGIN
+        #: The load that a backend can bear, as a multiple of its normal load.
+        self._max_load_ratio = deployment.safety.overload_factor * OVERLOAD_MARGIN
         self._slow_start = slow_start
         self._weights = weights
 
     @property
-    def least_bearable_load(self) -> float:
+    def max_load_ratio_during_ejection(self) -> float:
         """Return the load that a backend can bear while proxies eject others, as a multiple of its normal load."""
-        return self._bearable_load / (1 + self._ejection_effect)
+        return self._max_load_ratio / (1 + self._ejection_effect)
 
     def limit(
         self, now: int, ready: Sequence[Backend], tables: Sequence[Table], rates: RequestRates, fleet: FleetStatistics
@@ -80,7 +81,7 @@
         """Lower the limits to what each warming backend can bear, and return the admissible fraction of requests."""
         # Without failures, proxies eject no backend, and a growing fleet needs its warming backends.
         ejection = self._ejection_effect * min(1.0, failure_fraction / FULL_EJECTION_FAILURES)
-        bearable_load = self._bearable_load / (1 + ejection)
+        max_load_ratio = self._max_load_ratio / (1 + ejection)
         admissible = 1.0
         for iteration in range(LIMIT_ITERATIONS if warming else 0):
             admissible = 1.0
@@ -88,14 +89,14 @@
             for backend, fraction in warming:
                 accepting = [table for table in tables if table.accepts(backend)]
                 load = sum(per_weight[t.number] * self._weights.weight(backend, t, now) for t in accepting)
-                bearable_when_warm = bearable_load * rates.baseline_per_weight * backend.weight
-                bearable = bearable_when_warm * backend.health_weight * fraction
+                warm_capacity = max_load_ratio * rates.baseline_per_weight * backend.weight
+                capacity = warm_capacity * backend.health_weight * fraction
                 if iteration == 0:
-                    backend.unlimited_load = load / bearable if bearable else 0.0
-                bearable *= backend.budget_share
-                if load > bearable:
-                    admissible = min(admissible, bearable / load)
-                    backend.warmup_limit *= bearable / load
+                    backend.unlimited_load = load / capacity if capacity else 0.0
+                capacity *= backend.budget_share
+                if load > capacity:
+                    admissible = min(admissible, capacity / load)
+                    backend.warmup_limit *= capacity / load
         return admissible
 
     def _rates_per_weight(
--- a/onyxhead/policy/withdrawals.py
+++ b/onyxhead/policy/withdrawals.py
@@ -10,8 +10,8 @@
 from onyxhead.policy.proxies import Proxy, ProxyRegistry
 from onyxhead.policy.subsetting import Subsetting
 
-#: While the channel is busy, withdrawals may gather for the drain grace divided by this number.
-GATHER_DIVISOR = 6
+#: While the channel is busy, the batching window of withdrawals is the drain grace divided by this number.
+BATCHING_WINDOW_DIVISOR = 6
 #: A proxy that joins may have missed withdrawals while it was away, for up to this many drain graces.
 MAX_ABSENCE_GRACES = 4
 #: A withdrawal is repeated at most this many times per drain grace.
@@ -29,8 +29,8 @@
         subsets: Subsetting,
         drain_grace: int,
     ) -> None:
-        #: The time for which withdrawals may gather, in ticks.
-        self.gather_time = drain_grace // GATHER_DIVISOR
+        #: On a busy channel, withdrawals wait at least this many ticks for others.
+        self.batching_window = drain_grace // BATCHING_WINDOW_DIVISOR
         #: Set if the current round asks all proxies for an acknowledgement of its withdrawals.
         self.notifies_all = False
         self._channel = channel
@@ -76,12 +76,12 @@
     def withdraw(self, now: int) -> Iterator[Withdrawal]:
         """Yield the due withdrawals and reserve room for them, as many as fit into the channel."""
         self.notifies_all = False
-        all_proxies, due = self._proxies.all(), self.due(now, self.gather_time)
+        all_proxies, due = self._proxies.all(), self.due(now, self.batching_window)
         if not due:
             return
         lines_left = self._channel.available(WITHDRAWAL_QUEUE_FRACTION, all_proxies) * len(all_proxies)
         holders = self._find_holders(due, all_proxies)
-        if self._should_gather(now, due, lines_left, sum(map(len, holders.values())), len(all_proxies)):
+        if self._should_wait_for_batch(now, due, lines_left, sum(map(len, holders.values())), len(all_proxies)):
             return
         for backend in sorted(due, key=lambda candidate: _urgency(candidate, now)):
             lines_left -= len(holders[backend.id])
@@ -97,7 +97,9 @@
             self._channel.reserve(1, holders[backend.id])
             yield Withdrawal(backend.id, True)
 
-    def _should_gather(self, now: int, due: Sequence[Backend], lines_left: float, cost: int, proxy_count: int) -> bool:
+    def _should_wait_for_batch(
+        self, now: int, due: Sequence[Backend], lines_left: float, cost: int, proxy_count: int
+    ) -> bool:
         """Return whether to wait for more withdrawals before sending those that are due.
 
         The overhead of a message outweighs the line of a withdrawal, so withdrawals sent one by one would fill a busy
@@ -107,7 +109,7 @@
         overhead = channel.message_cost * proxy_count
         if channel.queued() <= overhead:
             return False
-        early = now - min(backend.departed_at or now for backend in due) < self.gather_time
+        early = now - min(backend.departed_at or now for backend in due) < self.batching_window
         # A channel slower than configured is still busy after `drained_at`, which recent acknowledgements and little
         # room show. Sent one by one, withdrawals would then consist almost entirely of overhead.
         acknowledged_recently = now < channel.last_acknowledged + 2 * channel.max_delay
--- a/onyxhead/store/records.py
+++ b/onyxhead/store/records.py
@@ -80,11 +80,11 @@
 
 
 class IncarnationRecord(NamedTuple):
-    """One incarnation of a controller: its epoch, its start (`began`) and its last heartbeat (`seen`), in Unix time."""
+    """One incarnation of a controller: its epoch, its start and its last heartbeat, in Unix time."""
 
     epoch: int
-    began: float
-    seen: float
+    started_at: float
+    last_seen_at: float
 
 
 class EndpointListRecord(NamedTuple):
@@ -95,11 +95,11 @@
 
 
 class AuditRecord(NamedTuple):
-    """An operator's command (`what`) and its result."""
+    """An operator's action and its result."""
 
     at: float
     user: str
-    what: str
+    action: str
     result: str
 
 
--- a/tests/test_policy_withdrawals.py
+++ b/tests/test_policy_withdrawals.py
@@ -13,7 +13,7 @@
     assert TableChange(0, (("b2", 0),)) in harness.run(2)
 
 
-def test_withdrawals_gather_into_few_messages_while_the_channel_is_busy() -> None:
+def test_withdrawals_are_batched_into_few_messages_while_the_channel_is_busy() -> None:
     harness = fleet(20, *range(30))
     harness.run(30)
     harness.lines_per_second /= 2
@@ -50,7 +50,7 @@
     assert repeated[:2] == ["b19", "b18"], repeated
 
 
-def test_withdrawals_gather_if_acknowledgements_show_that_the_channel_is_far_slower_than_configured() -> None:
+def test_withdrawals_are_batched_if_acknowledgements_show_that_the_channel_is_far_slower_than_configured() -> None:
     # Each withdrawal was sent alone as soon as it had room, in a message to every proxy, and reached the last proxy 15 s
     # late.
     harness = fleet(40, *range(50))
