--- a/onyxhead/fleet/slow_start_budget.py
+++ b/onyxhead/fleet/slow_start_budget.py
@@ -139,15 +139,15 @@
         Grants from other controllers can raise it above 1.
         """
         load = self.loads.get(incarnation)
-        may_have_lent = not self.history_complete and self._may_be_older(incarnation)
+        may_have_granted = not self.history_complete and self._may_be_older(incarnation)
         if load is None or load.capacity <= 0:
             # The own capacity is not known yet. Whatever it is, at most MAX_GRANTED_FRACTION of it can have been lent.
-            lent = any(grant.incarnation == incarnation for grant in self.granted.values())
-            return 1.0 - MAX_GRANTED_FRACTION if lent or may_have_lent else 1.0
-        own_share = max(0.0, 1.0 - self._lent(incarnation) / load.capacity)
-        if may_have_lent:
+            has_granted = any(grant.incarnation == incarnation for grant in self.granted.values())
+            return 1.0 - MAX_GRANTED_FRACTION if has_granted or may_have_granted else 1.0
+        own_share = max(0.0, 1.0 - self._granted_capacity(incarnation) / load.capacity)
+        if may_have_granted:
             own_share = min(own_share, 1.0 - MAX_GRANTED_FRACTION)
-        return own_share + self._borrowed(incarnation) / load.capacity
+        return own_share + self._received_capacity(incarnation) / load.capacity
 
     def grant(self) -> list[BudgetGrant]:
         """Make, store and return new grants of unused capacity to members with a shortfall.
@@ -180,9 +180,9 @@
             self.shortfalls[member] = remaining
 
     def _spare(self, incarnation: Incarnation, load: IncarnationLoad) -> float:
-        lendable = MAX_GRANTED_FRACTION * load.capacity - self._lent(incarnation)
+        grantable = MAX_GRANTED_FRACTION * load.capacity - self._granted_capacity(incarnation)
         unused = load.capacity * self.share(incarnation) - load.demand
-        return min(lendable, GRANTED_SPARE_FRACTION * unused)
+        return min(grantable, GRANTED_SPARE_FRACTION * unused)
 
     def _shortfalls_at(self, incarnation: Incarnation) -> list[tuple[float, str]]:
         """Return the shortfalls at an endpoint with their members, the greatest first."""
@@ -192,10 +192,10 @@
     def _may_be_older(self, incarnation: Incarnation) -> bool:
         return incarnation.started_at <= self.started_at + MAX_CLOCK_SKEW
 
-    def _lent(self, incarnation: Incarnation) -> float:
+    def _granted_capacity(self, incarnation: Incarnation) -> float:
         return sum(grant.amount for grant in self.granted.values() if grant.incarnation == incarnation)
 
-    def _borrowed(self, incarnation: Incarnation) -> float:
+    def _received_capacity(self, incarnation: Incarnation) -> float:
         return sum(grant.amount for grant in self.received.values() if grant.incarnation == incarnation)
 
     # Reports
--- a/onyxhead/policy/admission.py
+++ b/onyxhead/policy/admission.py
@@ -167,13 +167,13 @@
         for table in tables:
             users = table.users(proxies.by_id.values())
             for group in table.groups:
-                wanted = round(min(self.levels[group], max_level), 2)
-                sent = table.admission_levels.get(group, 1.0)
-                if not _must_send(wanted, sent):
+                target_level = round(min(self.levels[group], max_level), 2)
+                sent_level = table.admission_levels.get(group, 1.0)
+                if not _must_send(target_level, sent_level):
                     continue
                 if self._channel.available(CHANGE_QUEUE_FRACTION, users) < 1:
                     return
-                table.admission_levels[group] = wanted
+                table.admission_levels[group] = target_level
                 self._channel.reserve(1, users)
                 yield AdmissionLevel(table.number, (group,), self._value(group, proxies), self.retry_modes[group])
 
@@ -200,11 +200,11 @@
         return UNLIMITED_RATE
 
 
-def _must_send(wanted: float, sent: float) -> bool:
+def _must_send(target_level: float, sent_level: float) -> bool:
     """Return whether a level changed enough for a message to every proxy, or begins or ends a limit."""
-    if wanted == sent:
+    if target_level == sent_level:
         return False
-    return max(wanted, sent) >= 1 or is_significant(wanted, sent)
+    return max(target_level, sent_level) >= 1 or is_significant(target_level, sent_level)
 
 
 def retry_mode(group: TrafficGroup, deployment: Deployment) -> int:
--- a/onyxhead/policy/line_weights.py
+++ b/onyxhead/policy/line_weights.py
@@ -43,9 +43,9 @@
         return all(is_significant(self.weight(backend, table, now), backend.lines[table.number]) for table in tables)
 
 
-def is_significant(wanted: float, sent: float) -> bool:
+def is_significant(target: float, last_sent: float) -> bool:
     """Return whether two weights, or two levels, differ by more than noise."""
-    return abs(wanted - sent) > SIGNIFICANT_CHANGE * max(wanted, sent)
+    return abs(target - last_sent) > SIGNIFICANT_CHANGE * max(target, last_sent)
 
 
 def find_unreachable_zones(ready: Sequence[Backend]) -> set[int]:
--- a/onyxhead/policy/outlier_detection.py
+++ b/onyxhead/policy/outlier_detection.py
@@ -81,8 +81,8 @@
                 backend.restart_measurement(now)
                 continue
             # A changed weight that no table has yet cannot have had an effect, so the weight must not change again.
-            settled = now >= backend.measured_from + self._feedback_delay
-            if settled and not self._weights.all_unsent(backend, subsets.tables_of(backend), now):
+            feedback_delay_over = now >= backend.measured_from + self._feedback_delay
+            if feedback_delay_over and not self._weights.all_unsent(backend, subsets.tables_of(backend), now):
                 self._adjust(backend, backend.attempts_since_change, average_loss, now)
             backend.attempts_since_change.halve()
             backend.recent_attempts.halve()
