--- a/onyxhead/scenarios/endpoint_history.py
+++ b/onyxhead/scenarios/endpoint_history.py
@@ -14,7 +14,7 @@
 
 
 class Removal(NamedTuple):
-    """A change by which a backend was no longer ready, and the time at which the controller received that list."""
+    """The time `at` when a controller received the first list that no longer shows a backend as ready."""
 
     controller: str
     backend: str
--- a/onyxhead/testbed/client.py
+++ b/onyxhead/testbed/client.py
@@ -23,7 +23,7 @@
 PROXY_AVOIDANCE_S = 1.0
 """Time for which the load balancer avoids a proxy after a failure."""
 FAILURES_IGNORED_S = 2.0
-"""Time after such a period in which the load balancer ignores further failures of the proxy."""
+"""Time after the end of an avoidance in which the load balancer ignores further failures of the proxy."""
 
 
 class ClientRequest(NamedTuple):
--- a/onyxhead/testbed/discovery.py
+++ b/onyxhead/testbed/discovery.py
@@ -48,7 +48,8 @@
     async def handle(self, request: Request, _writer: asyncio.StreamWriter) -> Response:
         """Return the endpoint list.
 
-        A request whose entity tag is current waits for a change for up to LONG_POLL_S, and then gets status 304.
+        A request whose entity tag is current waits for a new list. It gets status 304 if none comes within
+        LONG_POLL_S.
         """
         if self.faults.refusing:
             return Response(503)
--- a/onyxhead/testbed/network.py
+++ b/onyxhead/testbed/network.py
@@ -59,9 +59,9 @@
         await asyncio.Event().wait()
 
     def on_faults_changed(self, changed: Set[str]) -> None:
-        """Close a share of the connections, and all that were blocked by a cut that is over.
+        """Close the share `disconnect_share` of the connections, and all blocked ones whose cut is over.
 
-        The peers of a blocked connection have given it up in the meantime.
+        A blocked connection is closed because its peers have given it up in the meantime.
         """
         share = self.faults.disconnect_share if "disconnect_share" in changed else 0.0
         for connection in list(self.open.values()):
@@ -78,8 +78,8 @@
     def is_cut(self, connection: RelayedConnection) -> bool:
         """Return whether a cut holds back the connection's bytes now.
 
-        The source of some connections is learnt from their first bytes; a zone's cut blocks such a connection only
-        after that.
+        If the source is learnt from the connection's first bytes, a cut of its zone blocks the connection only from
+        then on.
         """
         isolated = {connection.source, connection.destination} & set(self.faults.isolated)
         zones = {connection.source_zone, connection.destination_zone}
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -77,7 +77,7 @@
 def explore(check: Any = FencingTokenGuard.check) -> tuple[int, list[str]]:
     """Visit every reachable state of two controllers and an agent with three joins and three updates.
 
-    Return the number of states, and a text on each violated invariant.
+    Return the number of states, and a description of each violated invariant.
     """
     initial = SystemState(0, -1, (), (0, 0), (), 3, 3)
     seen, stack, violations = {initial}, [initial], list[str]()
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -146,8 +146,8 @@
 
 
 def test_a_reported_shift_without_observations_is_followed_between_two_assessments() -> None:
-    # Guards against estimates that keep a share of the value reported before the last assessment, which is up to a
-    # second old.
+    # Estimates must not keep a share of the value reported before the last assessment, which may be up to a second
+    # ago.
     simulation = SimulatedBackends()
     simulation.run(2)
     simulation.estimator.assess_credibility(simulation.now)
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -217,8 +217,8 @@
 
 
 def test_overlapping_calls_deliver_each_revision_once_and_in_order() -> None:
-    # After a move, the call that is open at the old address responds when the new address has already delivered a newer
-    # revision.
+    # The watch moves to a new address while a call is open at the old one. The old call responds only after the new
+    # address has delivered a newer revision.
     async def scenario() -> None:
         release_old_response = asyncio.Event()
 
@@ -253,7 +253,7 @@
                 await asyncio.sleep(0)
             release_old_response.set()
             assert old_call is not None
-            await old_call  # it is not repeated, so its task ends by itself
+            await old_call  # ends by itself, because the call is not repeated
             assert updates == [(7, False), (9, True)] and list(watch.tasks) == [watch.current]
             await watch.stop()
 
@@ -313,7 +313,7 @@
 
 
 def test_a_snapshot_without_a_draining_backend_keeps_its_withdrawal(tmp_path: Path) -> None:
-    # The snapshot arrives before the round that would withdraw the draining backend, and no longer lists it.
+    # A snapshot without the draining backend arrives before the round that would withdraw the backend.
     async def scenario() -> None:
         # With two seconds between rounds, both lists arrive before the next round.
         async with in_process_node(tmp_path, roundNs=2_000_000_000) as (node, running):
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -230,7 +230,7 @@
         assert (await send_command({"c": address}, message, 2.0))[0].status == "applied"
         first.supervisor.stopping.set()
         await wait_until(lambda: rig.tasks[0].done())
-        # The commands are sent again while the controller is down; its next incarnation answers them by their ids.
+        # The commands are sent again while the controller is down; after its restart, it answers them by their ids.
         import tests.test_controller_server as controller_rig
 
         settings_with_port = controller_rig.CONTROLLER.replace("127.0.0.1:0", f"127.0.0.1:{port}")
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -63,8 +63,8 @@
 
 
 def test_levels_follow_health_checks_before_attempt_statistics() -> None:
-    # Attempt statistics are seconds late. With these alone, a burst was over or had overloaded the fleet before a level
-    # changed.
+    # Attempt statistics are seconds late. When levels followed these alone, they changed only after a burst was over
+    # or had overloaded the fleet.
     harness = fleet(9, 1, 2, health_checks_allowed=True)
     report_traffic(harness, 3, requests=90)
     answer_health_checks(harness, 3, all=12_000)
@@ -116,8 +116,8 @@
 
 
 def test_small_changes_of_admission_levels_are_not_sent() -> None:
-    # Withdrawals of departed backends were delayed by messages that told every proxy each second of a level changed by
-    # 0.01.
+    # Each second, every proxy was sent a message about a level that had changed by 0.01. These messages delayed the
+    # withdrawals of departed backends.
     harness = fleet(8, *range(6))
     report_traffic(harness, 3, requests=30)
     report_traffic(harness, 6, requests=30, all=(10, 12_000))
--- a/tests/test_policy_subsetting.py
+++ b/tests/test_policy_subsetting.py
@@ -31,7 +31,8 @@
 
 
 def test_failed_attempts_at_unreachable_zones_cause_no_subsets() -> None:
-    # A controller that started during a network partition mistook its two unreachable zones for a lack of connections.
+    # A controller that started during a network partition took the failures at its two unreachable zones
+    # for a lack of connections.
     backends = [ready_endpoint(f"b{n}", zone=n % 3) for n in range(12)]
     harness = PolicyHarness(deployment(health_checks_allowed=True), backends)
     for proxy in range(1, 9):
@@ -77,8 +78,8 @@
 
 
 def test_tables_are_small_if_sending_full_ones_to_all_proxies_exceeds_the_drain_grace() -> None:
-    # Within the drain grace the channel carries 25 lines for each of 40 proxies: the message overhead, and 17 of the 50
-    # backends.
+    # Within the drain grace the channel carries 25 lines to each of the 40 proxies. This is enough for the cost of a
+    # message and the lines of 17 of the 50 backends.
     harness = fleet(50, *range(8), proxy_count=40)
     harness.run(4)
     lines_by_proxy = {number: set(proxy.lines()) for number, proxy in harness.proxies.items()}
--- a/tests/test_policy_table_assignment.py
+++ b/tests/test_policy_table_assignment.py
@@ -36,8 +36,8 @@
 
 
 def test_withdrawals_without_receivers_delay_no_assignment() -> None:
-    # Withdrawals were repeated for joining proxies without lines of the withdrawn backends. Their messages were never
-    # sent, hence never acknowledged, and counted as queued for minutes.
+    # Withdrawals were repeated for joining proxies that had no line of the withdrawn backends. Messages for these were
+    # never sent, hence never acknowledged, and counted as queued for minutes.
     harness = fleet(12, *range(12))
     harness.update_endpoints(*(draining_endpoint(f"b{n}") for n in range(2, 10)))
     harness.run(4)
--- a/tests/test_policy_withdrawals.py
+++ b/tests/test_policy_withdrawals.py
@@ -36,7 +36,8 @@
 
 def test_withdrawals_are_repeated_latest_first() -> None:
     # Two of three controllers died during a deploy. Repeated withdrawals of backends that had departed long before filled
-    # the third controller's channel, while proxies still used backends that departed as their own controllers died.
+    # the third controller's channel, while proxies still used the backends that had departed when
+    # the other controllers died.
     harness = fleet(40, *range(30))
     for index in range(20):
         harness.update_endpoints(draining_endpoint(f"b{index}"))
@@ -69,8 +70,8 @@
 
 
 def test_withdrawals_end_if_all_backends_return_while_a_proxy_waits_for_its_table() -> None:
-    # The proxy gets no table without a usable line, and the returning backends were held back until it had its table. So
-    # it never got any backend, although warm ones were ready.
+    # A proxy gets a table only if the table has a usable line, but the returning backends were held back until the
+    # proxy had its table. So it never got any backend, although warm ones were ready.
     harness = fleet(2, 1)
     harness.update_endpoints(departed_endpoint("b0"), departed_endpoint("b1"))
     harness.run(8)
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -193,9 +193,9 @@
                     receiver.on_report(name, decode_budget_report(copy.deepcopy(encode_budget_report(member.report()))))
 
     def excess(self) -> float:
-        """Return the excess of the load that all members may cause at a backend over the sum of their capacities.
+        """Return by how much the load that all members may cause at a backend exceeds the sum of their capacities.
 
-        The result is the greatest excess over all incarnations, or 0 if there is none.
+        The result is that of the incarnation with the most load, or 0 if the sum is not exceeded.
         """
         worst = 0.0
         for incarnation in self.incarnations:
