--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -238,7 +238,7 @@
 
 
 def test_a_writer_without_rename_would_be_detected(tmp_path: Path) -> None:
-    # Shows that a concurrent reader as in the test above does detect partial files.
+    # Checks the method of the test above: a concurrent reader sees partial files if the writer uses no rename.
     path, finished, partial_lengths = tmp_path / "f", threading.Event(), list[int]()
     path.write_bytes(b"0" * 400_000)
 
--- a/tests/test_canary.py
+++ b/tests/test_canary.py
@@ -12,7 +12,7 @@
 
 
 def report_attempts(rig: Rig, number: int, **failures: int) -> None:
-    """Report 40 attempts from every proxy, of which 1 failed, or as many as `failures` gives for that proxy."""
+    """Report 40 attempts from every proxy. Of these, 1 failed, unless `failures` gives another number for the proxy."""
     from onyxhead.controller.request_statistics import BackendStatistics, RequestStatistics
 
     for name in rig.replicas:
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -169,7 +169,7 @@
     simulation.run(4)
     assert simulation.error() < 0.05
     # All loads change at once. The estimate follows within a second if all bodies are decoded, and later if only a
-    # fifth of them is.
+    # fifth of the bodies is decoded.
     simulation.true_utilization = {
         name: 0.9 - 0.8 * utilization for name, utilization in simulation.true_utilization.items()
     }
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -111,7 +111,7 @@
             proxy = await node.connect("attach proxy 3 zone a weight 5.0 fresh 1")
             table = await proxy.receive_until(lambda message: "rows" in message)
             proxy.send(f"done proxy 3 mark {table['stamp']} took_ms 12.5")
-            # These are more connections than the node has descriptors for; each one must be closed or rejected anyway.
+            # These are more connections than the node has descriptors for; still, it must close or reject each one.
             durations = await asyncio.gather(*(time_until_end(node, data) for data in INVALID_INPUTS * 14))
             assert len(durations) == 14 * len(INVALID_INPUTS) and JOIN_TIMEOUT_S < 3
             # An invalid message on a joined stream is counted, and the stream stays open.
--- a/tests/test_node_failures.py
+++ b/tests/test_node_failures.py
@@ -353,7 +353,7 @@
 
             node.streams.encoder.encode = encode_or_fail  # type: ignore[method-assign]
             running.platform.change_member(0, phase="DRAINING")
-            # The first proxy has to join again; the other one gets the update at once.
+            # The first proxy has to join again, because its update could not be encoded. The other one gets its at once.
             assert (await proxies[1].receive_until(lambda message: "drop" in message))["drop"] == "s-0"
             while await proxies[0].receive() is not None:
                 pass
--- a/tests/test_policy_invariants.py
+++ b/tests/test_policy_invariants.py
@@ -33,7 +33,7 @@
         self.history: dict[str, list[tuple[int, Endpoint]]] = {}
         #: When each proxy last had a line, or could have none because no backend was warm.
         self.last_served: dict[int, int] = {}
-        #: Since when each warming backend has been overloaded by the lines of a proxy, by proxy and backend.
+        #: Since when the lines of a proxy have overloaded a warming backend, by proxy and backend.
         self.overloaded_since: dict[tuple[int, str], int] = {}
         self.most_ready = 0
 
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -25,7 +25,7 @@
 
 
 class SimulatedDisk:
-    """A disk that holds the stored grants, or None if nothing was stored; it can be full."""
+    """A disk with the stored grants; `stored` is None before the first write. Writing fails while `full` is set."""
 
     def __init__(self) -> None:
         self.stored: list[list[Any]] | None = None
