--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -57,8 +57,8 @@
         report_traffic(harness, 1, all=(10, 12_000))
         targets.append(harness.policy.admission.target_rate)
     limits = [target for target in targets if target]
-    # Cuts refer to the highest served rate, which decays by 0.5 % a second. The first cut is to 0.8 of it, and no cut
-    # goes below 0.7 of it.
+    # The first cut is to 0.8 of the served rate, and no cut goes below 0.7 of it. The highest served rate is remembered
+    # for this, and decays by 0.5 % a second.
     assert limits and min(limits) > 0.82 * limits[0]
 
 
