--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -146,8 +146,8 @@
 
 
 def test_a_reported_shift_without_observations_is_followed_between_two_assessments() -> None:
-    # Guards against estimates that keep a share of the value reported before the last assessment, which is up to a
-    # second old.
+    # Estimates must not keep a share of the value reported before the last assessment, which may be up to a second
+    # ago.
     simulation = SimulatedBackends()
     simulation.run(2)
     simulation.estimator.assess_credibility(simulation.now)
@@ -169,7 +169,7 @@
     simulation.run(4)
     assert simulation.error() < 0.05
     # All loads change at once. The estimate follows within a second if all bodies are decoded, and later if only a
-    # fifth of them is.
+    # fifth of the bodies is decoded.
     simulation.true_utilization = {
         name: 0.9 - 0.8 * utilization for name, utilization in simulation.true_utilization.items()
     }
