--- a/onyxhead/agent/controller_client.py
+++ b/onyxhead/agent/controller_client.py
@@ -24,7 +24,7 @@
     async def fetch(self, address: Address, request: Request, timeout_s: float) -> Response:
         """Send one request on a new connection, and return the response.
 
-        Raises HttpError, OSError, TimeoutError.
+        Raise HttpError, OSError, TimeoutError.
         """
         tls = self.credentials.client_context if self.credentials is not None else None
         async with asyncio.timeout(timeout_s):
--- a/onyxhead/agent/controller_session.py
+++ b/onyxhead/agent/controller_session.py
@@ -107,7 +107,7 @@
     async def _join(self, address: Address, insist: bool) -> str:
         """Ask a controller to accept the proxy, and return the controller's name.
 
-        Raises JoinRejectedError, StaleTokenError, HttpError, OSError, and other exceptions for a malformed answer.
+        Raise JoinRejectedError, StaleTokenError, HttpError, OSError, and other exceptions for a malformed answer.
         """
         request = self._join_request(insist)
         # Late updates of the old stream are rejected from here on: they would change the view that the join reports.
--- a/onyxhead/agent/join_messages.py
+++ b/onyxhead/agent/join_messages.py
@@ -61,7 +61,7 @@
     def decode(cls, response: Response) -> JoinAccepted:
         """Decode the response to a join.
 
-        Raises JoinRejectedError, JoinRedirectedError, and KeyError, TypeError or ValueError for a malformed answer.
+        Raise JoinRejectedError, JoinRedirectedError, and KeyError, TypeError or ValueError for a malformed answer.
         """
         if response.status == REDIRECT_STATUS:
             document = response.json()
--- a/onyxhead/agent/proxy_counters.py
+++ b/onyxhead/agent/proxy_counters.py
@@ -45,7 +45,7 @@
     """Return the counters of a proxy's statistics document, which has this form:
 
     {"boot": "...", "groups": {group: {"flows": n, "dropped": n, "backends": {"host:port": {"good": n, "bad": n,
-    "ms": total}}}}}. Raises ValueError, TypeError, KeyError or AttributeError for another document.
+    "ms": total}}}}}. Raise ValueError, TypeError, KeyError or AttributeError for another document.
     """
     counters: Counters = {}
     for group, values in document["groups"].items():
@@ -60,7 +60,7 @@
 def parse_utilizations(document: Any) -> dict[str, float]:  # noqa: ANN401  # any JSON value
     """Return the utilizations in a proxy's statistics document, by backend address.
 
-    Raises the same errors as `parse_counters`.
+    Raise the same errors as `parse_counters`.
     """
     return {str(address): float(utilization) for address, utilization in document.get("loads", {}).items()}
 
--- a/onyxhead/agent/proxy_files.py
+++ b/onyxhead/agent/proxy_files.py
@@ -25,7 +25,7 @@
     """The state folder of one agent and the output folder with its proxy's files."""
 
     def __init__(self, settings: AgentSettings) -> None:
-        """Create missing folders and remove temporary files of interrupted replacements. Raises OSError."""
+        """Create missing folders and remove temporary files of interrupted replacements. Raise OSError."""
         self.settings = settings
         self.state_path = settings.state_directory / STATE_FILE_NAME
         self.installed: dict[Path, bytes] = {}
@@ -57,11 +57,11 @@
         return [(folder / name, body) for name, body in files.items()]
 
     def save_state(self, view: View, token: int) -> None:
-        """Replace the state file only. Raises OSError."""
+        """Replace the state file only. Raise OSError."""
         replace_files([(self.state_path, encode_state(view, token))])
 
     def install(self, view: View, token: int = 0) -> None:
-        """Replace the state file, then each of the proxy's files whose content changes. Raises SwapError, OSError."""
+        """Replace the state file, then each of the proxy's files whose content changes. Raise SwapError, OSError."""
         changed = [
             (path, body) for path, body in self.render(view) if _payload(self.installed.get(path)) != _payload(body)
         ]
--- a/onyxhead/agent/server.py
+++ b/onyxhead/agent/server.py
@@ -31,7 +31,7 @@
     """One agent: its HTTP server, controller session, load reports and key rotation."""
 
     def __init__(self, settings: AgentSettings) -> None:
-        """Load the stored state and the key files. Raises OSError, KeyFileError."""
+        """Load the stored state and the key files. Raise OSError, KeyFileError."""
         self.settings = settings
         self.incarnation = secrets.token_hex(INCARNATION_BYTES)
         files = ProxyFiles(settings)
@@ -47,7 +47,7 @@
     async def run(self) -> None:
         """Serve until SIGTERM, SIGINT or the end of a background task.
 
-        Raises OSError if the address or the folders can't be used.
+        Raise OSError if the address or the folders can't be used.
         """
         await self.updater.restore_files()
         tls = self.credentials.server_context if self.credentials is not None else None
--- a/onyxhead/agent/state_file.py
+++ b/onyxhead/agent/state_file.py
@@ -24,7 +24,7 @@
 def decode_state(body: bytes) -> tuple[View, int]:
     """Return the view and the fencing token in a state file.
 
-    Raises CorruptStateError for an incomplete or inconsistent file, which is never used in part.
+    Raise CorruptStateError for an incomplete or inconsistent file, which is never used in part.
     """
     try:
         state = json.loads(body)
--- a/onyxhead/agent/table_updater.py
+++ b/onyxhead/agent/table_updater.py
@@ -30,7 +30,7 @@
         self._updating = asyncio.Lock()
 
     async def restore_files(self) -> None:
-        """Rewrite the proxy's files from the stored view, since a crash may have left older files. Raises OSError."""
+        """Rewrite the proxy's files from the stored view, since a crash may have left older files. Raise OSError."""
         await asyncio.to_thread(self.files.install, self.replica.view, self.replica.token_guard.current)
 
     async def wait_until_idle(self) -> None:
--- a/onyxhead/atomic_files.py
+++ b/onyxhead/atomic_files.py
@@ -24,7 +24,7 @@
 def replace_files(files: Sequence[tuple[Path, bytes]]) -> None:
     """Replace the contents of files, in the given order.
 
-    Raises SwapError if no file was replaced, and another OSError if some files may have been replaced.
+    Raise SwapError if no file was replaced, and another OSError if some files may have been replaced.
     """
     temporary_paths = [path.with_name(f"{TEMPORARY_PREFIX}{path.name}") for path, _ in files]
     try:
--- a/onyxhead/cli/daemons.py
+++ b/onyxhead/cli/daemons.py
@@ -74,7 +74,7 @@
 
 
 def _read_settings(path: Path, kind: type[Settings], other_kind: str) -> Settings:
-    """Read a settings file of the given kind. Raises FaultyInputError for a faulty file or settings of another kind."""
+    """Read a settings file of the given kind. Raise FaultyInputError for a faulty file or settings of another kind."""
     try:
         settings = load.read_settings(path)
     except InvalidConfigurationError as error:
--- a/onyxhead/cli/incident.py
+++ b/onyxhead/cli/incident.py
@@ -54,7 +54,7 @@
 def _parse_time(text: str, end: float) -> float:
     """Return the timestamp of an ISO 8601 time in UTC, or of a negative number of seconds counted from `end`.
 
-    Raises FaultyInputError for any other text.
+    Raise FaultyInputError for any other text.
     """
     try:
         if text.startswith("-"):
--- a/onyxhead/cli/keys.py
+++ b/onyxhead/cli/keys.py
@@ -24,7 +24,7 @@
 
 @contextmanager
 def _open_authority(folder: Path) -> Iterator[CertificateAuthority]:
-    """Provide the authority in a folder. Raises RefusedError if an operation on it fails."""
+    """Provide the authority in a folder. Raise RefusedError if an operation on it fails."""
     from onyxhead.keys.authority import CertificateAuthority
     from onyxhead.keys.errors import IssuanceError
 
--- a/onyxhead/cli/requests.py
+++ b/onyxhead/cli/requests.py
@@ -23,7 +23,7 @@
 def fetch_json(address: str, target: str, identity: Path | None = None, message: object = None) -> Any:  # noqa: ANN401  # any JSON value
     """Send a GET request, or a POST request if `message` is given, and return the JSON in the response.
 
-    Raises RefusedError for a status other than 200, FaultyInputError for a malformed address or faulty credentials, and
+    Raise RefusedError for a status other than 200, FaultyInputError for a malformed address or faulty credentials, and
     NoAnswerError if there is no valid response in time.
     """
     tls = client_tls(identity)
@@ -45,7 +45,7 @@
 def client_tls(identity: Path | None) -> ssl.SSLContext | None:
     """Return the TLS context for the key files of `identity`, a path FOLDER/NAME, or None without an identity.
 
-    Raises FaultyInputError if the key files cannot be used.
+    Raise FaultyInputError if the key files cannot be used.
     """
     if identity is None:
         return None
@@ -63,7 +63,7 @@
 def fleet_members(fleet_file: Path | None, addresses: tuple[str, ...]) -> tuple[dict[str, Address], dict[str, Address]]:
     """Return the addresses of controllers and of agents by name.
 
-    `fleet_file` names both; `addresses` adds controllers, each named by its address. Raises FaultyInputError for a
+    `fleet_file` names both; `addresses` adds controllers, each named by its address. Raise FaultyInputError for a
     faulty file, for a malformed address, or if there is no controller.
     """
     controllers: dict[str, Address] = {}
--- a/onyxhead/cli/routing.py
+++ b/onyxhead/cli/routing.py
@@ -53,7 +53,7 @@
 
 
 def _parse_nginx(file: Path) -> Any:  # noqa: ANN401  # crossplane's untyped syntax tree
-    """Return the syntax tree of each file of an nginx configuration. Raises FaultyInputError for an unreadable file."""
+    """Return the syntax tree of each file of an nginx configuration. Raise FaultyInputError for an unreadable file."""
     import crossplane
 
     if not file.is_file():
--- a/onyxhead/configuration_language/loader.py
+++ b/onyxhead/configuration_language/loader.py
@@ -112,7 +112,7 @@
 def load_files(path: Path) -> list[SourceFile]:
     """Return the file and all files that it includes, each once; a file precedes its includes.
 
-    Raises InvalidConfigurationError.
+    Raise InvalidConfigurationError.
     """
     loader = _Loader()
     loader.load(path, SourcePosition(str(path), 1, 1), ())
@@ -126,7 +126,7 @@
 def evaluate_files(files: list[SourceFile], definitions: str, name: str) -> PlainRecord:
     """Return the plain values of all files together, checked against the definition of this name.
 
-    `definitions` is the text of the schema. Raises InvalidConfigurationError.
+    `definitions` is the text of the schema. Raise InvalidConfigurationError.
     """
     evaluator = Evaluator()
     configuration = evaluator.evaluate_struct(_merge_files(files), None, False)
--- a/onyxhead/configuration_language/parser.py
+++ b/onyxhead/configuration_language/parser.py
@@ -184,7 +184,7 @@
 def parse(text: str, file: str) -> SourceFile:
     """Parse a file's text.
 
-    Raises InvalidConfigurationError, which names the position of the syntax error and the tokens expected there.
+    Raise InvalidConfigurationError, which names the position of the syntax error and the tokens expected there.
     """
     if (line := _line_nested_too_deep(text)) is not None:
         text = f"brackets are nested more than {MAX_NESTING} levels deep"
--- a/onyxhead/configuration_language/unification.py
+++ b/onyxhead/configuration_language/unification.py
@@ -125,7 +125,7 @@
     def _unify_with_pattern(self, field: Field, name: str, other: Record) -> Field | None:
         """Return a field that only one record has, unified with the other record's pattern.
 
-        Reports the field and returns None if the other record allows no such field.
+        Report the field and return None if the other record allows no such field.
         """
         is_definition = name.startswith("#")
         if other.pattern_value is not None and not is_definition:
--- a/onyxhead/fleet/fencing.py
+++ b/onyxhead/fleet/fencing.py
@@ -15,7 +15,7 @@
 
 
 def next_token(current: int) -> int:
-    """Return the token that a controller offers to an agent with this one. Raises StaleTokenError if none is left."""
+    """Return the token that a controller offers to an agent with this one. Raise StaleTokenError if none is left."""
     if current >= MAX_TOKEN:
         raise StaleTokenError("fencing tokens are used up; the agent's state must be recreated", current)
     return current + 1
@@ -28,7 +28,7 @@
         self.current = current
 
     def advance(self, token: int) -> None:
-        """Accept a token above the current one. Raises StaleTokenError.
+        """Accept a token above the current one. Raise StaleTokenError.
 
         The caller must store the token before it answers the join.
         """
--- a/onyxhead/fleet/slow_start_budget.py
+++ b/onyxhead/fleet/slow_start_budget.py
@@ -152,8 +152,8 @@
     def grant(self) -> list[BudgetGrant]:
         """Make, store and return new grants of unused capacity to members with a shortfall.
 
-        At each endpoint, the greatest shortfall is served first, so that the order is deterministic. Raises what
-        `persist` raises, and then grants nothing.
+        At each endpoint, the greatest shortfall is served first, so that the order is deterministic. Raise what
+        `persist` raises, and then grant nothing.
         """
         new_grants: list[BudgetGrant] = []
         for incarnation, load in sorted(self.loads.items()):
--- a/onyxhead/fleet/wire_format.py
+++ b/onyxhead/fleet/wire_format.py
@@ -47,7 +47,7 @@
 
 
 def decode_packet(value: Any) -> Packet:  # noqa: ANN401  any JSON value
-    """Return the packet of a JSON object. Raises MalformedPacketError."""
+    """Return the packet of a JSON object. Raise MalformedPacketError."""
     try:
         if value[VERSION] != PROTOCOL_VERSION:
             sender = str(value[SENDER])[:MAX_NAME_IN_ERROR]
@@ -87,7 +87,7 @@
 
 
 def decode_budget_report(value: Any) -> BudgetReport:  # noqa: ANN401  any JSON value
-    """Return the budget report of a JSON object. Raises MalformedReportError."""
+    """Return the budget report of a JSON object. Raise MalformedReportError."""
     try:
         shortfalls = {
             Incarnation(str(backend), _report_number(started_at)): _amount(shortfall)
@@ -126,7 +126,7 @@
 
 
 def decode_grants(value: Any) -> tuple[BudgetGrant, ...]:  # noqa: ANN401  any JSON value
-    """Return the grants that `encode_grants` encoded. Raises MalformedReportError."""
+    """Return the grants that `encode_grants` encoded. Raise MalformedReportError."""
     return decode_budget_report({LACKS: [], LOANS: value}).grants
 
 
--- a/onyxhead/fronts/files/agent_stream.py
+++ b/onyxhead/fronts/files/agent_stream.py
@@ -94,7 +94,7 @@
         """Entity tag of the agent's view, from its last answer."""
 
     async def open(self, tls: ssl.SSLContext | None = None) -> str:
-        """Connect to the agent, and return the entity tag of its view. Raises OSError, AgentFaultError."""
+        """Connect to the agent, and return the entity tag of its view. Raise OSError, AgentFaultError."""
         try:
             async with asyncio.timeout(self.timeout_s):
                 self.connection = await Connection.open(*self.address, tls)
@@ -112,13 +112,13 @@
     async def probe(self) -> str:
         """Request the entity tag of the agent's view, and return it.
 
-        The request also restarts the agent's silence timeout. Raises OSError, AgentFaultError.
+        The request also restarts the agent's silence timeout. Raise OSError, AgentFaultError.
         """
         await self._send(Request("HEAD", VIEW_PATH, self.headers))
         return await self._receive_etag()
 
     async def send(self, update: ProxyUpdate, ordered_at: int) -> None:
-        """Send an update; return before it is acknowledged. Raises OSError, AgentFaultError.
+        """Send an update; return before it is acknowledged. Raise OSError, AgentFaultError.
 
         `ordered_at` is the time of the decision in tenths of a millisecond.
         """
@@ -134,7 +134,7 @@
         await self._send(Request("PUT" if update.full else "PATCH", VIEW_PATH, headers, encoded.body))
 
     async def receive_acknowledgement(self) -> str:
-        """Wait for the last update's acknowledgement, and return its entity tag. Raises OSError, AgentFaultError."""
+        """Wait for the last update's acknowledgement, and return its entity tag. Raise OSError, AgentFaultError."""
         return await self._receive_etag()
 
     def close(self) -> None:
--- a/onyxhead/fronts/streams/messages.py
+++ b/onyxhead/fronts/streams/messages.py
@@ -117,7 +117,7 @@
 def read_message(elements: RawMessage, known: KnownNames) -> StreamMessage:
     """Return the typed form of one message.
 
-    Raises InvalidMessageError if its kind is unknown or a field is missing or invalid.
+    Raise InvalidMessageError if its kind is unknown or a field is missing or invalid.
     """
     kind = elements[0]
     if (parse_fields := FIELD_PARSERS.get(kind)) is None:
@@ -141,7 +141,7 @@
 
 
 def _required_field(fields: Fields, name: bytes) -> bytes:
-    """Return the value of a field. Raises InvalidMessageError if the message has no such field."""
+    """Return the value of a field. Raise InvalidMessageError if the message has no such field."""
     if (value := fields.get(name)) is None:
         raise InvalidMessageError(f"{_printable(name)} is missing")
     return value
@@ -235,7 +235,7 @@
 def parse_load_report(text: bytes, separator: bytes = b":") -> LoadReport:
     """Parse a load report of comma-separated `name:value` pairs (`name=value` in health checks).
 
-    Raises InvalidMessageError if a pair has no separator or its value is invalid.
+    Raise InvalidMessageError if a pair has no separator or its value is invalid.
     """
     values: dict[str, float] = {}
     for pair in text.split(b",") if text else ():
--- a/onyxhead/fronts/streams/resp.py
+++ b/onyxhead/fronts/streams/resp.py
@@ -55,7 +55,7 @@
     def next_message(self) -> RawMessage | None:
         """Return the next message, or None if it is not complete yet.
 
-        Raises FramingError for malformed data, and raises the same error again on every later call.
+        Raise FramingError for malformed data, and raise the same error again on every later call.
         """
         if self.error is not None:
             raise FramingError(self.error)
--- a/onyxhead/fronts/streams/updates.py
+++ b/onyxhead/fronts/streams/updates.py
@@ -76,7 +76,7 @@
     def encode(self, update: ProxyUpdate) -> bytes:
         """Return the bytes of one update: a message for each table and each admission level, at least one.
 
-        Raises ValueError if these are more than MAX_PARTS messages.
+        Raise ValueError if these are more than MAX_PARTS messages.
         """
         parts = list(self._encode_parts(update)) or [[]]
         if len(parts) > MAX_PARTS:
--- a/onyxhead/health_check.py
+++ b/onyxhead/health_check.py
@@ -20,7 +20,7 @@
 async def request_health(address: tuple[str, int], path: str, timeout_s: float, max_body_bytes: int) -> Response:
     """Request the path on a new connection and return the response, whatever its status.
 
-    Raises HealthCheckFailedError if the backend can't be reached, doesn't respond in time or doesn't speak HTTP.
+    Raise HealthCheckFailedError if the backend can't be reached, doesn't respond in time or doesn't speak HTTP.
     """
     try:
         async with asyncio.timeout(timeout_s):
--- a/onyxhead/http/client.py
+++ b/onyxhead/http/client.py
@@ -35,7 +35,7 @@
 
     @classmethod
     async def open(cls, host: str, port: int, tls: ssl.SSLContext | None = None) -> Connection:
-        """Connect to a server. Raises OSError."""
+        """Connect to a server. Raise OSError."""
         reader, writer = await asyncio.open_connection(host, port, ssl=tls)
         return cls(reader, writer, f"{host}:{port}")
 
@@ -45,7 +45,7 @@
         return self.writer.get_extra_info("peercert")
 
     async def send(self, request: Request) -> None:
-        """Write a request to the socket's buffer, and wait while the buffer is full. Raises HttpError, OSError."""
+        """Write a request to the socket's buffer, and wait while the buffer is full. Raise HttpError, OSError."""
         if self.state.our_state is h11.DONE and self.state.their_state is h11.DONE:
             self.state.start_next_cycle()
         fields = [("host", self.host), *request.headers.items(), ("content-length", str(len(request.body)))]
@@ -60,7 +60,7 @@
         await self.writer.drain()
 
     async def receive(self, max_body: int = MAX_BODY_BYTES) -> Response:
-        """Return the response to the last request sent. Raises HttpError, OSError."""
+        """Return the response to the last request sent. Raise HttpError, OSError."""
         status, headers, body = 0, Headers(), bytearray()
         while True:
             try:
@@ -82,7 +82,7 @@
                 raise IncompleteResponseError("the connection closed before the response was complete")
 
     async def fetch(self, request: Request, max_body: int = MAX_BODY_BYTES) -> Response:
-        """Send a request and return its response. Raises HttpError, OSError."""
+        """Send a request and return its response. Raise HttpError, OSError."""
         await self.send(request)
         return await self.receive(max_body)
 
@@ -114,7 +114,7 @@
 ) -> Response:
     """Send one request on a new connection, and return the response.
 
-    `timeout` is in seconds and includes connecting. Raises HttpError, OSError, TimeoutError.
+    `timeout` is in seconds and includes connecting. Raise HttpError, OSError, TimeoutError.
     """
     async with asyncio.timeout(timeout):
         async with await Connection.open(*address, tls) as connection:
--- a/onyxhead/http/messages.py
+++ b/onyxhead/http/messages.py
@@ -59,7 +59,7 @@
     body: bytes = b""
 
     def json(self) -> Any:  # noqa: ANN401  # any JSON value
-        """Return the body's JSON value. Raises ValueError."""
+        """Return the body's JSON value. Raise ValueError."""
         return _parse_json(self.body)
 
 
@@ -71,7 +71,7 @@
     body: bytes = b""
 
     def json(self) -> Any:  # noqa: ANN401  # any JSON value
-        """Return the body's JSON value. Raises ValueError."""
+        """Return the body's JSON value. Raise ValueError."""
         return _parse_json(self.body)
 
 
--- a/onyxhead/http/server.py
+++ b/onyxhead/http/server.py
@@ -36,7 +36,7 @@
         self.listener: asyncio.Server | None = None
 
     async def start(self, host: str, port: int, tls: ssl.SSLContext | None = None) -> tuple[str, int]:
-        """Listen and return the bound address. Raises OSError.
+        """Listen and return the bound address. Raise OSError.
 
         A further call replaces the listener, for example to use new TLS keys. The new listener opens before the old one
         closes, so that no client is turned away, and open connections go on.
--- a/onyxhead/incident/state_folder.py
+++ b/onyxhead/incident/state_folder.py
@@ -29,7 +29,7 @@
 def read_records(folder: Path, since: float, until: float) -> StoredPeriod:
     """Return a controller's records of a period.
 
-    Raises MissingStateError if the folder has no database, StoreUnavailableError if the database can't be read.
+    Raise MissingStateError if the folder has no database, StoreUnavailableError if the database can't be read.
     """
     database = folder / DATABASE_NAME
     if not database.is_file():
--- a/onyxhead/intake/orca_reports.py
+++ b/onyxhead/intake/orca_reports.py
@@ -79,7 +79,7 @@
     """Return the reports of a body, and how many elements of its list were faulty.
 
     Load values that are out of bounds are left out of a faulty report; an element that is not a report is dropped.
-    Raises MalformedReportError if the body is not a list.
+    Raise MalformedReportError if the body is not a list.
     """
     try:
         return _BODY_DECODER.decode(body), 0
--- a/onyxhead/intake/report_decoder.py
+++ b/onyxhead/intake/report_decoder.py
@@ -40,7 +40,7 @@
     def decode(self, now: int, budget: int) -> list[LoadSums]:
         """Decode bodies until their size reaches `budget` bytes, and return the sums over their reports.
 
-        Sets `bytes_decoded` to the size of the decoded bodies.
+        Set `bytes_decoded` to the size of the decoded bodies.
         """
         builder, self.bytes_decoded = LoadSumsBuilder(), 0
         for sample in self.sampler.take(budget):
--- a/onyxhead/keys/authority.py
+++ b/onyxhead/keys/authority.py
@@ -40,7 +40,7 @@
         self.now = now or datetime.datetime.now(datetime.UTC)
 
     def create(self, name: str, days: int = AUTHORITY_VALIDITY_DAYS) -> None:
-        """Create the authority, or replace it by a new one. Raises IssuanceError.
+        """Create the authority, or replace it by a new one. Raise IssuanceError.
 
         The previous authorities stay trusted until `forget`.
         """
@@ -64,14 +64,14 @@
         self._write_revocation_lists(index)
 
     def forget(self) -> None:
-        """Remove all authorities but the newest from the trusted ones. Raises IssuanceError."""
+        """Remove all authorities but the newest from the trusted ones. Raise IssuanceError."""
         self._write("authorities.pem", self._path("authority.crt").read_bytes())
         self._write_revocation_lists(self._read_index())
 
     def issue(
         self, name: str, role: str, hosts: tuple[str, ...] = (), days: int = CERTIFICATE_VALIDITY_DAYS
     ) -> x509.Certificate:
-        """Write a new key and certificate to `NAME.key` and `NAME.crt`. Raises IssuanceError."""
+        """Write a new key and certificate to `NAME.key` and `NAME.crt`. Raise IssuanceError."""
         if role not in ROLES:
             raise IssuanceError(f"role {role!r} is not one of {', '.join(ROLES)}")
         if not name or "/" in name or name in RESERVED_NAMES:
@@ -100,7 +100,7 @@
     def renew(self, name: str, days: int = CERTIFICATE_VALIDITY_DAYS) -> x509.Certificate:
         """Issue a new key and certificate with the role and hosts of the name's last one.
 
-        Raises IssuanceError if none was issued to the name.
+        Raise IssuanceError if none was issued to the name.
         """
         certificates = self._read_index().issued.get(name)
         if not certificates:
@@ -108,7 +108,7 @@
         return self.issue(name, certificates[-1].role, tuple(certificates[-1].hosts), days)
 
     def revoke(self, name: str) -> int:
-        """Revoke all certificates of a name, and return the number of newly revoked ones. Raises IssuanceError."""
+        """Revoke all certificates of a name, and return the number of newly revoked ones. Raise IssuanceError."""
         index = self._read_index()
         if name not in index.issued:
             raise IssuanceError(f"no certificate was issued to {name!r}")
@@ -119,7 +119,7 @@
         return len(serials)
 
     def issued(self) -> list[dict[str, Any]]:
-        """Return the listing of all issued certificates, sorted by name. Raises IssuanceError."""
+        """Return the listing of all issued certificates, sorted by name. Raise IssuanceError."""
         index = self._read_index()
         return [
             {"name": name, **certificate.to_json(), "revoked": certificate.serial in index.revoked}
--- a/onyxhead/keys/credentials.py
+++ b/onyxhead/keys/credentials.py
@@ -57,7 +57,7 @@
     """
 
     def __init__(self, files: TlsSettings) -> None:
-        """Read the files. Raises KeyFileError."""
+        """Read the files. Raise KeyFileError."""
         self.files, self.generation = files, 0
         self._fingerprint = self._stat_files()
         self.server_context, self.client_context, self.expires_at = self._make_contexts(self._read_files())
@@ -65,7 +65,7 @@
     def refresh(self) -> bool:
         """Use changed files for new handshakes, and return whether there were any.
 
-        Raises KeyFileError for changed files that can't be used; the contexts stay as they are, and the files are tried
+        Raise KeyFileError for changed files that can't be used; the contexts stay as they are, and the files are tried
         again only after their next change.
         """
         fingerprint = self._stat_files()
@@ -115,7 +115,7 @@
 def _check_key_files(files: _KeyFiles) -> x509.Certificate:
     """Return the certificate, which must match the key, be signed by an authority and not be expired.
 
-    Raises KeyFileError.
+    Raise KeyFileError.
     """
     try:
         certificate = x509.load_pem_x509_certificate(files.certificate)
@@ -134,7 +134,7 @@
 
 
 def _make_context(files: _KeyFiles, server: bool) -> ssl.SSLContext:
-    """Return a server or a client context. Raises ssl.SSLError, OSError."""
+    """Return a server or a client context. Raise ssl.SSLError, OSError."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if server else ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
     # The peer's host name is not checked, since callers check the role and name in its certificate.
--- a/onyxhead/keys/index.py
+++ b/onyxhead/keys/index.py
@@ -34,7 +34,7 @@
 
     @classmethod
     def from_json(cls, text: str) -> CertificateIndex:
-        """Decode a stored index. Raises ValueError."""
+        """Decode a stored index. Raise ValueError."""
         try:
             stored = json.loads(text)
             issued = {
--- a/onyxhead/node/configuration.py
+++ b/onyxhead/node/configuration.py
@@ -57,7 +57,7 @@
 def read_environment(environment: Mapping[str, str]) -> tuple[NodeConfiguration, Path]:
     """Return the configuration that the environment variables name and the path of its file.
 
-    Raises ConfigurationError.
+    Raise ConfigurationError.
     """
     for name in VARIABLES:
         if not environment.get(name):
@@ -69,7 +69,7 @@
 
 
 def read_configuration(path: Path) -> NodeConfiguration:
-    """Read the configuration from a file. Raises ConfigurationError."""
+    """Read the configuration from a file. Raise ConfigurationError."""
     try:
         body = path.read_bytes()
     except OSError as error:
@@ -135,7 +135,7 @@
 def parse_address(text: str, name: str) -> Address:
     """Parse an address of the form `host:port`.
 
-    Raises ConfigurationError, which names the setting or variable `name` that holds the address.
+    Raise ConfigurationError, which names the setting or variable `name` that holds the address.
     """
     host, separator, port = text.rpartition(":")
     if not separator or not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) <= MAX_PORT:
--- a/onyxhead/node/endpoint_list.py
+++ b/onyxhead/node/endpoint_list.py
@@ -47,7 +47,7 @@
 
 
 def parse_endpoint_list(body: bytes, index: SettingsIndex) -> EndpointUpdate:
-    """Parse the endpoint list in a response body. Raises InvalidEndpointListError."""
+    """Parse the endpoint list in a response body. Raise InvalidEndpointListError."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -56,7 +56,7 @@
 
 
 def read_endpoint_list(document: object, index: SettingsIndex) -> EndpointUpdate:
-    """Read the endpoint list from a parsed JSON document. Raises InvalidEndpointListError.
+    """Read the endpoint list from a parsed JSON document. Raise InvalidEndpointListError.
 
     One invalid member invalidates the whole list. If the member were left out instead, a snapshot would report its
     backend as departed.
--- a/onyxhead/node/listener.py
+++ b/onyxhead/node/listener.py
@@ -53,7 +53,7 @@
         self.join_timer: asyncio.TimerHandle | None = None
 
     def open(self, address: tuple[str, int]) -> tuple[str, int]:
-        """Listen on the address; return the host and port that the socket is bound to. Raises OSError."""
+        """Listen on the address; return the host and port that the socket is bound to. Raise OSError."""
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/onyxhead/node/serve.py
+++ b/onyxhead/node/serve.py
@@ -81,7 +81,7 @@
         self.statistics = StatisticsLog(self.context, self.host, self.decision_loop, self.streams.listener)
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT. Raises OSError if the node can't listen on its address."""
+        """Serve until SIGTERM or SIGINT. Raise OSError if the node can't listen on its address."""
         self.endpoints.load_cached(self.configuration.cached_endpoints)
         host, port = self.streams.listener.open(self.configuration.listen)
         self._start(host, port)
@@ -168,7 +168,7 @@
 
 
 async def serve(configuration: NodeConfiguration, path: Path, log: JsonLog) -> None:
-    """Run a node until SIGTERM or SIGINT. Raises OSError if the node can't listen on its address."""
+    """Run a node until SIGTERM or SIGINT. Raise OSError if the node can't listen on its address."""
     await NodeServer(configuration, path, log).run()
 
 
--- a/onyxhead/operate/commands.py
+++ b/onyxhead/operate/commands.py
@@ -40,7 +40,7 @@
 
     @classmethod
     def parse(cls, message: Any) -> Command:  # noqa: ANN401  # any JSON value
-        """Return the command that a JSON message holds. Raises CommandError for an invalid message."""
+        """Return the command that a JSON message holds. Raise CommandError for an invalid message."""
         if not isinstance(message, dict):
             raise CommandError("a command must be a JSON object")
         command_id, verb, selectors = message.get("id"), message.get("verb"), message.get("names")
--- a/onyxhead/operate/fleet_client.py
+++ b/onyxhead/operate/fleet_client.py
@@ -78,7 +78,7 @@
 
 
 def _read_outcome(member: str, response: Response) -> CommandOutcome:
-    """Return the outcome that a response describes. Raises _ServerError for a server error."""
+    """Return the outcome that a response describes. Raise _ServerError for a server error."""
     if response.status == 404:
         return CommandOutcome(member, CommandStatus.REFUSED, "its version is too old for this command", {})
     try:
--- a/onyxhead/operate/overrides.py
+++ b/onyxhead/operate/overrides.py
@@ -51,7 +51,7 @@
     def execute(self, command: Command, tree: Tree, backends: Iterable[Backend], facts: FleetFacts) -> CommandAnswer:
         """Execute a command and return its answer; return the earlier answer if the command was executed before.
 
-        Raises CommandError if the id was already used for another command.
+        Raise CommandError if the id was already used for another command.
         """
         earlier = self.completed.get(command.command_id)
         if earlier is not None:
--- a/onyxhead/series/time_series_store.py
+++ b/onyxhead/series/time_series_store.py
@@ -107,7 +107,7 @@
             os.unlink(min(paths, key=lambda path: path.stat().st_mtime))
 
     def read(self, name: str, since: float, until: float) -> SeriesSamples:
-        """Return the samples between two Unix times. Raises UnknownSeriesError."""
+        """Return the samples between two Unix times. Raise UnknownSeriesError."""
         path = self._path(name)
         try:
             fetched = whisper.fetch(str(path), int(since), int(until))
--- a/onyxhead/settings/agent.py
+++ b/onyxhead/settings/agent.py
@@ -13,7 +13,7 @@
 def agent_settings(reader: RecordReader) -> AgentSettings:
     """Return the settings.
 
-    Raises InvalidConfigurationError for invalid addresses, and for groups with the same prefix, since their requests
+    Raise InvalidConfigurationError for invalid addresses, and for groups with the same prefix, since their requests
     could not be told apart.
     """
     record, directory = reader.record, reader.directory
--- a/onyxhead/settings/controller.py
+++ b/onyxhead/settings/controller.py
@@ -25,7 +25,7 @@
 
 
 def controller_settings(reader: RecordReader) -> ControllerSettings:
-    """Return the settings. Raises InvalidConfigurationError for values that contradict each other."""
+    """Return the settings. Raise InvalidConfigurationError for values that contradict each other."""
     record = reader.record
     zones = tuple(record["zones"])
     deployment = _deployment(reader, zones)
--- a/onyxhead/settings/instance.py
+++ b/onyxhead/settings/instance.py
@@ -50,7 +50,7 @@
 
 
 def read_deployment(settings: Mapping[str, Any]) -> Deployment:
-    """Return the deployment that the settings describe, ignoring unknown keys. Raises InvalidSettingsError."""
+    """Return the deployment that the settings describe, ignoring unknown keys. Raise InvalidSettingsError."""
     try:
         extra, guarantees, bounds = settings["extra"], settings["guarantees"], settings["bounds"]
         return Deployment(
--- a/onyxhead/settings/load.py
+++ b/onyxhead/settings/load.py
@@ -30,7 +30,7 @@
 
 
 def read_settings(path: Path) -> ControllerSettings | AgentSettings:
-    """Return the controller or agent settings in a file. Raises InvalidConfigurationError."""
+    """Return the controller or agent settings in a file. Raise InvalidConfigurationError."""
     files = load_files(path)
     kind = kind_of(files)
     reader = RecordReader(evaluate_files(files, schema(), DEFINITIONS[kind]), path.parent)
@@ -40,7 +40,7 @@
 def read_operators(path: Path) -> tuple[dict[str, Address], dict[str, Address]]:
     """Return the addresses of controllers and of agents by name, as in the `#Operators` definition.
 
-    Raises InvalidConfigurationError.
+    Raise InvalidConfigurationError.
     """
     record = evaluate_files(load_files(path), schema(), OPERATORS_DEFINITION)
     reader = RecordReader(record, path.parent)
--- a/onyxhead/store/database.py
+++ b/onyxhead/store/database.py
@@ -47,7 +47,7 @@
 def open_database(path: Path, clock: Callable[[], float]) -> tuple[RecoveredState, list[str]]:
     """Begin a new incarnation, and return the state that the last one left, with warnings.
 
-    A corrupt file is renamed, so that it can be examined, and an empty database is created in its place. Raises
+    A corrupt file is renamed, so that it can be examined, and an empty database is created in its place. Raise
     sqlite3.Error and OSError.
     """
     try:
@@ -63,7 +63,7 @@
 def begin_incarnation(path: Path, clock: Callable[[], float]) -> RecoveredState:
     """Store a new epoch, and return the state that the last incarnation left.
 
-    Raises sqlite3.Error, and its subclass CorruptDatabaseError if the file fails its integrity check.
+    Raise sqlite3.Error, and its subclass CorruptDatabaseError if the file fails its integrity check.
     """
     with contextlib.closing(connect(path)) as database:
         _check_integrity(database)
--- a/onyxhead/store/period.py
+++ b/onyxhead/store/period.py
@@ -16,7 +16,7 @@
 def read_period(path: Path, name: str, since: float, until: float) -> StoredPeriod:
     """Return what the store of the controller `name` holds from `since` to `until`, in Unix time.
 
-    Decisions before `since` are included too. Raises StoreUnavailableError.
+    Decisions before `since` are included too. Raise StoreUnavailableError.
     """
     read_only_uri = f"file:{quote(str(path))}?mode=ro"
     try:
--- a/onyxhead/store/records.py
+++ b/onyxhead/store/records.py
@@ -43,7 +43,7 @@
 
     @classmethod
     def from_row(cls, row: Row) -> DecisionRecord:
-        """Return the record of a row. Raises ValueError if a row without a digest holds invalid JSON."""
+        """Return the record of a row. Raise ValueError if a row without a digest holds invalid JSON."""
         number, at, epoch, round_number, causes, decisions, digest = row
         intact = None if digest is None else digest == row_digest(*row[1:-1])
         if intact is False:
--- a/onyxhead/store/store.py
+++ b/onyxhead/store/store.py
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, folder: Path, clock: Callable[[], float] = time.time) -> None:
-        """Open the database in `folder`, created if missing. Raises StoreUnavailableError."""
+        """Open the database in `folder`, created if missing. Raise StoreUnavailableError."""
         self.path, self.clock = folder / schema.DATABASE_FILE, clock
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -102,28 +102,28 @@
     # Written before the call returns
 
     def begin_epoch(self) -> int:
-        """Begin and return a new epoch within this process. Raises StoreUnavailableError."""
+        """Begin and return a new epoch within this process. Raise StoreUnavailableError."""
         self._execute(schema.INCREMENT_EPOCH)
         return int(self._query(schema.SELECT_EPOCH)[0][0])
 
     def save_commit(self, commit: CommitRecord) -> None:
-        """Save a configuration commit. Raises StoreUnavailableError."""
+        """Save a configuration commit. Raise StoreUnavailableError."""
         number, tree, *rest = commit
         self._execute(schema.INSERT_COMMIT, number, self.clock(), json.dumps(tree, sort_keys=True), *rest)
 
     def put(self, name: str, value: object) -> None:
-        """Store a value under a name of `onyxhead.store.value_names`. Raises StoreUnavailableError."""
+        """Store a value under a name of `onyxhead.store.value_names`. Raise StoreUnavailableError."""
         self._execute(schema.REPLACE_VALUE, name, json.dumps(value, sort_keys=True))
 
     # Queries
 
     def get(self, name: str) -> Any:  # noqa: ANN401  the caller knows what it stored under the name
-        """Return the value stored under a name, or None. Raises StoreUnavailableError."""
+        """Return the value stored under a name, or None. Raise StoreUnavailableError."""
         rows = self._query(schema.SELECT_VALUE, name)
         return json.loads(rows[0][0]) if rows else None
 
     def load_commits(self) -> list[CommitRecord]:
-        """Return all commits, oldest first. Raises StoreUnavailableError."""
+        """Return all commits, oldest first. Raise StoreUnavailableError."""
         rows = self._query(schema.SELECT_COMMITS)
         return [CommitRecord(number, json.loads(tree), *rest) for number, tree, *rest in rows]
 
@@ -131,7 +131,7 @@
         """Return the table versions before the first damaged one, oldest first.
 
         A version is stored as changes to the one before, so those after a damaged one can't be used. A warning with
-        their number is added to `warnings`. Raises StoreUnavailableError.
+        their number is added to `warnings`. Raise StoreUnavailableError.
         """
         rows = self._query(schema.SELECT_VERSIONS)
         intact: list[VersionRecord] = []
@@ -146,7 +146,7 @@
         return intact
 
     def recent_decisions(self, limit: int) -> list[DecisionRecord]:
-        """Return the records of the last decision rounds, newest first. Raises StoreUnavailableError."""
+        """Return the records of the last decision rounds, newest first. Raise StoreUnavailableError."""
         return [DecisionRecord.from_row(row) for row in self._query(schema.SELECT_LATEST_DECISIONS, limit)]
 
     def _connect(self) -> sqlite3.Connection:
--- a/onyxhead/tables/addresses.py
+++ b/onyxhead/tables/addresses.py
@@ -23,7 +23,7 @@
 def parse_address(address: object, where: str = "address") -> tuple[str, int]:
     """Return the host and the port of "host:port".
 
-    `where` says in an error which value was malformed. Raises MalformedViewError.
+    `where` says in an error which value was malformed. Raise MalformedViewError.
     """
     host_and_port = _parse(address) if isinstance(address, str) else None
     if host_and_port is None:
--- a/onyxhead/tables/history.py
+++ b/onyxhead/tables/history.py
@@ -115,7 +115,7 @@
         return count
 
     def find(self, name: str) -> Version:
-        """Return the version with this number or label, or the latest for `LATEST`. Raises UnknownVersionError."""
+        """Return the version with this number or label, or the latest for `LATEST`. Raise UnknownVersionError."""
         number = self.labels.get(name, int(name) if name.isdigit() else -1)
         if name == LATEST:
             number = self.latest.number
@@ -124,7 +124,7 @@
         return self.versions[number]
 
     def label(self, name: str, number: int) -> None:
-        """Label a version, which protects it from removal. Raises UnknownVersionError, InvalidLabelError."""
+        """Label a version, which protects it from removal. Raise UnknownVersionError, InvalidLabelError."""
         if not name or name.isdigit() or name == LATEST:
             raise InvalidLabelError(
                 f"{name!r} cannot be a label: it is empty, a number, or reserved for the latest version"
--- a/onyxhead/tables/rollback.py
+++ b/onyxhead/tables/rollback.py
@@ -72,7 +72,7 @@
 def plan_rollback(
     version: Version, desired: Mapping[LineKey, int], sent: Mapping[LineKey, int], endpoints: CurrentEndpoints
 ) -> RollbackPlan:
-    """Return what a rollback to a version would do now. Raises RollbackRejectedError."""
+    """Return what a rollback to a version would do now. Raise RollbackRejectedError."""
     tables = {table for table, _ in {**desired, **sent}}
     _require_steady_backend(version, endpoints)
     lines = restrict_lines(version, desired, endpoints, tables)
--- a/onyxhead/tables/view.py
+++ b/onyxhead/tables/view.py
@@ -49,7 +49,7 @@
 
     @classmethod
     def from_document(cls, document: object) -> View:
-        """Return the view that a complete document describes. Raises MalformedViewError."""
+        """Return the view that a complete document describes. Raise MalformedViewError."""
         return cls.from_entries({path: value for path, value in iterate_entries(document) if value is not None})
 
     def with_entry(self, path: Path, value: ViewValue | None) -> View:
--- a/onyxhead/tables/view_format.py
+++ b/onyxhead/tables/view_format.py
@@ -102,7 +102,7 @@
 
 
 def parse_merge_patch(document: object) -> dict[Path, ViewValue | None]:
-    """Return the changes that a merge patch makes, with None for a removed entry. Raises MalformedViewError.
+    """Return the changes that a merge patch makes, with None for a removed entry. Raise MalformedViewError.
 
     A patch may only set or remove whole entries.
     """
@@ -110,7 +110,7 @@
 
 
 def iterate_entries(document: object) -> Iterator[tuple[Path, ViewValue | None]]:
-    """Yield the entries of a document or of a merge patch, validating each. Raises MalformedViewError."""
+    """Yield the entries of a document or of a merge patch, validating each. Raise MalformedViewError."""
     if not isinstance(document, dict):
         raise MalformedViewError("the document is not a JSON object")
     for section, content in document.items():
--- a/onyxhead/wirehost/codec.py
+++ b/onyxhead/wirehost/codec.py
@@ -64,7 +64,7 @@
 
 
 def parse_integer(text: str) -> int:
-    """Parse a whole number of 0 or more. Like all parsers in this module, raises WireError for invalid text."""
+    """Parse a whole number of 0 or more. Like all parsers in this module, raise WireError for invalid text."""
     if not (text.isdigit() and text.isascii()):
         raise WireError(f"{text!r} is not a whole number")
     return int(text)
@@ -223,7 +223,7 @@
 
 
 def parse_line(line: str) -> tuple[str, WireMessage]:
-    """Return the name that begins a line, and the message that the line encodes. Raises WireError."""
+    """Return the name that begins a line, and the message that the line encodes. Raise WireError."""
     name, _, rest = line.partition(" ")
     line_format = LINE_FORMATS.get(name)
     if line_format is None:
@@ -238,7 +238,7 @@
 
 
 def parse_batch_start(line: str) -> int:
-    """Return the time, in ticks, from the line that begins a batch. Raises WireError."""
+    """Return the time, in ticks, from the line that begins a batch. Raise WireError."""
     name, _, clock = line.partition(" ")
     if name != BATCH_START:
         raise WireError(f"expected {BATCH_START}, found {name!r}")
@@ -246,7 +246,7 @@
 
 
 def parse_settings(text: str) -> dict[str, Any]:
-    """Return the settings of an instance from their JSON text. Raises WireError."""
+    """Return the settings of an instance from their JSON text. Raise WireError."""
     try:
         settings = json.loads(text)
     except ValueError as error:
--- a/onyxhead/wirehost/host.py
+++ b/onyxhead/wirehost/host.py
@@ -76,7 +76,7 @@
         self.endpoint_lists: dict[int, list[Endpoint]] = {}
 
     def run(self) -> None:
-        """Answer every batch until the input ends. Raises WireError for malformed input."""
+        """Answer every batch until the input ends. Raise WireError for malformed input."""
         while (line := self._next_line()) is not None:
             batch = Batch(parse_batch_start(line))
             self._read_batch(batch)
