--- a/onyxhead/controller/core.py
+++ b/onyxhead/controller/core.py
@@ -225,7 +225,7 @@
     def on_request_statistics(self, now: int, name: str, boot: str, number: int, report: RequestStatistics) -> bool:
         """Add the report that a proxy's agent sent as `number` since its start `boot`.
 
-        Return False and adds nothing if the report is a duplicate or the proxy has not joined here.
+        Return False and add nothing if the report is a duplicate or the proxy has not joined here.
         """
         proxy = self.proxy_numbers.get(name)
         if proxy is None or proxy not in self.joined:
--- a/onyxhead/settings/model.py
+++ b/onyxhead/settings/model.py
@@ -99,7 +99,7 @@
 
 
 class LoadReportSettings(NamedTuple):
-    """How load reports are ingested.
+    """The settings for the ingest of load reports.
 
     The controller decodes the reports sent to its own address, `processes` worker processes those sent to `listen`.
     `interval` is in seconds, `byte_rate_limit` in bytes per second and process. `series` is the directory of time
@@ -144,7 +144,7 @@
 
 
 class GroupRoute(NamedTuple):
-    """How a proxy handles a traffic group.
+    """The settings by which a proxy handles a traffic group.
 
     Requests whose path starts with `prefix` belong to the group. `retry_mode` applies until a controller sets one.
     `latency_budget` is in seconds.
